--- a/lib/src/protocol/caller.rs
+++ b/lib/src/protocol/caller.rs
@@ -1,8 +1,7 @@
-//! The callers' interface: chat clients and plain HTTP clients.
+//! The interface for callers: chat clients and plain HTTP clients.
 //!
-//! `GET /v1/addresses` asks which routers to use; `POST /v1/chat/completions` is a
-//! chat; anything else goes to a plain service. `docs/operators/callers.md` holds the
-//! table of headers.
+//! `GET /v1/addresses` returns the routers to use; `POST /v1/chat/completions` is a chat request;
+//! any other request goes to a plain service. `docs/operators/callers.md` has the table of headers.
 
 use std::collections::BTreeMap;
 
@@ -12,45 +11,47 @@
 use super::http::{HttpCall, HttpReply};
 use crate::state::claim_table::ISSUE_AHEAD_MS;
 
-/// The path of a chat.
+/// The path of chat requests.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 /// The path of the directory.
 pub const ADDRESSES_PATH: &str = "/v1/addresses";
 /// The caller's workspace.
 pub const WORKSPACE_HEADER: &str = "wingshed-workspace";
-/// Chosen by the caller, unique in its workspace; echoed in each reply.
+/// The request id, chosen by the caller and unique in its workspace; echoed in each reply.
 pub const REQUEST_ID_HEADER: &str = "wingshed-request-id";
 /// When the caller issued the request, in milliseconds since 1970.
 pub const ISSUED_HEADER: &str = "wingshed-issued";
 /// The chat that the request belongs to.
 pub const CHAT_HEADER: &str = "wingshed-chat";
-/// The service asked for.
+/// The requested service.
 pub const SERVICE_HEADER: &str = "wingshed-service";
 /// `true` when the request must not run twice.
 pub const RUN_ONCE_HEADER: &str = "wingshed-run-once";
-/// How long the caller will wait, in milliseconds.
+/// How long the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "wingshed-deadline";
-/// Labels for the policy: `wingshed-label-NAME`.
+/// The prefix of the headers that carry labels for the policy: `wingshed-label-NAME`.
 pub const LABEL_PREFIX: &str = "wingshed-label-";
-/// In each reply: whether the request ran.
+/// In each reply: whether the request ran; see [`RanMark`].
 pub const RAN_HEADER: &str = "wingshed-ran";
-/// In each reply: the upstream that served it, when one did.
+/// In each reply: the upstream that served the request, if any.
 pub const UPSTREAM_HEADER: &str = "wingshed-upstream";
 /// In each reply of a chat: the router to use for the chat's next request.
 pub const USE_HEADER: &str = "wingshed-use";
-/// In each reply: routers passed after the first.
+/// In each reply: the number of routers that the request passed after the first.
 pub const HOPS_HEADER: &str = "wingshed-hops";
 
+/// The longest name, id or label value in a header, in bytes.
 const LONGEST_NAME: usize = 128;
+/// Bytes of message text that count as one token in the estimated size of a prompt.
 const CHARACTERS_PER_TOKEN: usize = 4;
-/// A caller that names no deadline is given this long, in milliseconds.
+/// The deadline of a request that names none, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 600_000;
 
-/// Whether a request ran.
+/// Whether a request ran at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RanMark {
-    /// No byte of it can have reached an upstream, or the upstream said it did not run.
+    /// No byte of it can have reached an upstream, or the upstream reported that it did not run.
     No,
     /// It ran.
     Yes,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The mark of a header's value; anything else is unknown.
+    /// Parses a header's value; a missing or other value is [`RanMark::Unknown`].
     pub fn of(text: Option<&str>) -> RanMark {
         match text {
             Some("no") => RanMark::No,
@@ -78,20 +79,20 @@
     }
 }
 
-/// An answer that is not the upstream's: what is wrong, where, and whether it ran.
+/// An error reply that the router itself gives, as opposed to one from the upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerError {
     /// The HTTP status.
     pub status: u16,
-    /// A stable code.
+    /// A stable error code.
     pub code: String,
-    /// The header or field to blame, if one is.
+    /// The header or field that caused the error, if any.
     pub field: Option<String>,
-    /// A sentence.
+    /// A description of the error for people.
     pub message: String,
     /// Whether the request ran.
     pub ran: RanMark,
-    /// When to come back, in milliseconds.
+    /// After how many milliseconds the caller should retry.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -108,25 +109,25 @@
         }
     }
 
-    /// The error with the field to blame.
+    /// Sets the header or field that caused the error.
     pub fn at(mut self, field: &str) -> CallerError {
         self.field = Some(field.to_string());
         self
     }
 
-    /// The error with a time to come back.
+    /// Sets the time after which the caller should retry, in milliseconds.
     pub fn after(mut self, retry_after_ms: u64) -> CallerError {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The error of a request that may have run.
+    /// Sets whether the request ran.
     pub fn with_ran(mut self, ran: RanMark) -> CallerError {
         self.ran = ran;
         self
     }
 
-    /// The error as a body.
+    /// The error as a JSON value.
     pub fn to_value(&self) -> Value {
         serde_json::json!({ "error": {
             "code": self.code, "field": self.field, "message": self.message,
@@ -134,7 +135,7 @@
         }})
     }
 
-    /// The error as a reply.
+    /// The error as an HTTP reply.
     pub fn to_reply(&self, request_id: &str) -> HttpReply {
         let reply = HttpReply::json(self.status, &self.to_value())
             .with(RAN_HEADER, self.ran.text())
@@ -146,63 +147,64 @@
     }
 }
 
-/// The place after which a caller wants a stream again.
+/// The position in a stream after which a caller wants it resumed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePlace {
-    /// The upstream's name.
+    /// The name of the upstream that sent the stream.
     pub upstream: String,
-    /// The last piece that the caller has.
+    /// The number of the last event that the caller received.
     pub last: u64,
 }
 
-/// A chat's body, as far as routing needs it.
+/// The properties of a chat's body that routing needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatFacts {
-    /// Whether the caller wants a stream.
+    /// Whether the caller asks for a stream.
     pub stream: bool,
-    /// The most output tokens, if it says.
+    /// The limit on output tokens, if the caller sets one.
     pub max_tokens: Option<u32>,
-    /// The prompt's size, about.
+    /// The approximate size of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// No answer is among its messages: the chat begins with it.
+    /// Whether the chat begins with this request, that is, no message in it is an answer.
     pub fresh: bool,
 }
 
-/// A caller's request, checked.
+/// A validated request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerRequest {
-    /// Whose it is.
+    /// The workspace of the caller.
     pub workspace: String,
     /// Its id within the workspace.
     pub request_id: String,
-    /// When it was issued, if the caller says; run-once requests must.
+    /// When the caller issued it, in milliseconds since 1970; required for run-once requests.
     pub issued_ms: Option<u64>,
-    /// Its chat; a request without one is its own.
+    /// The name of its chat; without one, the request is a chat of its own.
     pub chat: Option<String>,
-    /// The service asked for.
+    /// The requested service.
     pub service: String,
-    /// The caller asked for at most one run.
+    /// Whether the request must run at most once.
     pub run_once: bool,
-    /// How long the caller waits, from arrival, in milliseconds.
+    /// How long the caller waits, in milliseconds from the arrival of the request.
     pub deadline_ms: u64,
     /// Labels for the policy.
     pub labels: BTreeMap<String, String>,
     /// The method.
     pub method: String,
-    /// The path with its query.
+    /// The path with the query.
     pub target: String,
-    /// The body's type.
+    /// The content type of the body.
     pub content_type: Option<String>,
     /// The body.
     #[serde(with = "serde_bytes_vec")]
     pub body: Vec<u8>,
-    /// The chat's facts; `None` for a plain request.
+    /// The properties of a chat; `None` for a plain request.
     pub facts: Option<ChatFacts>,
-    /// Where to resume a stream.
+    /// The position at which to resume a stream.
     pub resume: Option<ResumePlace>,
 }
 
-/// Bodies travel as MessagePack binary: as sequences they would double in size.
+/// Encodes bodies as MessagePack binary; encoded as sequences of numbers they would be twice as
+/// large.
 mod serde_bytes_vec {
     use serde::de::{Deserializer, Visitor};
     use serde::ser::Serializer;
@@ -234,12 +236,13 @@
     }
 }
 
-/// The key that a caller shows, if it shows one.
+/// The API key in a call, if any.
 pub fn caller_key(call: &HttpCall) -> Option<&str> {
     call.header("authorization")?.strip_prefix("Bearer ").map(str::trim)
 }
 
-/// The id to echo, before the request is known to be good.
+/// The request id to echo in a reply to a request that has not been validated; `-` if it has no
+/// valid id.
 pub fn echo_id(call: &HttpCall) -> String {
     let id = call.header(REQUEST_ID_HEADER).unwrap_or("");
     match is_good_name(id) {
@@ -248,7 +251,8 @@
     }
 }
 
-/// Reads a caller's request; `fresh_id` names one that names itself not.
+/// Parses and validates a caller's request. `fresh_id` becomes the id of a request that has none;
+/// `wall_ms` is the current time in milliseconds since 1970.
 pub fn read_request(
     call: HttpCall,
     fresh_id: &str,
@@ -380,7 +384,8 @@
     Ok(labels)
 }
 
-/// An event's id names the upstream, so that any router can resume without shared state.
+/// The id of an event in a stream. It names the upstream, so that any router can resume the stream
+/// without shared state.
 pub fn event_id(upstream: &str, number: u64) -> String {
     format!("{number}@{upstream}")
 }
@@ -394,7 +399,7 @@
     place.map(Some).ok_or_else(|| bad("last-event-id", "This is not the id of one of our events."))
 }
 
-/// The whole answer of a chat that did not ask for a stream.
+/// The body of the answer to a chat request that did not ask for a stream.
 pub fn whole_answer(request_id: &str, model: &str, content: &str, finish: &str) -> Value {
     serde_json::json!({
         "id": request_id, "object": "chat.completion", "model": model,
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -1,5 +1,5 @@
-//! Messages between routers and keepers, and between keepers: MessagePack in sealed
-//! HTTP bodies, and in sealed datagrams for what recurs each quarter second.
+//! Messages between routers and keepers, and among keepers: MessagePack in sealed HTTP bodies, and
+//! in sealed datagrams for messages that recur every quarter of a second.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,102 +11,104 @@
 use crate::state::keeper_machine::ChangeRecord;
 use crate::state::roster::{RouterRoster, RouterSession};
 
-/// Leaving lives in one datagram, so that it fits; the rest follow as these grow old.
+/// The most leaving marks in one datagram, so that it stays within the size limit. The marks beyond
+/// it are sent once earlier ones have expired.
 pub const MARKS_PER_DATAGRAM: usize = 12;
-/// The path of raft messages.
+/// The HTTP path of Raft messages.
 pub const RAFT_PATH: &str = "/keeper/raft";
-/// The path of calls.
+/// The HTTP path of calls.
 pub const CALL_PATH: &str = "/keeper/call";
 
-/// What a router or keeper asks of a keeper.
+/// A call from a router or keeper to a keeper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum KeeperCall {
-    /// Who are you?
+    /// Asks for the keeper's identity.
     Identity,
-    /// Begin a session.
+    /// Begins a session of a router.
     Join(RouterId, RouterSession),
-    /// End it; the router drains.
+    /// Ends a session, since the router drains.
     Leave(RouterId, Incarnation),
-    /// What came after this version?
+    /// Asks for the changes after this version.
     Changes(u64),
-    /// The roster.
+    /// Asks for the roster.
     Roster,
-    /// Claims, and ends of claims.
+    /// Submits claims and the outcomes of claims.
     Claims(Vec<ClaimRequest>, Vec<ClaimReport>),
 }
 
-/// The answer.
+/// The answer to a [`KeeperCall`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum KeeperReply {
-    /// To [`KeeperCall::Identity`].
+    /// Answers [`KeeperCall::Identity`].
     Identity(KeeperIdentity),
-    /// Done.
+    /// The call was carried out.
     Done,
     /// The changes after a version, in order.
     Changes(Vec<ChangeRecord>),
-    /// The whole configuration, when the changes are no longer kept one by one.
+    /// The whole configuration, sent when the changes after the version are no longer kept.
     Whole {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// Its document.
+        /// The document of the configuration.
         document: String,
     },
     /// The roster.
     Roster(RouterRoster),
-    /// Answers to the claims, in order.
+    /// The answers to the claims, in the order of the claims.
     Claims(Vec<ClaimAnswer>),
-    /// Ask this keeper instead, if one is known to lead.
+    /// This keeper isn't the leader; names the leader if it is known.
     NotLeader(Option<KeeperId>),
-    /// Leads, but cannot vouch for it now; nothing was done, or it may yet be done.
+    /// This keeper is the leader but can't confirm its leadership at the moment. The call was not
+    /// carried out, or may still be.
     Unsure,
 }
 
-/// Who a keeper is.
+/// The identity of a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperIdentity {
     /// Its number.
     pub id: KeeperId,
-    /// The life of its disk.
+    /// The incarnation of its disk.
     pub incarnation: Incarnation,
-    /// Its disk has never been part of a group.
+    /// Whether its disk has never been part of a group.
     pub blank: bool,
-    /// The lives that its group knows.
+    /// The incarnations of the members of its group.
     pub members: std::collections::BTreeMap<KeeperId, Incarnation>,
 }
 
-/// A datagram.
+/// A message that is sent as a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// A router renews its lease and reports its load.
     Renew(LeaseRenewal),
-    /// The leading keeper grants it, and sends the load elsewhere.
+    /// The leading keeper grants the lease and reports the load of the other routers.
     Grant(LeaseGrant),
-    /// The leading keeper publishes that something newer is in force.
+    /// The leading keeper announces a newer version or epoch.
     Notice {
-        /// The version in force.
+        /// The current version of the configuration.
         version: u64,
         /// The roster's epoch.
         epoch: u64,
     },
-    /// A short message between keepers; long ones go by HTTP.
+    /// A short message between keepers; long ones are sent by HTTP.
     Raft(RaftMessage),
-    /// A few claims and ends of claims; many go by HTTP.
+    /// A few claims and outcomes of claims; larger batches are sent by HTTP.
     Claims {
-        /// Echoed by the answer; the same batch sent again has the same number.
+        /// Echoed by the answer; a batch that is sent again has the same number.
         number: u64,
         /// The claims.
         claims: Vec<ClaimRequest>,
-        /// The ends.
+        /// The outcomes.
         reports: Vec<ClaimReport>,
     },
-    /// The answer, once committed; `None` from a keeper that cannot take it.
+    /// The answer to [`Datagram::Claims`], sent once the claims are committed.
     ClaimAnswers {
-        /// Echoed.
+        /// The number of the batch.
         number: u64,
-        /// In the order of the claims.
+        /// The answers in the order of the claims; `None` from a keeper that can't accept claims.
         answers: Option<Vec<ClaimAnswer>>,
     },
-    /// A router reports to a chat's home where the chat went.
+    /// A router reports to a chat's home router the engine that holds the chat.
     Chats(Vec<ChatNote>),
     /// Routers report their load to each other while no keeper leads.
     Sums {
@@ -114,59 +116,59 @@
         router: RouterId,
         /// Its load.
         rows: Vec<LoadRow>,
-        /// Leaving lives that it knows.
+        /// Incarnations that the sender knows to be leaving.
         marks: Vec<LeavingMark>,
     },
 }
 
-/// See [`Datagram::Chats`].
+/// The engine that holds a chat; see [`Datagram::Chats`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatNote {
     /// The chat.
     pub chat: ChatKey,
     /// The engine that holds it now.
     pub engine: UpstreamKey,
-    /// The engine's life.
+    /// The incarnation of the engine.
     pub life: Incarnation,
-    /// The tokens held.
+    /// The number of tokens that the engine holds of the chat.
     pub tokens: u32,
 }
 
-/// See [`Datagram::Renew`].
+/// A renewal of a router's lease; see [`Datagram::Renew`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRenewal {
-    /// Who renews.
+    /// The router that renews its lease.
     pub router: RouterId,
-    /// Its life.
+    /// The incarnation of the router.
     pub incarnation: Incarnation,
-    /// The router's clock at sending, echoed.
+    /// The time of the router's clock at sending, which the answer echoes.
     pub sent_ms: u64,
-    /// The version that it has applied.
+    /// The version of the configuration that the router has applied.
     pub version: u64,
-    /// The epoch that it has applied.
+    /// The epoch of the roster that the router has applied.
     pub epoch: u64,
     /// Its load.
     pub rows: Vec<LoadRow>,
-    /// Leaving lives that it learned of lately.
+    /// Incarnations that the router recently learned to be leaving.
     pub marks: Vec<LeavingMark>,
 }
 
-/// See [`Datagram::Grant`].
+/// The answer to a renewal; see [`Datagram::Grant`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Echoed.
+    /// The time in the renewal.
     pub sent_ms: u64,
-    /// The session is known; else the router must join again.
+    /// Whether the session is known; if not, the router has to join again.
     pub known: bool,
-    /// The version in force.
+    /// The current version of the configuration.
     pub version: u64,
-    /// The roster's epoch.
+    /// The current epoch of the roster.
     pub epoch: u64,
-    /// The epoch that every router with a lease has seen.
+    /// The epoch that every router with a lease has applied.
     pub settled_epoch: u64,
     /// The load of all other routers.
     pub rows: Vec<LoadRow>,
-    /// Leaving lives that were published lately.
+    /// Incarnations that were recently published as leaving.
     pub marks: Vec<LeavingMark>,
 }
 
@@ -175,7 +177,7 @@
     rmp_serde::to_vec(message).expect("plain data always encodes")
 }
 
-/// Decodes a message; the text says what is wrong.
+/// Decodes a message; the error text says what is wrong.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, String> {
     rmp_serde::from_slice(bytes).map_err(|error| error.to_string())
 }
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -1,5 +1,5 @@
-//! What VMs of the fleet say to each other: frames over TCP, and datagrams for what
-//! recurs. A VM is named by its IPv4 address; the peer port is the same on each.
+//! Messages between the VMs of a fleet: frames over TCP, and datagrams for messages that recur. A
+//! VM is identified by its IPv4 address; the peer port is the same on each.
 
 use std::net::Ipv4Addr;
 
@@ -22,16 +22,17 @@
 use crate::state::upstream_list::{ListMark, ListStep, UpstreamEntry};
 use crate::state::zone_order::{ZoneOrder, ZoneOrders};
 
-/// The largest frame, in bytes: a document of the largest size and its frame.
+/// The largest frame, in bytes. It has to hold a document of the largest size; a longer frame is
+/// refused, which bounds the memory that a peer can claim.
 pub const LARGEST_FRAME: usize = 16 << 20;
-/// The bytes of a frame's head: length of the body, sender.
+/// The size of a frame's head, in bytes: the length of the body and the sender.
 pub const FRAME_HEAD: usize = 8;
-/// A body longer than this is packed, in bytes; what is shorter gains too little.
+/// A body longer than this is compressed, in bytes; compression saves too little on a shorter one.
 const PACKED_FROM: usize = 512;
-/// Set in the length of a frame whose body is packed.
+/// The bit that is set in the length of a frame whose body is compressed.
 const PACKED_FLAG: u32 = 1 << 31;
 
-/// A VM by its address.
+/// Identifies a VM by its IPv4 address.
 pub type VmId = u32;
 
 /// The address of a VM.
@@ -39,14 +40,14 @@
     Ipv4Addr::from(id)
 }
 
-/// What an operator asks for, as the VM that was asked passes it on.
+/// An operator's order, as the VM that received it forwards it to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetOrder {
-    /// Empty a zone, or take it back.
+    /// Evacuates a zone or returns it to service.
     Zone(ZoneOrder),
-    /// Move a service's traffic to another version.
+    /// Moves a service's traffic to another version.
     Rollout(RolloutWish),
-    /// Roll a roll-out back that runs.
+    /// Rolls back a roll-out that is in progress.
     RollBack {
         /// The service's name.
         service: String,
@@ -55,80 +56,80 @@
     },
 }
 
-/// A roll-out that an operator asks for. The leader numbers it, and counts the VMs.
+/// An operator's request for a roll-out. The leader adds the order's number and the number of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutWish {
     /// The service's name.
     pub service: String,
-    /// The name of the version that the traffic is to be moved to.
+    /// The name of the version that the traffic moves to.
     pub target: String,
-    /// How long it may take, in milliseconds.
+    /// How long the roll-out may take, in milliseconds.
     pub duration_ms: u64,
-    /// The number of the service's last order, as far as the VM that was asked knows: a wish that was
-    /// on its way while another one was taken changes nothing.
+    /// The number of the service's last order as known to the VM that received the request. A
+    /// request sent while another one was accepted has an outdated number and changes nothing.
     pub after: u64,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderEnd {
-    /// It is committed, or was before.
+    /// The order is committed.
     Taken,
-    /// It isn't, as far as is known; it may be asked for again.
+    /// The order is not known to be committed; it may be sent again.
     #[default]
     NotTaken,
-    /// It can't be taken while another one runs.
+    /// The order can't be accepted while another one is in progress.
     UnderWay,
 }
 
-/// What the leader answers to an order.
+/// The leader's answer to an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderVerdict {
-    /// What became of it.
+    /// The outcome of the order.
     pub end: OrderEnd,
-    /// The last orders of zones, as the answering VM holds them.
+    /// The last orders of zones, as held by the answering VM.
     pub zones: ZoneOrders,
-    /// The last roll-outs, likewise.
+    /// The last roll-outs, as held by the answering VM.
     pub rollouts: RolloutTable,
 }
 
-/// What travels over a link.
+/// A message that is sent in a frame over a TCP link.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum VmMessage {
-    /// Between keepers.
+    /// A Raft message between keepers.
     Raft(RaftMessage),
-    /// To the leader: replicate this document.
+    /// Asks the leader to replicate a document.
     Put {
-        /// The asker's number for it.
+        /// The sender's number for the request.
         number: u64,
         /// The document as the operator sent it.
         document: PackedText,
         /// Its version.
         version: u64,
     },
-    /// The answer.
+    /// Answers [`VmMessage::Put`].
     PutReply {
-        /// The asker's number.
+        /// The number of the request.
         number: u64,
-        /// Whether a document of this version or a higher one is committed; `false` when
-        /// that isn't known.
+        /// Whether a document of this version or a higher one is committed; `false` also when that
+        /// is unknown.
         committed: bool,
     },
-    /// To the leader: take this order of an operator.
+    /// Asks the leader to commit an operator's order.
     Order {
-        /// The asker's number for the question.
+        /// The sender's number for the request.
         question: u64,
         /// The order.
         order: FleetOrder,
     },
-    /// The answer.
+    /// Answers [`VmMessage::Order`].
     OrderReply {
-        /// The asker's number.
+        /// The number of the request.
         question: u64,
-        /// What became of the order, and what holds.
+        /// The outcome of the order, and the orders that hold.
         verdict: OrderVerdict,
     },
-    /// To a keeper: the newest document that you know to be committed, please.
+    /// Asks a keeper for the newest document that it knows to be committed.
     WantDocument,
     /// The newest document.
     Document {
@@ -137,25 +138,25 @@
         /// The document as the operator sent it.
         document: PackedText,
     },
-    /// The newest document, encoded against an earlier one.
+    /// The newest document, encoded as a difference from an earlier one.
     DocumentChange {
         /// The version of the earlier one.
         before: u64,
-        /// The version.
+        /// The version of the newest document.
         version: u64,
-        /// What is new.
+        /// The difference.
         change: DocumentChange,
     },
-    /// The list of upstreams, please, once you hold a newer state of it.
+    /// Asks for the list of upstreams once the receiver holds a newer revision of it.
     WantList {
-        /// The state that the asker holds.
+        /// The revision that the sender holds.
         have: ListMark,
     },
-    /// What is new in the list of upstreams.
+    /// The changes of the list of upstreams.
     ListStep(ListStep),
-    /// The list of upstreams.
+    /// The whole list of upstreams.
     List {
-        /// Which state of the list it is.
+        /// The revision of the list.
         mark: ListMark,
         /// The rows.
         rows: Vec<UpstreamEntry>,
@@ -163,7 +164,7 @@
 }
 
 impl VmMessage {
-    /// The kind's name in figures.
+    /// The name of the message's kind in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             VmMessage::Raft(_) => "raft",
@@ -179,56 +180,57 @@
     }
 }
 
-/// What travels as a datagram.
+/// A message that is sent as a datagram.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum VmDatagram {
-    /// To the leader, a few times a second.
+    /// Renews the sender's contact with the leader, a few times per second.
     Renew(RenewalNote),
-    /// The leader's answer.
+    /// The leader's answer to a renewal.
     Grant(GrantNote),
-    /// The answer of a VM that doesn't lead.
+    /// The answer of a VM that isn't the leader.
     Elsewhere {
-        /// The leader, as far as it knows.
+        /// The leader, as far as the sender knows.
         leader: Option<VmId>,
-        /// The keepers that it knows.
+        /// The keepers that the sender knows.
         keepers: Vec<VmId>,
-        /// How many VMs it knows, so that who asks keeps a pace that all of them can keep.
+        /// The number of VMs that the sender knows, from which the receiver computes a request rate
+        /// that is sustainable when all of them send requests.
         vms: u32,
     },
-    /// A new leader, to all that it knows.
+    /// Announces a new leader to all VMs that it knows.
     Leads {
-        /// Its term.
+        /// The leader's term.
         term: u64,
     },
-    /// The leader publishes which upstreams are dark; see `silence`.
+    /// The leader publishes the unresponsive upstreams; see `silence`.
     Dark {
-        /// Its term.
+        /// The leader's term.
         term: u64,
-        /// All of them.
+        /// All unresponsive upstreams.
         upstreams: Vec<UpstreamKey>,
     },
-    /// The leader reports that a roll-out began or went a step on.
+    /// The leader publishes that a roll-out began or advanced by a step.
     Rollouts {
-        /// Its term.
+        /// The leader's term.
         term: u64,
-        /// All of them.
+        /// The last roll-outs of all services.
         table: RolloutTable,
     },
-    /// The leader publishes which requests are sent nowhere, or watched.
+    /// The leader publishes the requests that are quarantined or watched.
     Quarantine {
-        /// Its term.
+        /// The leader's term.
         term: u64,
-        /// All of them.
+        /// All records of the quarantine.
         table: QuarantineTable,
     },
-    /// To any VM: what do you know that I don't?
+    /// Asks any VM for state that is newer than the sender's.
     AskNews(NewsAsk),
-    /// Its answer, at once or when it knows more.
+    /// Answers [`VmDatagram::AskNews`], at once or when newer state is available.
     PeerNews(PeerNote),
 }
 
 impl VmDatagram {
-    /// The kind's name in figures.
+    /// The name of the datagram's kind in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             VmDatagram::Renew(_) => "renewal",
@@ -243,110 +245,116 @@
     }
 }
 
-/// What a VM without news for too long asks others.
+/// What a VM sends to other VMs when its state has not been confirmed for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewsAsk {
-    /// The sender's steady clock, echoed by the answer.
+    /// The time of the sender's steady clock, which the answer echoes.
     pub sent_ms: u64,
-    /// The state of the list of upstreams that it holds.
+    /// The revision of the list of upstreams that the sender holds.
     pub list: ListMark,
-    /// How long ago that was surely the platform's, in milliseconds; `u32::MAX` when unknown.
+    /// How long ago that revision was last confirmed to be the platform's, in milliseconds;
+    /// `u32::MAX` when unknown.
     pub list_age_ms: u32,
-    /// How long ago its configuration was surely the newest, likewise.
+    /// How long ago the sender's configuration was last confirmed to be the newest, in
+    /// milliseconds; `u32::MAX` when unknown.
     pub version_age_ms: u32,
 }
 
-/// What a VM knows, as of the question that it answers. The ages are those at which the
-/// question came, so that together with its time they prove something at the asker.
+/// The state of a VM at the time it received the request that it answers. Its ages are as of that
+/// time, so that the receiver can add them to the time of its own request to obtain a confirmed
+/// time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerNote {
-    /// The question's own time.
+    /// The time in the request.
     pub sent_ms: u64,
-    /// The state of the list of upstreams.
+    /// The revision of the list of upstreams that the sender holds.
     pub list: ListMark,
-    /// How long ago that was surely the platform's, in milliseconds; `u32::MAX` when unknown.
+    /// How long ago that revision was last confirmed to be the platform's, in milliseconds;
+    /// `u32::MAX` when unknown.
     pub list_age_ms: u32,
     /// The version of the configuration in force.
     pub version: u64,
-    /// How long ago that was surely the newest, in milliseconds; `u32::MAX` when unknown.
+    /// How long ago that version was last confirmed to be the newest, in milliseconds; `u32::MAX`
+    /// when unknown.
     pub version_age_ms: u32,
 }
 
-/// What a VM reports with each renewal.
+/// The report that a VM sends to the leader with each renewal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RenewalNote {
-    /// The sender's steady clock, echoed by the answer.
+    /// The time of the sender's steady clock, which the answer echoes.
     pub sent_ms: u64,
-    /// What others should know of the sender.
+    /// The sender's row of the roster.
     pub row: RosterRow,
-    /// The life of its disk, when it is a keeper.
+    /// The incarnation of the sender's keeper disk, if it is a keeper.
     pub keeper: Option<Incarnation>,
-    /// What it has in flight.
+    /// The requests that the sender has in flight, by upstream.
     pub loads: Vec<UpstreamLoad>,
-    /// The state of the roster that it holds.
+    /// The revision of the roster that the sender holds.
     pub roster: RosterMark,
-    /// The state of the list of upstreams that it holds.
+    /// The revision of the list of upstreams that the sender holds.
     pub list: ListMark,
-    /// Where it sent parts against the order.
+    /// Shared prompt parts that the sender sent to another engine than rendezvous order gives.
     pub holders: Vec<HolderNote>,
-    /// What it has heard of others' such notes.
+    /// The position up to which the sender has received such notes of other VMs.
     pub holders_heard: HolderMark,
-    /// How its sends went.
+    /// The results of the sender's requests to upstreams.
     pub health_reports: Vec<HealthReport>,
-    /// How many orders of zones it knows of.
+    /// The number of zone orders that the sender has.
     pub zone_orders: u64,
-    /// Upstreams that it could not reach.
+    /// Upstreams that the sender could not reach.
     pub doubts: Vec<UpstreamKey>,
-    /// Names the dark upstreams that it received last; see `silence`.
+    /// Identifies the set of unresponsive upstreams that the sender received last; see `silence`.
     pub dark: DarkMark,
-    /// How many changes of roll-outs it knows of.
+    /// The number of roll-out changes that the sender has.
     pub rollout_changes: u64,
-    /// This life of its process; a later one has another number.
+    /// The incarnation of the sender's process.
     pub life: u64,
-    /// What it reports of roll-outs that run.
+    /// The sender's observations of roll-outs in progress.
     pub rollouts: Vec<RolloutNote>,
-    /// How many changes it knows of requests that end upstreams.
+    /// The number of quarantine changes that the sender has.
     pub quarantine_changes: u64,
-    /// Upstreams that ended under requests.
+    /// Upstreams that ended while they ran a request.
     pub crashes: CrashReport,
 }
 
-/// What the leader answers, while it surely leads.
+/// The leader's answer to a renewal, sent only while its leadership is confirmed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GrantNote {
-    /// The renewal's own time.
+    /// The time in the renewal.
     pub sent_ms: u64,
     /// The leader's term.
     pub term: u64,
     /// The newest committed version; 0 for none.
     pub version: u64,
-    /// The state of the list of upstreams.
+    /// The revision of the list of upstreams.
     pub list: ListMark,
-    /// How long ago the leader read that state, or saw that it still is the platform's, in
+    /// How long ago the leader read that revision or confirmed that it still is the platform's, in
     /// milliseconds.
     pub list_age_ms: u32,
     /// The keepers.
     pub keepers: Vec<VmId>,
-    /// What is new in the roster. A leader sends it once it has led long enough to have heard
-    /// every VM, and before that only to those that know none.
+    /// The update of the roster. A leader sends it once it has led long enough to have received a
+    /// renewal from every VM, and before that only to VMs that have no roster.
     pub roster: RosterNews,
-    /// What all VMs have in flight, summed.
+    /// The requests that all VMs together have in flight, by upstream.
     pub loads: LoadNews,
-    /// What others reported of where parts are kept.
+    /// Notes of other VMs on the engines that hold shared prompt parts.
     pub holders: Vec<HolderNote>,
-    /// What was heard of that with this answer.
+    /// The position in these notes that the receiver has reached with this answer.
     pub holders_heard: HolderMark,
-    /// Upstreams that fail all VMs that send to them.
+    /// Upstreams that fail for all VMs that send to them.
     pub failing: Vec<UpstreamKey>,
-    /// The last orders of zones, unless the asker knows of as many.
+    /// The last orders of zones, or `None` if the renewal reported as many.
     pub zones: Option<ZoneOrders>,
-    /// Upstreams that are dark, unless the asker received the same.
+    /// The unresponsive upstreams, or `None` if the renewal named the same set.
     pub dark: Option<Vec<UpstreamKey>>,
-    /// The last roll-outs, unless the asker knows of as many changes.
+    /// The last roll-outs, or `None` if the renewal reported as many changes.
     pub rollouts: Option<RolloutTable>,
-    /// Requests that end upstreams, unless the asker knows of as many changes.
+    /// The records of requests that end upstreams, or `None` if the renewal reported as many
+    /// changes.
     pub quarantine: Option<QuarantineTable>,
-    /// The number of the last crash in the renewal.
+    /// The number of the last crash in the renewal that is answered.
     pub crashes_heard: u64,
 }
 
@@ -360,18 +368,19 @@
     rmp_serde::from_slice(bytes).map_err(|error| error.to_string())
 }
 
-/// What a frame's head holds.
+/// The decoded head of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHead {
-    /// Bytes of the body.
+    /// The size of the body, in bytes.
     pub length: usize,
-    /// Whether the body is packed.
+    /// Whether the body is compressed.
     pub packed: bool,
     /// The sender.
     pub from: VmId,
 }
 
-/// A frame: its length, its sender, the message; packed where that is shorter.
+/// Encodes a frame: length, sender and message. The message is compressed where that makes it
+/// shorter.
 pub fn encode_frame(from: VmId, message: &VmMessage) -> Bytes {
     let plain = encode(message);
     let packed = (plain.len() > PACKED_FROM).then(|| PackedText::pack(&plain).into_bytes());
@@ -385,7 +394,7 @@
     frame.into()
 }
 
-/// Reads a frame's head; an error when it can't be one.
+/// Decodes a frame's head; returns an error if the length is out of bounds.
 pub fn decode_frame_head(head: [u8; FRAME_HEAD]) -> Result<FrameHead, String> {
     let mark = u32::from_le_bytes([head[0], head[1], head[2], head[3]]);
     let from = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
@@ -396,7 +405,7 @@
     }
 }
 
-/// Reads a frame's body.
+/// Decodes a frame's body, decompressing it if necessary.
 pub fn decode_frame_body(head: FrameHead, body: Vec<u8>) -> Result<VmMessage, String> {
     match head.packed {
         false => decode(&body),
--- a/lib/src/state/claim_table.rs
+++ b/lib/src/state/claim_table.rs
@@ -1,10 +1,9 @@
-//! Run-once claims: who may dispatch a request that must run at most once.
+//! Run-once claims, which decide the router that may dispatch a request that must run at most once.
 //!
-//! The table is part of the replicated state, so its times come from the log and
-//! never from a clock. A claim is kept for [`CLAIM_KEEP_MS`] after the request's
-//! issue time; a request issued earlier than that is refused as not run, so
-//! forgetting a claim can never let its request run again.
-//! See `docs/design/claims.md`.
+//! The table is part of the replicated state, so that its times come from the log and never from a
+//! clock. A claim is kept for [`CLAIM_KEEP_MS`] after the request's issue time. A request issued
+//! earlier than that is refused as not run, so that removing a claim can never let its request run
+//! again. See `docs/design/claims.md`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,13 +12,14 @@
 
 use super::ids::{Incarnation, RouterId};
 
-/// How long after its issue time a claim is kept, in milliseconds.
+/// How long a claim is kept after the issue time of its request, in milliseconds.
 pub const CLAIM_KEEP_MS: u64 = 6 * 3600 * 1000;
-/// How far ahead of the keepers' clock a caller's issue time may be, in milliseconds.
+/// How far a caller's issue time may be ahead of the keepers' clock, in milliseconds.
 pub const ISSUE_AHEAD_MS: u64 = 60_000;
+/// The width of a bucket of issue times, in milliseconds; claims expire by whole buckets.
 const BUCKET_MS: u64 = 60_000;
 
-/// The hash of a workspace and a request id.
+/// Identifies a run-once request by the hash of its workspace and request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey(pub u128);
 
@@ -30,81 +30,82 @@
     }
 }
 
-/// A router's wish to dispatch a run-once request.
+/// A router's request for permission to dispatch a run-once request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// What is claimed.
+    /// The request that is claimed.
     pub key: ClaimKey,
     /// The router that will dispatch.
     pub holder: RouterId,
-    /// That router's life.
+    /// The incarnation of that router.
     pub incarnation: Incarnation,
-    /// Unique for each attempt of that life; a resent claim has the same number.
+    /// Unique among the attempts of that incarnation; a resent claim has the same number.
     pub attempt: u64,
     /// When the caller issued the request, in milliseconds since 1970.
     pub issued_ms: u64,
 }
 
-/// How far a claimed request has come.
+/// The progress of a claimed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// Its holder may be running it.
+    /// The holder may be running it.
     Running,
-    /// It ran to its end.
+    /// It ran to completion.
     Done,
-    /// Its holder died or lost sight of it; it may have run.
+    /// The holder was lost, or reported that it can't determine the outcome; the request may have
+    /// run.
     Unknown,
 }
 
-/// What becomes of a claim that was granted.
+/// The outcome of a granted claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimEnd {
     /// No byte was sent: the claim is removed, and the caller may try again.
     NotDispatched,
-    /// The answer was whole.
+    /// The whole answer was received.
     Done,
-    /// Bytes were sent and no whole answer came.
+    /// Bytes were sent, but no whole answer was received.
     Unknown,
 }
 
-/// Reports the end of a claim.
+/// Reports the outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimReport {
-    /// What was claimed.
+    /// The request that was claimed.
     pub key: ClaimKey,
-    /// The attempt that held it.
+    /// The attempt that held the claim.
     pub attempt: u64,
-    /// That attempt's router.
+    /// The router of that attempt.
     pub holder: RouterId,
-    /// What became of it.
+    /// The outcome.
     pub end: ClaimEnd,
 }
 
 /// The answer to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The asker holds the claim and may dispatch once.
+    /// The router holds the claim and may dispatch the request once.
     Granted,
-    /// Someone else holds or held it.
+    /// Another attempt holds or held the claim.
     Taken(ClaimState),
-    /// Issued before the oldest claim kept: refused as not run.
+    /// The request was issued before the oldest claim that is kept, and is refused as not run.
     TooOld,
-    /// Issued in the future: refused as not run.
+    /// The request was issued in the future, and is refused as not run.
     TooNew,
 }
 
-/// A claim as it is kept.
+/// A claim in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// The router that may dispatch.
     pub holder: RouterId,
-    /// That router's life.
+    /// The incarnation of that router.
     pub incarnation: Incarnation,
-    /// The attempt that holds it.
+    /// The attempt that holds the claim.
     pub attempt: u64,
     /// The request's issue time.
     pub issued_ms: u64,
-    /// How far it has come.
+    /// The progress of the request.
     pub state: ClaimState,
 }
 
@@ -145,7 +146,7 @@
         ClaimAnswer::Granted
     }
 
-    /// Notes the end of a claim. A report by any but the holding attempt changes nothing.
+    /// Records the outcome of a claim. A report by another attempt than the holder has no effect.
     pub fn report(&mut self, report: ClaimReport) {
         let Some(record) = self.claims.get_mut(&report.key) else { return };
         if record.attempt != report.attempt || record.holder != report.holder {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Marks what a lost life of a router was running as unknown.
+    /// Sets the running claims of a lost incarnation of a router to unknown.
     pub fn lose_holder(&mut self, holder: RouterId, incarnation: Incarnation) {
         for record in self.claims.values_mut() {
             let lost = record.holder == holder && record.incarnation == incarnation;
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Forgets claims too old to be kept at the log's time `now_ms`.
+    /// Removes the claims that have expired at the log's time `now_ms`.
     pub fn expire(&mut self, now_ms: u64) {
         let oldest = now_ms.saturating_sub(CLAIM_KEEP_MS) / BUCKET_MS * BUCKET_MS;
         if oldest <= self.oldest_ms {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// How many claims are kept.
+    /// The number of claims that are kept.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -204,15 +205,15 @@
         self.claims.get(&key)
     }
 
-    /// All claims with the oldest issue time kept, for a snapshot; ordered, so that equal
-    /// tables give equal bytes.
+    /// The oldest issue time kept and all claims, for a snapshot. They are ordered, so that equal
+    /// tables have equal bytes.
     pub fn records(&self) -> (u64, Vec<(ClaimKey, ClaimRecord)>) {
         let mut records: Vec<_> = self.claims.iter().map(|(key, record)| (*key, *record)).collect();
         records.sort_by_key(|(key, _)| *key);
         (self.oldest_ms, records)
     }
 
-    /// The table of a snapshot.
+    /// The table that a snapshot was taken of.
     pub fn from_records(oldest_ms: u64, records: Vec<(ClaimKey, ClaimRecord)>) -> ClaimTable {
         let mut table = ClaimTable { oldest_ms, ..ClaimTable::default() };
         for (key, record) in records {
--- a/lib/src/state/fleet_record.rs
+++ b/lib/src/state/fleet_record.rs
@@ -1,11 +1,11 @@
-//! The keepers' state machine: the newest document, byte for byte as it was sent, the last
-//! order of each availability zone, the last roll-out of each service, requests that end upstreams,
-//! and who holds which seat.
+//! The keepers' state machine: the newest document, byte for byte as it was sent, the last order of
+//! each availability zone, the last roll-out of each service, requests that end upstreams, and the
+//! assignment of ring slots.
 //!
-//! The highest version holds. A document whose version is not above the held one
-//! changes nothing, so that a change which comes twice, or late, does no harm. Orders of zones
-//! and roll-outs are numbered for the same reason; see [`ZoneOrders`] and [`RolloutTable`]. Seats
-//! are recorded whole with each change, so that the last one recorded holds.
+//! The highest version holds. A document whose version is not above the current one changes
+//! nothing, so that a change that arrives twice or late has no effect. Orders of zones and
+//! roll-outs are numbered for the same reason; see [`ZoneOrders`] and [`RolloutTable`]. Ring slots
+//! are recorded as a whole with each change, so that the last record holds.
 
 use std::net::SocketAddr;
 
@@ -17,71 +17,72 @@
 use super::rollout_order::{RolloutCommand, RolloutTable};
 use super::zone_order::{ZoneOrder, ZoneOrders};
 
-/// Who holds, or last held, a seat: a place in the order of engines.
+/// The incarnation that holds, or last held, a ring slot, which is a position in the rendezvous
+/// order of engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeatRow {
-    /// The seat.
+    /// The ring slot.
     pub seat: u64,
-    /// The service that it belongs to.
+    /// The service that the slot belongs to.
     pub service: String,
-    /// Where its holder listens.
+    /// The address on which the holder listens.
     pub address: SocketAddr,
-    /// The life that holds it.
+    /// The incarnation that holds the slot.
     pub holder: UpstreamKey,
 }
 
 /// A document and its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldDocument {
-    /// The version; 0 for none.
+    /// The version; 0 if there is no document.
     pub version: u64,
-    /// The document, packed.
+    /// The compressed document.
     pub text: PackedText,
 }
 
-/// What a command of the replicated log asks.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetCommand {
-    /// Hold this document, if it is newer.
+    /// Replaces the document if this one is newer.
     Document(HeldDocument),
-    /// These are the seats.
+    /// Replaces the ring slots.
     Seats(Vec<SeatRow>),
-    /// Empty a zone, or take it back.
+    /// Evacuates a zone or returns it to service.
     Zone(ZoneOrder),
-    /// Begin a roll-out, or take it a step on.
+    /// Begins a roll-out or advances it by a step.
     Rollout(RolloutCommand),
-    /// What is known against a request.
+    /// Changes the records of requests that end upstreams.
     Quarantine(QuarantineCommand),
 }
 
-/// What a command changed.
+/// The effect of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordChange {
-    /// The document is another.
+    /// The document was replaced.
     Document,
-    /// A roll-out began or went a step on.
+    /// A roll-out began or advanced by a step.
     Rollout,
-    /// What is known against a request is something else.
+    /// The records of requests that end upstreams changed.
     Quarantine,
-    /// Something else, or nothing that wasn't so before.
+    /// Something else changed, or the command set what was already set.
     Other,
-    /// The command changed nothing, since another one was taken first.
+    /// The command changed nothing, since another command with its number was applied first.
     Overtaken,
 }
 
 impl FleetCommand {
-    /// The command as bytes of the log.
+    /// The command, encoded for the log.
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).expect("plain data always encodes")
     }
 }
 
-/// Everything that the keepers hold.
+/// The replicated state of the keepers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetRecord {
     /// The newest document.
     pub document: HeldDocument,
-    /// The seats.
+    /// The ring slots.
     pub seats: Vec<SeatRow>,
     /// The last order of each zone.
     #[serde(default)]
@@ -95,7 +96,7 @@
 }
 
 impl FleetRecord {
-    /// Applies a command. Bytes that are no command are an error, which the caller logs.
+    /// Applies a command. Returns an error, which the caller logs, if the bytes can't be decoded.
     pub fn apply(&mut self, command: &[u8]) -> Result<RecordChange, String> {
         let command = rmp_serde::from_slice(command).map_err(|error| error.to_string())?;
         match command {
@@ -122,13 +123,13 @@
         }
     }
 
-    /// The image for a snapshot.
+    /// The state, encoded for a snapshot.
     pub fn image(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).expect("plain data always encodes")
     }
 
-    /// Takes the state of an image; true when the document changed. An image never takes a
-    /// document back.
+    /// Takes over the state of a snapshot; returns whether the document changed. A document is
+    /// never replaced by an older one.
     pub fn restore(&mut self, image: &[u8]) -> Result<bool, String> {
         let record: FleetRecord =
             rmp_serde::from_slice(image).map_err(|error| error.to_string())?;
--- a/lib/src/state/keeper_machine.rs
+++ b/lib/src/state/keeper_machine.rs
@@ -1,7 +1,7 @@
-//! The replicated state machine of the keepers: configuration, roster, claims, orders.
+//! The replicated state machine of the keepers: configuration, roster, claims and orders.
 //!
-//! It is deterministic: equal commands in equal order give equal state on every
-//! keeper. Times are stamped by the leader into the command and never fall.
+//! It is deterministic: the same commands in the same order give the same state on every keeper.
+//! The leader puts the time into each command, and the time of the state machine never decreases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,85 +17,86 @@
 use super::ids::{Incarnation, RouterId};
 use super::roster::{RouterRoster, RouterSession};
 
-/// How long the answer to a change is kept for resends, in milliseconds.
+/// How long the answer to a change is kept for resends of the change, in milliseconds.
 pub const ANSWER_KEEP_MS: u64 = 7 * 24 * 3600 * 1000;
-/// How many changes routers may fetch one by one before they need the whole.
+/// How many of the last changes are kept. A router that lags by more has to fetch the whole
+/// configuration.
 pub const RECENT_CHANGES: usize = 1000;
 
-/// A submitted change.
+/// A change of the configuration that an operator submits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// Chosen by the submitter; a resend has the same.
+    /// Chosen by the submitter; a resend has the same id.
     pub id: String,
-    /// The version that it builds on.
+    /// The version that the change is based on.
     pub base: u64,
-    /// Who submits it.
+    /// The operator that submits it.
     pub operator: String,
-    /// What it does.
+    /// The operations on entries of the configuration.
     pub operations: Vec<EntryOperation>,
 }
 
-/// The answer to a change; a resend of the same id gets the first again.
+/// The answer to a change; a resend with the same id gets the first answer again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeAnswer {
-    /// In force from this version on.
+    /// The change was applied.
     Accepted {
         /// The version that the change made.
         version: u64,
     },
-    /// Another change won.
+    /// Another change was applied to the base version first.
     Conflict {
-        /// The version in force.
+        /// The current version.
         current: u64,
-        /// The id of the change that made the version after the base.
+        /// The id of the change that created the version after the base.
         winner: String,
-        /// Its operator.
+        /// The operator that submitted that change.
         winner_operator: String,
     },
     /// The result would not be a valid configuration.
     Invalid {
-        /// All that is wrong.
+        /// All faults of the resulting configuration.
         findings: Vec<Finding>,
     },
 }
 
-/// An accepted change, as history shows it.
+/// An accepted change in the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The version that it made.
+    /// The version that it created.
     pub version: u64,
-    /// When, by the leader's clock, in milliseconds since 1970.
+    /// When it was applied, in milliseconds since 1970 of the leader's clock.
     pub at_ms: u64,
     /// The change.
     pub change: ConfigChange,
 }
 
-/// What an order has an engine do.
+/// What an order makes an engine do.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "do")]
 pub enum OrderAction {
-    /// Load a model, adapter or version; takes a place at the weight store.
+    /// Loads a model, adapter or version; needs a slot at the weight store.
     Load {
         /// What to load.
         artifact: String,
     },
-    /// Unload it.
+    /// Unloads a model, adapter or version.
     Unload {
         /// What to unload.
         artifact: String,
     },
-    /// Change role.
+    /// Changes the role of the engine.
     Role {
         /// The new role.
         role: String,
     },
 }
 
-/// How far an order has come.
+/// The progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// In the log, not known to be carried out.
+    /// It is in the log, but not confirmed to be carried out.
     Pending,
     /// The engine confirmed it.
     Done,
@@ -103,91 +104,92 @@
     Refused,
 }
 
-/// A fenced order as it stands in the log.
+/// An order with its fencing token, as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// Its number.
+    /// Its number, which is the index of its log entry.
     pub number: u64,
-    /// Chosen by the submitter; a resend has the same.
+    /// Chosen by the submitter; a resend has the same id.
     pub id: String,
     /// The upstream's name.
     pub upstream: String,
-    /// What to do.
+    /// What the engine is to do.
     pub action: OrderAction,
-    /// Rises with the term and the log; an engine refuses any lower.
+    /// The fencing token. It rises with the term and the log index, and an engine refuses an order
+    /// with a lower one than it has seen.
     pub fence: u64,
-    /// How far it has come.
+    /// The progress of the order.
     pub state: OrderState,
 }
 
-/// What is replicated.
+/// An operation of the replicated log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum KeeperOperation {
-    /// Nothing; commits the entries before it in a new term.
+    /// Does nothing; a new leader appends it to commit the entries of earlier terms.
     Noop,
     /// Submits a change.
     Change(ConfigChange),
-    /// Claims, decided in order.
+    /// Decides claims in the given order.
     Claim(Vec<ClaimRequest>),
-    /// Ends of claims.
+    /// Records the ends of claims.
     Report(Vec<ClaimReport>),
-    /// A router's session begins.
+    /// Begins a router's session.
     Join(RouterId, RouterSession),
-    /// A router's lease ran out.
+    /// Ends the session of a router whose lease expired.
     Lapse(RouterId, Incarnation),
-    /// A router drains.
+    /// Marks a router as draining.
     Leave(RouterId, Incarnation),
-    /// A new order; the fence is set from the entry's place.
+    /// Adds an order; its fencing token is derived from the log position of the entry.
     Order {
         /// Chosen by the submitter.
         id: String,
         /// The upstream's name.
         upstream: String,
-        /// What to do.
+        /// What the engine is to do.
         action: OrderAction,
     },
-    /// An order was carried out or refused.
+    /// Records whether an order was carried out or refused.
     OrderEnd(u64, OrderState),
 }
 
-/// An operation with the leader's time.
+/// An operation with the time at which the leader appended it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeeperCommand {
-    /// Milliseconds since 1970, by the leader's clock.
+    /// The time in milliseconds since 1970 of the leader's clock.
     pub at_ms: u64,
-    /// What to do.
+    /// The operation.
     pub operation: KeeperOperation,
 }
 
 /// The answer to an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperAnswer {
-    /// Done, nothing to say.
+    /// The operation was applied and returns nothing.
     Done,
-    /// To [`KeeperOperation::Change`].
+    /// The answer to [`KeeperOperation::Change`].
     Change(ChangeAnswer),
-    /// To [`KeeperOperation::Claim`], in the order asked.
+    /// The answer to [`KeeperOperation::Claim`], in the order of the claims.
     Claim(Vec<ClaimAnswer>),
-    /// To [`KeeperOperation::Order`]: the order's number.
+    /// The answer to [`KeeperOperation::Order`]: the order's number.
     Order(u64),
 }
 
-/// The state of the whole system that must survive.
+/// The state that the keepers replicate.
 #[derive(Clone, Debug, Default)]
 pub struct KeeperMachine {
-    /// The log's time: the highest stamp seen.
+    /// The time of the log, which is the highest timestamp applied.
     pub now_ms: u64,
-    /// In force now.
+    /// The current configuration.
     pub configuration: Arc<Configuration>,
-    /// The latest changes, for routers that lag by a few.
+    /// The latest changes, for routers that are a few versions behind.
     pub recent: VecDeque<ChangeRecord>,
-    /// Answers by change id.
+    /// The time of and the answer to each change, by change id.
     answers: BTreeMap<String, (u64, ChangeAnswer)>,
-    /// The routers.
+    /// The routers and their sessions.
     pub roster: RouterRoster,
-    /// The claims.
+    /// The run-once claims.
     pub claims: ClaimTable,
-    /// Orders by number.
+    /// The orders by number.
     pub orders: BTreeMap<u64, OrderRecord>,
 }
 
@@ -205,7 +207,7 @@
 }
 
 impl KeeperMachine {
-    /// Applies a committed command from the log at `term` and `index`.
+    /// Applies a committed command that is at `term` and `index` in the log.
     pub fn apply(&mut self, command: &KeeperCommand, term: u64, index: u64) -> KeeperAnswer {
         self.now_ms = self.now_ms.max(command.at_ms);
         self.claims.expire(self.now_ms);
@@ -249,7 +251,7 @@
         }
     }
 
-    /// The first answer to a change, if its id is known.
+    /// The first answer to a change; `None` if its id is unknown or expired.
     pub fn answer_of(&self, change_id: &str) -> Option<&ChangeAnswer> {
         self.answers.get(change_id).map(|(_, answer)| answer)
     }
@@ -313,7 +315,7 @@
         index
     }
 
-    /// The whole state as bytes, for a snapshot.
+    /// The whole state, encoded for a snapshot.
     pub fn to_image(&self) -> Vec<u8> {
         let (claims_oldest, claims) = self.claims.records();
         let image = MachineImage {
@@ -330,7 +332,7 @@
         rmp_serde::to_vec_named(&image).expect("an image of plain data always encodes")
     }
 
-    /// The state of a snapshot; the text says what is wrong with the bytes.
+    /// Decodes the state of a snapshot; the error text says what is wrong with the bytes.
     pub fn from_image(bytes: &[u8]) -> Result<KeeperMachine, String> {
         let image: MachineImage = rmp_serde::from_slice(bytes).map_err(|e| e.to_string())?;
         let read = read_configuration(&image.document);
@@ -348,12 +350,12 @@
     }
 }
 
-/// A fence that rises with the term first, then with the log.
+/// The fencing token of a log position; tokens are ordered by term, then by log index.
 pub fn fence_of(term: u64, index: u64) -> u64 {
     (term << 40) | (index & ((1 << 40) - 1))
 }
 
-/// An entry's value in a document, for tests and tools.
+/// The operation that sets an entry of a document, for tests and tools.
 pub fn put(section: super::configuration::Section, name: &str, value: Value) -> EntryOperation {
     EntryOperation::Put { section, name: name.to_string(), value }
 }
--- a/lib/src/state/rollout_order.rs
+++ b/lib/src/state/rollout_order.rs
@@ -1,24 +1,24 @@
-//! Orders to move a service's traffic to upstreams of another version, and how far each has come.
+//! Orders to move a service's traffic to upstreams of another version, and their progress.
 //!
-//! Invariants: the orders of a service are numbered without a gap, and one is taken only after the
-//! one before it has ended. The steps of an order are numbered too, and a step is taken only with the
-//! number after the last; so a step that was proposed on what held before changes nothing. An end
-//! is final. See `docs/design/rollouts.md`.
+//! Invariants: the orders of a service are numbered without gaps, and an order is accepted only
+//! after the one before it has ended. The steps of an order are numbered too, and a step is
+//! accepted only if its number follows the last one, so that a step proposed on an outdated state
+//! changes nothing. An end is final. See `docs/design/rollouts.md`.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A version of upstreams, by the hash of its name.
+/// A version of upstreams, identified by the hash of its name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct VersionKey(pub u32);
 
 impl VersionKey {
-    /// The key of an upstream whose version isn't given, or can't be read.
+    /// The key of an upstream whose version isn't given or can't be read.
     pub const UNKNOWN: VersionKey = VersionKey(0);
 
-    /// The key of the version with this name; an empty name is no version.
+    /// The key of the version with this name; an empty name gives [`VersionKey::UNKNOWN`].
     pub fn of(name: &str) -> VersionKey {
         match name.is_empty() {
             true => VersionKey::UNKNOWN,
@@ -33,21 +33,21 @@
     }
 }
 
-/// How far an order has come.
+/// The phase of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// A small part of the requests goes to the target.
+    /// A small part of the requests is sent to the target.
     Trial,
-    /// All requests go to the target; what runs elsewhere ends.
+    /// All new requests are sent to the target; those running on other versions finish.
     Shift,
-    /// The traffic is moved; the other upstreams may end.
+    /// The traffic has moved, and the upstreams of other versions may stop.
     Complete,
-    /// Nothing goes to the target.
+    /// The order was rolled back, and nothing is sent to the target.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether this is an end.
+    /// Whether the order has ended.
     pub fn is_end(self) -> bool {
         matches!(self, RolloutPhase::Complete | RolloutPhase::RolledBack)
     }
@@ -61,19 +61,20 @@
     }
 }
 
-/// What an operator asked for.
+/// A roll-out that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
     /// The service's name.
     pub service: String,
-    /// The order's place among those of the service; the first is 1.
+    /// The number of the order among those of the service; the first is 1.
     pub number: u64,
-    /// The name of the version that the traffic is to be moved to.
+    /// The name of the version that the traffic moves to.
     pub target: String,
-    /// How long it may take, in milliseconds.
+    /// How long the roll-out may take, in milliseconds.
     pub duration_ms: u64,
-    /// VMs that the leader heard when it took the order; each has its part of what is handed out at
-    /// the start. So many that no part is left where it may not have heard all.
+    /// The number of VMs that share the requests handed out at the start, which is the number that
+    /// the leader was in contact with when it accepted the order. It is `u32::MAX`, so that no VM
+    /// gets any, while a new leader may not have been in contact with all VMs yet.
     pub vms: u32,
 }
 
@@ -84,33 +85,33 @@
     pub service: String,
     /// The number of the order.
     pub number: u64,
-    /// The number of the step; the first after the order itself is 1.
+    /// The number of the step; the first step after the order itself has number 1.
     pub step: u64,
-    /// The phase from now on; the same as before when only the time is noted.
+    /// The phase from this step on; unchanged when the step only records the time.
     pub phase: RolloutPhase,
-    /// How long the order has run, in milliseconds, as the leader counts it.
+    /// How long the order has run, in milliseconds, as counted by the leader.
     pub spent_ms: u64,
     /// With [`RolloutPhase::Complete`]: the versions that the traffic was moved away from.
     pub retired: Vec<VersionKey>,
 }
 
-/// What a command of the log does to the orders.
+/// A command of the log that changes the orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutCommand {
     /// Begins an order.
     Start(RolloutOrder),
-    /// Takes it a step on.
+    /// Advances an order by a step.
     Step(RolloutStep),
 }
 
-/// The last order of a service, and how far it has come.
+/// The last order of a service and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRow {
     /// The order.
     pub order: RolloutOrder,
-    /// Its phase.
+    /// The current phase.
     pub phase: RolloutPhase,
-    /// The number of its last step; 0 for the order itself.
+    /// The number of its last step; 0 before the first step.
     pub step: u64,
     /// See [`RolloutStep::spent_ms`].
     pub spent_ms: u64,
@@ -119,12 +120,12 @@
 }
 
 impl RolloutRow {
-    /// The key of the target.
+    /// The key of the target version.
     pub fn target(&self) -> VersionKey {
         VersionKey::of(&self.order.target)
     }
 
-    /// The step that would take the order to `phase`.
+    /// The next step of the order, which sets it to `phase`.
     pub fn next_step(&self, phase: RolloutPhase, spent_ms: u64) -> RolloutStep {
         RolloutStep {
             service: self.order.service.clone(),
@@ -137,7 +138,7 @@
     }
 }
 
-/// The last order of each service that ever got one.
+/// The last order of each service that has had one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutTable {
     rows: Vec<RolloutRow>,
@@ -150,8 +151,8 @@
         &self.rows
     }
 
-    /// How many orders and steps were taken, for all services together: the later of two states has
-    /// more.
+    /// The number of orders and steps accepted for all services together. Of two states, the one
+    /// with more changes is the later.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -161,12 +162,13 @@
         self.rows.iter().find(|row| row.order.service == service)
     }
 
-    /// Whether any order hasn't ended.
+    /// Whether an order is in progress.
     pub fn any_runs(&self) -> bool {
         self.rows.iter().any(|row| !row.phase.is_end())
     }
 
-    /// Applies a command; false when another was taken first.
+    /// Applies a command; returns `false` if its number doesn't follow, since another was applied
+    /// first.
     pub fn take(&mut self, command: RolloutCommand) -> bool {
         let taken = match command {
             RolloutCommand::Start(order) => self.start(order),
@@ -203,12 +205,13 @@
         true
     }
 
-    /// The table, for a reader that holds `known` changes; `None` when that is all.
+    /// The table for a reader that has `known` changes; `None` if the reader is up to date.
     pub fn news(&self, known: u64) -> Option<RolloutTable> {
         (self.changes != known).then(|| self.clone())
     }
 
-    /// Takes a later state of all orders; returns the one before, when there was something to take.
+    /// Replaces the table by a later state; returns the state before, or `None` if `other` isn't
+    /// later.
     pub fn take_later(&mut self, other: RolloutTable) -> Option<RolloutTable> {
         (other.changes > self.changes).then(|| std::mem::replace(self, other))
     }
--- a/lib/src/state/route_table.rs
+++ b/lib/src/state/route_table.rs
@@ -1,23 +1,23 @@
-//! The routes, services and workspaces that callers are served by, at one version.
+//! The routes, services and workspaces of one version of the configuration.
 //!
-//! A table is immutable: a new version is a new table, and a VM exchanges the whole.
-//! Where it came from and in which words is the adapter's business; see
+//! A table is immutable: each new version is a new table, and a VM replaces its table as a whole.
+//! The platform adapter reads the document that a table is built from; see
 //! `docs/design/platform.md`.
 
 use std::collections::{HashMap, HashSet};
 
 use super::finding::FindingList;
 
-/// What may be done with a request that may already have run.
+/// Whether a request may be sent again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Repeatable,
-    /// It may run at most once.
+    /// The request may run at most once.
     Once,
-    /// A stream of events that may run at most once.
+    /// The answer is a stream of events, and the request may run at most once.
     Stream,
-    /// A stream that may be taken up at another upstream after its last event.
+    /// The answer is a stream of events that another upstream can resume after its last event.
     ResumableStream,
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// A part of a route's traffic.
+/// A weighted service of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
-    /// The service, by its place in the table; `None` while its name is unknown.
+    /// The index of the service in the table; `None` if no service has this name.
     pub service: Option<usize>,
     /// The service's name.
     pub name: String,
-    /// Its weight against the other shares of the route.
+    /// Its weight relative to the other shares of the route.
     pub weight: f64,
 }
 
@@ -49,34 +49,34 @@
 pub struct RouteRule {
     /// The host, in lower case.
     pub host: String,
-    /// The prefix of the path; it begins and ends with a slash.
+    /// The path prefix; it begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be sent again.
     pub kind: RequestKind,
-    /// The longest that a request may be held, in milliseconds.
+    /// The longest time that a request may be held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer counts in full, in milliseconds.
+    /// The response time, in milliseconds, up to which an answer counts in full.
     pub goal_ms: u64,
-    /// The rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Where its requests go.
+    /// The services that its requests are distributed to.
     pub shares: Vec<ServiceShare>,
     /// The most upstreams to which one request may be sent.
     pub most_upstreams: u32,
-    /// Whether it is open to callers without a key.
+    /// Whether callers without a key may use it.
     pub public: bool,
-    /// Whether its requests name the parts of their prompt.
+    /// Whether its requests name the parts of their prompt, for cache-aware routing.
     pub prompt_parts: bool,
 }
 
-/// What is known of the engines of a service.
+/// The capabilities of the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineTraits {
-    /// Requests that one engine runs at once.
+    /// Requests that one engine runs at the same time.
     pub slots: u32,
-    /// Tokens that fit an engine's memory.
+    /// Tokens that fit in an engine's KV cache.
     pub memory_tokens: u64,
-    /// Whether an engine can take memory from another.
+    /// Whether an engine can import KV cache entries from another.
     pub moves: bool,
 }
 
@@ -85,12 +85,12 @@
 pub struct ServiceEntry {
     /// Its name.
     pub name: String,
-    /// Connections that one upstream takes from all VMs together.
+    /// Connections that one upstream accepts from all VMs together.
     pub most_connections: u32,
-    /// Requests a second that one upstream bears from all VMs together while it is cold; 0 where
-    /// that has no bound.
+    /// Requests per second that one upstream bears from all VMs together while it is cold; 0 means
+    /// unlimited.
     pub cold_per_s: f64,
-    /// Set when its upstreams are model engines.
+    /// The engine capabilities; set if its upstreams are model engines.
     pub engine: Option<EngineTraits>,
 }
 
@@ -99,29 +99,29 @@
 pub struct WorkspaceEntry {
     /// Its name, as sent to upstreams.
     pub name: String,
-    /// Its rank, before the route's; 0 is the highest.
+    /// Its priority, which is compared before that of the route; 0 is the highest.
     pub priority: u8,
-    /// The keys of its callers.
+    /// The API keys of its callers.
     pub keys: Vec<String>,
 }
 
-/// What a caller may send and how long it may rest.
+/// Limits on the size and timing of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerLimits {
-    /// The largest head, in bytes.
+    /// The largest request head, in bytes.
     pub head_bytes: usize,
-    /// The largest body, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// The longest that a head may take, in milliseconds.
+    /// The longest time in which a head must arrive, in milliseconds.
     pub head_ms: u64,
-    /// The longest that a connection may rest, in milliseconds.
+    /// The longest time that a connection may be idle, in milliseconds.
     pub idle_ms: u64,
 }
 
-/// Everything of one version.
+/// The routing configuration of one version.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
-    /// The version; the highest holds.
+    /// The version; a higher one replaces a lower one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<RouteRule>,
@@ -129,32 +129,34 @@
     pub services: Vec<ServiceEntry>,
     /// The workspaces; `None` when callers need no key.
     pub workspaces: Option<Vec<WorkspaceEntry>>,
-    /// The bounds on callers.
+    /// The limits on callers.
     pub limits: CallerLimits,
     places: HashMap<String, usize>,
     keys: HashMap<String, usize>,
 }
 
-/// What a caller's request is by the table.
+/// How a caller's request is routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// There is no such route.
+    /// No route matches.
     NoRoute,
-    /// The route needs a key that this is not.
+    /// The route requires a key, and the request has none or an unknown one.
     NoKey,
-    /// It is served: the route and, if a key counts, the workspace.
+    /// The request is served.
     Served {
-        /// The route's place in the table.
+        /// The index of the route in the table.
         route: usize,
-        /// The workspace's place in the table.
+        /// The index of the caller's workspace in the table; `None` for a caller without a known
+        /// key.
         workspace: Option<usize>,
     },
 }
 
 impl RouteTable {
-    /// Joins the parts to a table and returns everything that is wrong with it.
+    /// Builds a table and adds every fault in it to `list`.
     ///
-    /// Paths of findings start at `$` and use this project's words.
+    /// Paths of findings start at `$` and use the names of this crate, not those of the platform's
+    /// document.
     pub fn build(
         version: u64,
         mut routes: Vec<RouteRule>,
@@ -184,7 +186,7 @@
         RouteTable { version, routes, services, workspaces, limits, places, keys }
     }
 
-    /// The route with the longest prefix of `path` at `host`.
+    /// The index of the route at `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         let mut place = String::with_capacity(host.len() + path.len() + 1);
         place.push_str(host);
@@ -201,7 +203,7 @@
         None
     }
 
-    /// What a request at this host and path with this key is.
+    /// Routes a request by its host, path and API key.
     pub fn decide(&self, host: &str, path: &str, key: Option<&str>) -> RouteDecision {
         let Some(route) = self.route(host, path) else { return RouteDecision::NoRoute };
         let workspace = key.and_then(|key| self.keys.get(key).copied());
@@ -213,13 +215,13 @@
         RouteDecision::Served { route, workspace }
     }
 
-    /// The workspace at a place that [`RouteTable::decide`] gave.
+    /// The workspace at an index that [`RouteTable::decide`] returned.
     pub fn workspace(&self, at: usize) -> Option<&WorkspaceEntry> {
         self.workspaces.as_ref().and_then(|workspaces| workspaces.get(at))
     }
 }
 
-/// The share that a request with this draw (any number) goes to.
+/// Picks a service by weight; `draw` is a uniformly distributed random number.
 pub fn pick_share(shares: &[ServiceShare], draw: u64) -> Option<usize> {
     let total: f64 = shares.iter().map(|share| share.weight).sum();
     let mut left = (draw >> 11) as f64 / (1u64 << 53) as f64 * total;
--- a/lib/src/state/upstream_list.rs
+++ b/lib/src/state/upstream_list.rs
@@ -1,13 +1,14 @@
-//! The upstreams, as the platform's list or another VM gave them.
+//! The list of upstreams, as read from the platform or received from another VM.
 //!
-//! Leaving is sticky for an incarnation: no list that lags can take it back. A name that starts again
-//! is another incarnation with another key, so that nothing known of the earlier one is said of it;
-//! see `docs/design/identity.md`. Each state of the list has a
-//! mark, and VMs with the same mark hold the same rows; so a change can be sent without the rest.
-//! Marks have one order, whichever VM read the state, and nothing is replaced by a lower one. The age
-//! of a state follows from [`UpstreamList::news_ms`], which only a reading or a proof by exchange
-//! raises.
-//! See `docs/design/fleet-news.md`.
+//! Leaving is sticky for an incarnation: an older list can't revert it. An upstream that starts
+//! again under the same name is another incarnation with another key, so that no state recorded for
+//! the earlier one is applied to it; see `docs/design/identity.md`.
+//!
+//! Each state of the list has a revision, and VMs with the same revision hold the same rows, so
+//! that a change can be sent without the other rows. Revisions are totally ordered, whichever VM
+//! read the state, and a list is never replaced by one of a lower revision. The age of a state is
+//! computed from [`UpstreamList::confirmed_ms`], which only a read or a confirmation by another VM
+//! raises. See `docs/design/fleet-news.md`.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,44 +18,46 @@
 use super::ids::UpstreamKey;
 use super::rollout_order::VersionKey;
 
-/// What the list leaves open about an upstream. Unlike leaving it is not sticky: the next list that can be
-/// read in full ends it.
+/// What the list leaves undetermined about an upstream. Unlike leaving it is not sticky: the next
+/// list that can be read in full clears it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryDoubt {
-    /// Nothing.
+    /// Nothing that keeps new work away from it.
     #[default]
     None,
-    /// Whether it takes work: its state is none that we know.
+    /// Whether it takes work is undetermined, since its state is not a known one.
     State,
-    /// Anything but that it is named: it was known, and its entry can't be read any more.
+    /// It was listed before, and its entry can't be read any more.
     Unread,
 }
 
 /// One incarnation of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// The name under which it is listed. It may start again under it; then `born` is another.
+    /// The name under which it is listed. Another incarnation under the same name has another
+    /// `started_ms`.
     pub life: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// It takes no new work.
+    /// Whether it is leaving, that is, takes no new work.
     pub leaving: bool,
-    /// Its place in the order of engines; a life that replaces another takes its seat.
+    /// Its ring slot, that is, its position in the rendezvous order of engines; an incarnation that
+    /// replaces another takes over its slot.
     pub seat: Option<u64>,
-    /// It has started, or came back, a moment ago and bears little yet.
+    /// Whether it started or came back recently and can bear only little load yet.
     #[serde(default)]
     pub cold: bool,
-    /// Its version.
+    /// The version that it runs.
     #[serde(default)]
     pub version: VersionKey,
-    /// When it started, in Unix milliseconds, if given.
+    /// When it started, in Unix milliseconds; `None` if the list doesn't give it.
     #[serde(default)]
     pub born: Option<u64>,
-    /// What the list leaves open about it; while anything is, it gets no new work.
+    /// What the list leaves undetermined about it; unless this is `None`, it gets no new work.
     #[serde(default)]
     pub doubt: EntryDoubt,
 }
@@ -65,40 +68,42 @@
         UpstreamKey::of_birth(&self.life, self.born)
     }
 
-    /// Whether the list says that it takes new work.
+    /// Whether it takes new work according to the list.
     pub fn takes_work(&self) -> bool {
         !self.leaving && self.doubt == EntryDoubt::None
     }
 }
 
-/// Names one state of the list. Fields are in the order in which marks compare: what a newer leader
-/// read wins, then what was read after more changes.
+/// Identifies one state of the list. The fields are in the order of comparison: a read by a leader
+/// of a later term wins, then the read that follows more changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListMark {
-    /// The term of the leader that read it, or of the state from which a single reader went on.
+    /// The term of the leader that read it; for a read without a leader, the term of the state
+    /// before it.
     pub term: u64,
     /// Rises with each change; 0 before the first.
     pub change: u64,
-    /// The VM that read it: two that read without a leader go on from one state to two marks.
+    /// The VM that read it. It makes the revisions of two VMs that read without a leader, starting
+    /// from the same state, distinct.
     pub reader: u32,
 }
 
-/// What is other in one state of the list than in an earlier one.
+/// The difference between an earlier and a later state of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListChange {
-    /// Rows that are new or other than before.
+    /// Rows that were added or changed.
     pub rows: Vec<UpstreamEntry>,
-    /// Incarnations that are on the list no more.
+    /// Incarnations that are no longer on the list.
     pub gone: Vec<UpstreamKey>,
 }
 
 impl ListChange {
-    /// Whether nothing is other.
+    /// Whether the two states are equal.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty() && self.gone.is_empty()
     }
 
-    /// Joins the change that came next to this one.
+    /// Appends the change that follows this one.
     fn join(&mut self, next: &ListChange) {
         let named: HashSet<UpstreamKey> =
             next.rows.iter().map(UpstreamEntry::key).chain(next.gone.iter().copied()).collect();
@@ -109,52 +114,53 @@
     }
 }
 
-/// A step from one marked state to another.
+/// A change of the list from one revision to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStep {
-    /// The state before.
+    /// The revision before.
     pub from: ListMark,
-    /// The state after.
+    /// The revision after.
     pub to: ListMark,
-    /// What is other.
+    /// The rows that differ.
     pub change: ListChange,
 }
 
-/// Steps that are remembered for VMs that missed some; one that missed more takes the whole.
+/// Deltas that are kept for VMs that missed some. A VM that missed more receives the whole list.
 const STEPS_KEPT: usize = 32;
 
-/// All upstreams that one VM knows.
+/// All upstreams that a VM has in its list.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamList {
-    /// By key.
+    /// The rows by key.
     pub entries: BTreeMap<UpstreamKey, UpstreamEntry>,
-    /// When each of them was first seen here, in milliseconds of the VM's steady clock.
+    /// When each of them was first listed on this VM, in milliseconds of the VM's steady clock.
     pub first_seen_ms: BTreeMap<UpstreamKey, u64>,
-    /// When this was surely the platform's list, in milliseconds of the VM's steady clock; 0 when
-    /// that isn't known, as for a list from disk.
+    /// When this was last confirmed to be the platform's list, in milliseconds of the VM's steady
+    /// clock; 0 when it never was, as for a list loaded from disk.
     pub news_ms: u64,
-    /// Which state this is.
+    /// The revision of this state.
     pub mark: ListMark,
-    /// How many incarnations were replaced by later ones under their names.
+    /// How many incarnations were replaced by later ones under the same name.
     pub replaced: u64,
-    /// The names of those that the last change replaced.
+    /// The names of the incarnations that the last change replaced.
     pub replaced_last: Vec<String>,
-    /// The highest number of a change that was heard of. A leader that knew only its own would send
-    /// marks that others have passed already, and none would take its list.
+    /// The highest change number received in any revision. A leader that counted on from its own
+    /// number alone would send revisions that other VMs have already passed, and they would reject
+    /// its list.
     heard_change: u64,
     leaving: HashSet<UpstreamKey>,
     steps: VecDeque<ListStep>,
 }
 
 impl UpstreamList {
-    /// Whether there is a list.
+    /// Whether a list has been read or received.
     pub fn is_held(&self) -> bool {
         self.mark.change > 0
     }
 
-    /// Takes a list that VM `reader` read beginning at `began_ms`, as the leader of `term`, or
-    /// without one when `term` is `None`. Returns the step to send to the others, if there is one:
-    /// a new leader's first goes on from what the last one sent.
+    /// Replaces the rows by a list that VM `reader` read beginning at `began_ms`, as the leader of
+    /// `term`, or without a leader when `term` is `None`. Returns the delta to send to the other
+    /// VMs, if any. A new leader's first delta starts at the revision that the last leader sent.
     pub fn read(
         &mut self,
         rows: Vec<UpstreamEntry>,
@@ -175,7 +181,8 @@
         Some(step)
     }
 
-    /// Takes a whole list that another VM sent, unless it is older than what is here.
+    /// Replaces the list by a whole one from another VM; does nothing and returns `false` unless
+    /// its revision is higher.
     pub fn take_whole(&mut self, mark: ListMark, rows: Vec<UpstreamEntry>, now_ms: u64) -> bool {
         let newer = mark > self.mark;
         if newer {
@@ -186,20 +193,21 @@
         newer
     }
 
-    /// Another VM proved that the platform's list was the state `mark` at `news_ms` of this VM's
-    /// clock; says something of the list here only when that is the same.
+    /// Records that another VM confirmed revision `mark` to be the platform's list at
+    /// `confirmed_ms` of this VM's clock. Has no effect if this list is at another revision.
     pub fn confirm(&mut self, mark: ListMark, news_ms: u64) {
         if mark == self.mark && self.is_held() {
             self.news_ms = self.news_ms.max(news_ms);
         }
     }
 
-    /// Another VM holds the state `mark`.
+    /// Records that another VM holds revision `mark`.
     pub fn hear(&mut self, mark: ListMark) {
         self.heard_change = self.heard_change.max(mark.change);
     }
 
-    /// Takes a step that another VM sent; false when it doesn't start at the state that is here.
+    /// Applies a delta from another VM; returns `false` when it doesn't start at the revision held
+    /// here.
     pub fn follow(&mut self, step: ListStep, now_ms: u64) -> bool {
         if step.from != self.mark || !self.is_held() || step.to <= self.mark {
             return false;
@@ -209,7 +217,7 @@
         true
     }
 
-    /// The step from an earlier state to this one, while it is remembered.
+    /// The delta from an earlier revision to this one, if it can be composed from those kept.
     pub fn step_since(&self, have: ListMark) -> Option<ListStep> {
         let first = self.steps.iter().position(|step| step.from == have && have.change > 0)?;
         let mut change = ListChange::default();
@@ -230,7 +238,7 @@
         self.steps.push_back(step);
     }
 
-    /// Puts the rows in place of all others; returns the difference.
+    /// Replaces all rows and returns the difference.
     fn replace(&mut self, rows: Vec<UpstreamEntry>, now_ms: u64) -> ListChange {
         let mut entries = BTreeMap::new();
         for mut row in rows {
@@ -247,8 +255,8 @@
         change
     }
 
-    /// Changes the rows that a change names, and leaves all others as they are: a list is long, and
-    /// changes are small.
+    /// Applies a change to the rows that it names. The others aren't touched, since a list is long
+    /// and changes are small.
     fn apply(&mut self, change: &ListChange, now_ms: u64) {
         let mut gone_lives = BTreeSet::new();
         for key in &change.gone {
@@ -268,7 +276,7 @@
         self.note_replaced(&gone_lives);
     }
 
-    /// Notes whose names are on the list as before while their incarnations aren't.
+    /// Records the names that are still on the list although an incarnation of theirs was removed.
     fn note_replaced(&mut self, gone_lives: &BTreeSet<String>) {
         self.replaced_last.clear();
         if gone_lives.is_empty() {
@@ -279,12 +287,12 @@
         self.replaced += self.replaced_last.len() as u64;
     }
 
-    /// The rows, as sent to another VM.
+    /// Copies of all rows, for sending to another VM.
     pub fn rows(&self) -> Vec<UpstreamEntry> {
         self.entries.values().cloned().collect()
     }
 
-    /// The upstreams of a service, those that leave included.
+    /// The upstreams of a service, including those that are leaving.
     pub fn of_service<'a>(
         &'a self,
         service: &'a str,
@@ -293,12 +301,13 @@
         entries.filter(move |(_, entry)| entry.service == service).map(|(key, entry)| (*key, entry))
     }
 
-    /// The upstreams of a service in the order of their keys, and when each was first seen.
+    /// The upstreams of a service in the order of their keys, with the time at which each was first
+    /// listed.
     pub fn seen_of_service<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = (UpstreamKey, &'a UpstreamEntry, u64)> + 'a {
-        // Both maps hold the same keys, so that they go in step.
+        // Both maps hold the same keys, so that their iterators stay aligned.
         let rows = self.entries.iter().zip(self.first_seen_ms.values());
         let of_service = rows.filter(move |((_, entry), _)| entry.service == service);
         of_service.map(|((key, entry), first_seen_ms)| (*key, entry, *first_seen_ms))
