--- a/lib/src/coordination/upstream_load.rs
+++ b/lib/src/coordination/upstream_load.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::state::ids::UpstreamKey;
-use crate::state::upstream_list::{ListMark, UpstreamList};
+use crate::state::upstream_list::{ListRevision, UpstreamList};
 use crate::state::zero_runs::{pack_zeros, unpack_zeros};
 
 /// Below this many requests in flight an upstream, in the mean, a service is nearly idle.
@@ -112,7 +112,7 @@
 /// The loads that a leader sends, summed up once for the answers of a short time.
 #[derive(Default)]
 pub struct SharedLoads {
-    list: ListMark,
+    list: ListRevision,
     summed_ms: Option<u64>,
     loads: Vec<UpstreamLoad>,
     placed: Option<LoadNews>,
@@ -127,17 +127,17 @@
         sum_up: impl FnOnce() -> Vec<UpstreamLoad>,
         shared_ms: u64,
         list: &UpstreamList,
-        have: ListMark,
+        have: ListRevision,
         now_ms: u64,
     ) -> LoadNews {
         let fresh = self.summed_ms.is_some_and(|summed_ms| summed_ms + shared_ms > now_ms);
-        if !fresh || self.list != list.mark {
+        if !fresh || self.list != list.revision {
             self.loads = loads_that_matter(sum_up(), list);
             self.placed = None;
-            (self.list, self.summed_ms) = (list.mark, Some(now_ms));
+            (self.list, self.summed_ms) = (list.revision, Some(now_ms));
             self.sums += 1;
         }
-        if have != list.mark {
+        if have != list.revision {
             return LoadNews::Keyed(self.loads.clone());
         }
         let place = || LoadNews::placed(place_loads(&self.loads, list.entries.keys()));
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -36,7 +36,8 @@
     let mut used: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
     let loads: BTreeMap<UpstreamKey, u32> =
         loads.iter().map(|load| (load.upstream, load.requests)).collect();
-    for (key, row) in list.entries.iter().filter(|(_, row)| row.seat.is_some() && !row.leaving) {
+    for (key, row) in list.entries.iter().filter(|(_, row)| row.ring_slot.is_some() && !row.leaving)
+    {
         let (seated, requests) = used.entry(&row.service).or_default();
         *seated += 1;
         *requests += loads.get(key).copied().unwrap_or(0);
@@ -78,29 +79,29 @@
         let held: BTreeMap<UpstreamKey, u64> =
             self.seats.values().map(|row| (row.holder, row.seat)).collect();
         for row in rows.iter_mut() {
-            let before = list.entries.get(&row.key()).and_then(|known| known.seat);
+            let before = list.entries.get(&row.key()).and_then(|known| known.ring_slot);
             // One that leaves keeps the seat that another may have taken by now.
-            row.seat = held.get(&row.key()).copied().or(before.filter(|_| row.leaving));
+            row.ring_slot = held.get(&row.key()).copied().or(before.filter(|_| row.leaving));
         }
         let living: BTreeSet<UpstreamKey> =
             rows.iter().filter(|row| !row.leaving).map(UpstreamEntry::key).collect();
         let mut vacant = VacantSeats::of(self.seats.values(), &living);
         // Restarts first: a newcomer elsewhere would take the seat that is theirs.
-        for row in rows.iter_mut().filter(|row| row.seat.is_none() && row.takes_work()) {
-            row.seat = vacant.take_place(row);
+        for row in rows.iter_mut().filter(|row| row.ring_slot.is_none() && row.takes_work()) {
+            row.ring_slot = vacant.take_place(row);
             self.hold(row);
         }
-        for row in rows.iter_mut().filter(|row| row.seat.is_none() && row.takes_work()) {
+        for row in rows.iter_mut().filter(|row| row.ring_slot.is_none() && row.takes_work()) {
             let seen_ms = list.first_seen_ms.get(&row.key()).copied().unwrap_or(now_ms);
             let waited = seen_ms + WAIT_MS <= now_ms && !patient.contains(&row.service);
             let own = first_list || waited;
-            row.seat = vacant.take_any(row).or_else(|| own.then(|| self.fresh_seat(row)));
+            row.ring_slot = vacant.take_any(row).or_else(|| own.then(|| self.fresh_seat(row)));
             self.hold(row);
         }
     }
 
     fn hold(&mut self, row: &UpstreamEntry) {
-        if let Some(seat) = row.seat {
+        if let Some(seat) = row.ring_slot {
             let (service, address) = (row.service.clone(), row.address);
             self.seats.insert(seat, SeatRow { seat, service, address, holder: row.key() });
         }
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -19,7 +19,7 @@
 use crate::state::packed_text::PackedText;
 use crate::state::quarantine::QuarantineTable;
 use crate::state::rollout_order::RolloutTable;
-use crate::state::upstream_list::{ListMark, ListStep, UpstreamEntry};
+use crate::state::upstream_list::{ListDelta, ListRevision, UpstreamEntry};
 use crate::state::zone_order::{ZoneOrder, ZoneOrders};
 
 /// The largest frame, in bytes. It has to hold a document of the largest size; a longer frame is
@@ -150,14 +150,15 @@
     /// Asks for the list of upstreams once the receiver holds a newer revision of it.
     WantList {
         /// The revision that the sender holds.
-        have: ListMark,
+        have: ListRevision,
     },
     /// The changes of the list of upstreams.
-    ListStep(ListStep),
+    #[serde(rename = "ListStep")]
+    ListDelta(ListDelta),
     /// The whole list of upstreams.
     List {
         /// The revision of the list.
-        mark: ListMark,
+        mark: ListRevision,
         /// The rows.
         rows: Vec<UpstreamEntry>,
     },
@@ -174,7 +175,7 @@
             VmMessage::Document { .. } => "document",
             VmMessage::DocumentChange { .. } => "document_change",
             VmMessage::WantList { .. } => "want_list",
-            VmMessage::ListStep(_) => "list_step",
+            VmMessage::ListDelta(_) => "list_step",
             VmMessage::List { .. } => "list",
         }
     }
@@ -251,7 +252,7 @@
     /// The time of the sender's steady clock, which the answer echoes.
     pub sent_ms: u64,
     /// The revision of the list of upstreams that the sender holds.
-    pub list: ListMark,
+    pub list: ListRevision,
     /// How long ago that revision was last confirmed to be the platform's, in milliseconds;
     /// `u32::MAX` when unknown.
     pub list_age_ms: u32,
@@ -268,7 +269,7 @@
     /// The time in the request.
     pub sent_ms: u64,
     /// The revision of the list of upstreams that the sender holds.
-    pub list: ListMark,
+    pub list: ListRevision,
     /// How long ago that revision was last confirmed to be the platform's, in milliseconds;
     /// `u32::MAX` when unknown.
     pub list_age_ms: u32,
@@ -293,7 +294,7 @@
     /// The revision of the roster that the sender holds.
     pub roster: RosterMark,
     /// The revision of the list of upstreams that the sender holds.
-    pub list: ListMark,
+    pub list: ListRevision,
     /// Shared prompt parts that the sender sent to another engine than rendezvous order gives.
     pub holders: Vec<HolderNote>,
     /// The position up to which the sender has received such notes of other VMs.
@@ -328,7 +329,7 @@
     /// The newest committed version; 0 for none.
     pub version: u64,
     /// The revision of the list of upstreams.
-    pub list: ListMark,
+    pub list: ListRevision,
     /// How long ago the leader read that revision or confirmed that it still is the platform's, in
     /// milliseconds.
     pub list_age_ms: u32,
--- a/lib/src/state/ids.rs
+++ b/lib/src/state/ids.rs
@@ -90,7 +90,7 @@
 
     /// The key of the incarnation of this name that was born then, in Unix milliseconds; a name
     /// without a birth is one incarnation. See `docs/design/identity.md`.
-    pub fn of_birth(name: &str, born: Option<u64>) -> UpstreamKey {
+    pub fn of_start(name: &str, born: Option<u64>) -> UpstreamKey {
         let Some(born) = born else { return UpstreamKey::of(name) };
         let mut bytes = Vec::with_capacity(name.len() + 1 + size_of::<u64>());
         bytes.extend_from_slice(name.as_bytes());
--- a/lib/src/state/kept_list.rs
+++ b/lib/src/state/kept_list.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::packed_text::PackedText;
-use super::upstream_list::{ListMark, UpstreamEntry};
+use super::upstream_list::{ListRevision, UpstreamEntry};
 
 /// The file's name, and that of the one which replaces it.
 const FILE: &str = "upstreams";
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptList {
     /// Which state it is.
-    pub mark: ListMark,
+    pub mark: ListRevision,
     /// The rows.
     pub rows: Vec<UpstreamEntry>,
 }
--- a/lib/src/state/list_reading.rs
+++ b/lib/src/state/list_reading.rs
@@ -2,7 +2,7 @@
 //!
 //! Entries may come from writers that we don't know, and one that can't be read must not cost the
 //! others. Invariants: what can't be read names no upstream to use; of two entries of one name the
-//! later born holds; an upstream that was known and is named still, but can't be read now, is neither
+//! later started_ms holds; an upstream that was known and is named still, but can't be read now, is neither
 //! gone nor used while others of its service are. See `docs/design/identity.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,18 +17,18 @@
     /// What is wrong, with its place; the first thing, where there are several.
     pub finding: Finding,
     /// The name, if that can be read.
-    pub life: Option<String>,
+    pub name: Option<String>,
     /// The birth, likewise.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The address, likewise.
     pub address: Option<SocketAddr>,
 }
 
-/// Whom entries that can't be read name, and with which births: by name, or by address where they give
+/// Whom entries that can't be read name, and with which starts: by name, or by address where they give
 /// no name. Found without a search: nothing bounds what other writers leave.
 #[derive(Default)]
 struct UnreadNames<'a> {
-    by_life: BTreeMap<&'a str, Vec<Option<u64>>>,
+    by_name: BTreeMap<&'a str, Vec<Option<u64>>>,
     by_address: BTreeMap<SocketAddr, Vec<Option<u64>>>,
 }
 
@@ -36,9 +36,9 @@
     fn of(unread: &[UnreadEntry]) -> UnreadNames<'_> {
         let mut names = UnreadNames::default();
         for entry in unread {
-            match (&entry.life, entry.address) {
-                (Some(life), _) => names.by_life.entry(life).or_default().push(entry.born),
-                (None, Some(at)) => names.by_address.entry(at).or_default().push(entry.born),
+            match (&entry.name, entry.address) {
+                (Some(name), _) => names.by_name.entry(name).or_default().push(entry.started_ms),
+                (None, Some(at)) => names.by_address.entry(at).or_default().push(entry.started_ms),
                 (None, None) => {}
             }
         }
@@ -46,10 +46,10 @@
     }
 
     fn include(&self, row: &UpstreamEntry) -> bool {
-        let same = |born: &Option<u64>| born.is_none() || *born == row.born;
-        let by_life = self.by_life.get(row.life.as_str());
-        let births = by_life.or_else(|| self.by_address.get(&row.address));
-        births.is_some_and(|births| births.iter().any(same))
+        let same = |started_ms: &Option<u64>| started_ms.is_none() || *started_ms == row.started_ms;
+        let by_name = self.by_name.get(row.name.as_str());
+        let starts = by_name.or_else(|| self.by_address.get(&row.address));
+        starts.is_some_and(|starts| starts.iter().any(same))
     }
 }
 
@@ -66,11 +66,11 @@
 
 /// What a reading shows, in view of what was known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SettledReading {
+pub struct ResolvedReading {
     /// The rows, one a name.
     pub rows: Vec<UpstreamEntry>,
-    /// Names that stood there with several births.
-    pub doubled: Vec<String>,
+    /// Names that stood there with several starts.
+    pub duplicates: Vec<String>,
 }
 
 impl ListReading {
@@ -87,14 +87,14 @@
 
     /// What the reading shows. `None` when it has entries and none can be read: that is no news of
     /// anyone, and what was known holds.
-    pub fn settle(&self, known: &UpstreamList) -> Option<SettledReading> {
+    pub fn resolve(&self, known: &UpstreamList) -> Option<ResolvedReading> {
         if self.rows.is_empty() && !self.unread.is_empty() {
             return None;
         }
-        let (mut rows, doubled) = later_born(&self.rows);
+        let (mut rows, duplicates) = latest_starts(&self.rows);
         let held = self.held(&rows, known);
         rows.extend(held);
-        Some(SettledReading { rows, doubled })
+        Some(ResolvedReading { rows, duplicates })
     }
 
     /// Known upstreams that are named by entries which can't be read, and by no other. They stay as
@@ -103,11 +103,11 @@
         if self.unread.is_empty() {
             return Vec::new();
         }
-        let read: BTreeSet<&str> = rows.iter().map(|row| row.life.as_str()).collect();
+        let read: BTreeSet<&str> = rows.iter().map(|row| row.name.as_str()).collect();
         let served: BTreeSet<&str> =
             rows.iter().filter(|row| row.takes_work()).map(|row| row.service.as_str()).collect();
         let names = UnreadNames::of(&self.unread);
-        let named = |row: &&UpstreamEntry| !read.contains(row.life.as_str()) && names.include(row);
+        let named = |row: &&UpstreamEntry| !read.contains(row.name.as_str()) && names.include(row);
         let hold = |row: &UpstreamEntry| {
             let doubt = match row.doubt {
                 EntryDoubt::State => EntryDoubt::State,
@@ -120,17 +120,17 @@
     }
 }
 
-/// One row a name, the later born of several; and the names that had several births.
-fn later_born(rows: &[UpstreamEntry]) -> (Vec<UpstreamEntry>, Vec<String>) {
-    let mut births: BTreeMap<&str, Option<u64>> = BTreeMap::new();
-    let mut doubled = BTreeSet::new();
+/// One row a name, the later started_ms of several; and the names that had several starts.
+fn latest_starts(rows: &[UpstreamEntry]) -> (Vec<UpstreamEntry>, Vec<String>) {
+    let mut starts: BTreeMap<&str, Option<u64>> = BTreeMap::new();
+    let mut duplicates = BTreeSet::new();
     for row in rows {
-        let born = births.entry(&row.life).or_insert(row.born);
-        if *born != row.born {
-            doubled.insert(row.life.clone());
+        let started_ms = starts.entry(&row.name).or_insert(row.started_ms);
+        if *started_ms != row.started_ms {
+            duplicates.insert(row.name.clone());
         }
-        *born = (*born).max(row.born);
+        *started_ms = (*started_ms).max(row.started_ms);
     }
-    let latest = rows.iter().filter(|row| births.get(row.life.as_str()) == Some(&row.born));
-    (latest.cloned().collect(), doubled.into_iter().collect())
+    let latest = rows.iter().filter(|row| starts.get(row.name.as_str()) == Some(&row.started_ms));
+    (latest.cloned().collect(), duplicates.into_iter().collect())
 }
--- a/lib/src/state/upstream_list.rs
+++ b/lib/src/state/upstream_list.rs
@@ -36,7 +36,7 @@
 pub struct UpstreamEntry {
     /// The name under which it is listed. Another incarnation under the same name has another
     /// `started_ms`.
-    pub life: String,
+    pub name: String,
     /// The service that it belongs to.
     pub service: String,
     /// The address on which it listens.
@@ -47,7 +47,7 @@
     pub leaving: bool,
     /// Its ring slot, that is, its position in the rendezvous order of engines; an incarnation that
     /// replaces another takes over its slot.
-    pub seat: Option<u64>,
+    pub ring_slot: Option<u64>,
     /// Whether it started or came back recently and can bear only little load yet.
     #[serde(default)]
     pub cold: bool,
@@ -56,7 +56,7 @@
     pub version: VersionKey,
     /// When it started, in Unix milliseconds; `None` if the list doesn't give it.
     #[serde(default)]
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// What the list leaves undetermined about it; unless this is `None`, it gets no new work.
     #[serde(default)]
     pub doubt: EntryDoubt,
@@ -65,7 +65,7 @@
 impl UpstreamEntry {
     /// The key of this incarnation.
     pub fn key(&self) -> UpstreamKey {
-        UpstreamKey::of_birth(&self.life, self.born)
+        UpstreamKey::of_start(&self.name, self.started_ms)
     }
 
     /// Whether it takes new work according to the list.
@@ -77,7 +77,7 @@
 /// Identifies one state of the list. The fields are in the order of comparison: a read by a leader
 /// of a later term wins, then the read that follows more changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListRevision {
     /// The term of the leader that read it; for a read without a leader, the term of the state
     /// before it.
     pub term: u64,
@@ -94,39 +94,39 @@
     /// Rows that were added or changed.
     pub rows: Vec<UpstreamEntry>,
     /// Incarnations that are no longer on the list.
-    pub gone: Vec<UpstreamKey>,
+    pub removed: Vec<UpstreamKey>,
 }
 
 impl ListChange {
     /// Whether the two states are equal.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty() && self.gone.is_empty()
+        self.rows.is_empty() && self.removed.is_empty()
     }
 
     /// Appends the change that follows this one.
     fn join(&mut self, next: &ListChange) {
         let named: HashSet<UpstreamKey> =
-            next.rows.iter().map(UpstreamEntry::key).chain(next.gone.iter().copied()).collect();
+            next.rows.iter().map(UpstreamEntry::key).chain(next.removed.iter().copied()).collect();
         self.rows.retain(|row| !named.contains(&row.key()));
-        self.gone.retain(|key| !named.contains(key));
+        self.removed.retain(|key| !named.contains(key));
         self.rows.extend_from_slice(&next.rows);
-        self.gone.extend_from_slice(&next.gone);
+        self.removed.extend_from_slice(&next.removed);
     }
 }
 
 /// A change of the list from one revision to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListStep {
+pub struct ListDelta {
     /// The revision before.
-    pub from: ListMark,
+    pub from: ListRevision,
     /// The revision after.
-    pub to: ListMark,
+    pub to: ListRevision,
     /// The rows that differ.
     pub change: ListChange,
 }
 
 /// Deltas that are kept for VMs that missed some. A VM that missed more receives the whole list.
-const STEPS_KEPT: usize = 32;
+const DELTAS_KEPT: usize = 32;
 
 /// All upstreams that a VM has in its list.
 #[derive(Clone, Debug, Default)]
@@ -137,105 +137,110 @@
     pub first_seen_ms: BTreeMap<UpstreamKey, u64>,
     /// When this was last confirmed to be the platform's list, in milliseconds of the VM's steady
     /// clock; 0 when it never was, as for a list loaded from disk.
-    pub news_ms: u64,
+    pub confirmed_ms: u64,
     /// The revision of this state.
-    pub mark: ListMark,
+    pub revision: ListRevision,
     /// How many incarnations were replaced by later ones under the same name.
     pub replaced: u64,
     /// The names of the incarnations that the last change replaced.
-    pub replaced_last: Vec<String>,
+    pub last_replaced: Vec<String>,
     /// The highest change number received in any revision. A leader that counted on from its own
     /// number alone would send revisions that other VMs have already passed, and they would reject
     /// its list.
-    heard_change: u64,
+    highest_change: u64,
     leaving: HashSet<UpstreamKey>,
-    steps: VecDeque<ListStep>,
+    deltas: VecDeque<ListDelta>,
 }
 
 impl UpstreamList {
     /// Whether a list has been read or received.
     pub fn is_held(&self) -> bool {
-        self.mark.change > 0
+        self.revision.change > 0
     }
 
     /// Replaces the rows by a list that VM `reader` read beginning at `began_ms`, as the leader of
     /// `term`, or without a leader when `term` is `None`. Returns the delta to send to the other
     /// VMs, if any. A new leader's first delta starts at the revision that the last leader sent.
-    pub fn read(
+    pub fn update_from_read(
         &mut self,
         rows: Vec<UpstreamEntry>,
         term: Option<u64>,
         reader: u32,
         began_ms: u64,
-    ) -> Option<ListStep> {
+    ) -> Option<ListDelta> {
         let change = self.replace(rows, began_ms);
-        self.news_ms = self.news_ms.max(began_ms);
-        let term = term.unwrap_or(self.mark.term).max(self.mark.term);
-        if change.is_empty() && self.mark.term == term && self.is_held() {
+        self.confirmed_ms = self.confirmed_ms.max(began_ms);
+        let term = term.unwrap_or(self.revision.term).max(self.revision.term);
+        if change.is_empty() && self.revision.term == term && self.is_held() {
             return None;
         }
-        let from = self.mark;
-        let to = ListMark { term, change: self.heard_change + 1, reader };
-        let step = ListStep { from, to, change };
-        self.note_step(step.clone());
-        Some(step)
+        let from = self.revision;
+        let to = ListRevision { term, change: self.highest_change + 1, reader };
+        let delta = ListDelta { from, to, change };
+        self.push_delta(delta.clone());
+        Some(delta)
     }
 
     /// Replaces the list by a whole one from another VM; does nothing and returns `false` unless
     /// its revision is higher.
-    pub fn take_whole(&mut self, mark: ListMark, rows: Vec<UpstreamEntry>, now_ms: u64) -> bool {
-        let newer = mark > self.mark;
+    pub fn take_whole(
+        &mut self,
+        revision: ListRevision,
+        rows: Vec<UpstreamEntry>,
+        now_ms: u64,
+    ) -> bool {
+        let newer = revision > self.revision;
         if newer {
             self.replace(rows, now_ms);
-            self.set_mark(mark);
-            self.steps.clear();
+            self.set_revision(revision);
+            self.deltas.clear();
         }
         newer
     }
 
-    /// Records that another VM confirmed revision `mark` to be the platform's list at
+    /// Records that another VM confirmed revision `revision` to be the platform's list at
     /// `confirmed_ms` of this VM's clock. Has no effect if this list is at another revision.
-    pub fn confirm(&mut self, mark: ListMark, news_ms: u64) {
-        if mark == self.mark && self.is_held() {
-            self.news_ms = self.news_ms.max(news_ms);
+    pub fn confirm(&mut self, revision: ListRevision, confirmed_ms: u64) {
+        if revision == self.revision && self.is_held() {
+            self.confirmed_ms = self.confirmed_ms.max(confirmed_ms);
         }
     }
 
-    /// Records that another VM holds revision `mark`.
-    pub fn hear(&mut self, mark: ListMark) {
-        self.heard_change = self.heard_change.max(mark.change);
+    /// Records that another VM holds revision `revision`.
+    pub fn note_revision(&mut self, revision: ListRevision) {
+        self.highest_change = self.highest_change.max(revision.change);
     }
 
     /// Applies a delta from another VM; returns `false` when it doesn't start at the revision held
     /// here.
-    pub fn follow(&mut self, step: ListStep, now_ms: u64) -> bool {
-        if step.from != self.mark || !self.is_held() || step.to <= self.mark {
+    pub fn apply_delta(&mut self, delta: ListDelta, now_ms: u64) -> bool {
+        if delta.from != self.revision || !self.is_held() || delta.to <= self.revision {
             return false;
         }
-        self.apply(&step.change, now_ms);
-        self.note_step(step);
+        self.apply(&delta.change, now_ms);
+        self.push_delta(delta);
         true
     }
 
     /// The delta from an earlier revision to this one, if it can be composed from those kept.
-    pub fn step_since(&self, have: ListMark) -> Option<ListStep> {
-        let first = self.steps.iter().position(|step| step.from == have && have.change > 0)?;
+    pub fn delta_since(&self, have: ListRevision) -> Option<ListDelta> {
+        let first = self.deltas.iter().position(|delta| delta.from == have && have.change > 0)?;
         let mut change = ListChange::default();
-        self.steps.range(first..).for_each(|step| change.join(&step.change));
-        Some(ListStep { from: have, to: self.mark, change })
+        self.deltas.range(first..).for_each(|delta| change.join(&delta.change));
+        Some(ListDelta { from: have, to: self.revision, change })
     }
 
-    fn set_mark(&mut self, mark: ListMark) {
-        self.mark = mark;
-        self.hear(mark);
+    fn set_revision(&mut self, revision: ListRevision) {
+        self.revision = revision;
+        self.note_revision(revision);
     }
 
-    fn note_step(&mut self, step: ListStep) {
-        self.set_mark(step.to);
-        if self.steps.len() == STEPS_KEPT {
-            self.steps.pop_front();
+    fn push_delta(&mut self, delta: ListDelta) {
+        self.set_revision(delta.to);
+        if self.deltas.len() == DELTAS_KEPT {
+            self.deltas.pop_front();
         }
-        self.steps.push_back(step);
+        self.deltas.push_back(delta);
     }
 
     /// Replaces all rows and returns the difference.
@@ -246,11 +251,12 @@
             row.leaving |= self.leaving.contains(&key);
             entries.insert(key, row);
         }
-        let gone = self.entries.keys().filter(|key| !entries.contains_key(key)).copied().collect();
-        let is_other =
+        let removed =
+            self.entries.keys().filter(|key| !entries.contains_key(key)).copied().collect();
+        let is_changed =
             |(key, row): &(UpstreamKey, UpstreamEntry)| self.entries.get(key) != Some(row);
-        let rows = entries.into_iter().filter(is_other).map(|(_, row)| row).collect();
-        let change = ListChange { rows, gone };
+        let rows = entries.into_iter().filter(is_changed).map(|(_, row)| row).collect();
+        let change = ListChange { rows, removed };
         self.apply(&change, now_ms);
         change
     }
@@ -258,9 +264,9 @@
     /// Applies a change to the rows that it names. The others aren't touched, since a list is long
     /// and changes are small.
     fn apply(&mut self, change: &ListChange, now_ms: u64) {
-        let mut gone_lives = BTreeSet::new();
-        for key in &change.gone {
-            gone_lives.extend(self.entries.remove(key).map(|row| row.life));
+        let mut removed_names = BTreeSet::new();
+        for key in &change.removed {
+            removed_names.extend(self.entries.remove(key).map(|row| row.name));
             self.first_seen_ms.remove(key);
             self.leaving.remove(key);
         }
@@ -273,18 +279,18 @@
             self.first_seen_ms.entry(key).or_insert(now_ms);
             self.entries.insert(key, row);
         }
-        self.note_replaced(&gone_lives);
+        self.note_replaced(&removed_names);
     }
 
     /// Records the names that are still on the list although an incarnation of theirs was removed.
-    fn note_replaced(&mut self, gone_lives: &BTreeSet<String>) {
-        self.replaced_last.clear();
-        if gone_lives.is_empty() {
+    fn note_replaced(&mut self, removed_names: &BTreeSet<String>) {
+        self.last_replaced.clear();
+        if removed_names.is_empty() {
             return;
         }
-        let again = self.entries.values().filter(|row| gone_lives.contains(&row.life));
-        self.replaced_last = again.map(|row| row.life.clone()).collect();
-        self.replaced += self.replaced_last.len() as u64;
+        let again = self.entries.values().filter(|row| removed_names.contains(&row.name));
+        self.last_replaced = again.map(|row| row.name.clone()).collect();
+        self.replaced += self.last_replaced.len() as u64;
     }
 
     /// Copies of all rows, for sending to another VM.
@@ -314,7 +320,7 @@
     }
 
     /// The upstreams of a service that take new work.
-    pub fn taking<'a>(
+    pub fn accepting<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = (UpstreamKey, &'a UpstreamEntry)> + 'a {
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -179,7 +179,7 @@
             UpstreamCandidate {
                 leaving: entry.leaving,
                 withheld,
-                seat: entry.seat,
+                seat: entry.ring_slot,
                 near: entry.zone == settings.zone,
                 first_seen_ms,
                 ..UpstreamCandidate::idle(key)
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -17,7 +17,7 @@
 use crate::protocol::vm_wire::{vm_address, GrantNote, RenewalNote, VmDatagram, VmId, VmMessage};
 use crate::state::ids::UpstreamKey;
 use crate::state::rollout_order::RolloutTable;
-use crate::state::upstream_list::ListMark;
+use crate::state::upstream_list::ListRevision;
 use crate::state::zone_order::ZoneOrders;
 
 /// What a leader sends of the roster: nothing to a VM that knows one, until it has led long
@@ -64,8 +64,8 @@
             sent_ms: note.sent_ms,
             term,
             version: record.document.version,
-            list: upstreams.mark,
-            list_age_ms: sent_age_ms(upstreams.news_ms, now_ms),
+            list: upstreams.revision,
+            list_age_ms: sent_age_ms(upstreams.confirmed_ms, now_ms),
             keepers: keeper.members().iter().map(|id| id.0).collect(),
             roster: roster_news(keeper, note.roster, now_ms),
             loads: self.shared_loads.borrow_mut().news(
@@ -110,9 +110,9 @@
 
     /// A VM holds this state of the list; a leader that holds a lower one takes it over, so that its
     /// own next one is above it.
-    fn hear_of_list(&self, from: VmId, mark: ListMark, now_ms: u64) {
-        self.upstreams.borrow_mut().hear(mark);
-        if self.leads(now_ms) && mark > self.upstreams.borrow().mark {
+    fn hear_of_list(&self, from: VmId, mark: ListRevision, now_ms: u64) {
+        self.upstreams.borrow_mut().note_revision(mark);
+        if self.leads(now_ms) && mark > self.upstreams.borrow().revision {
             self.want_list(from, now_ms);
         }
     }
@@ -132,10 +132,10 @@
         }
         let upstreams = self.upstreams.borrow();
         let service = |key| upstreams.entries.get(&key).map_or("", |entry| entry.service.as_str());
-        let fleet = |key| upstreams.taking(service(key)).map(|(key, _)| key);
+        let fleet = |key| upstreams.accepting(service(key)).map(|(key, _)| key);
         let mut desk = self.health.borrow_mut();
         for key in desk.table.take(term, notes, fleet, now_ms) {
-            let life = upstreams.entries.get(&key).map_or("", |entry| entry.life.as_str());
+            let life = upstreams.entries.get(&key).map_or("", |entry| entry.name.as_str());
             info!(target: "upstream", life, "fails for all VMs");
         }
         desk.table.named(now_ms)
@@ -190,7 +190,7 @@
         if self.contact.borrow_mut().wants_document(version, now_ms) {
             self.ask_document(from);
         }
-        if list > self.upstreams.borrow().mark {
+        if list > self.upstreams.borrow().revision {
             self.want_list(from, now_ms);
         }
         self.answer_askers();
@@ -216,7 +216,7 @@
         let upstreams = self.upstreams.borrow();
         match grant.loads {
             LoadNews::Keyed(loads) => view.reports.note(&loads, &own),
-            placed if grant.list == upstreams.mark => {
+            placed if grant.list == upstreams.revision => {
                 match placed.into_sums(upstreams.entries.len()) {
                     Some(sums) => view.reports.note_placed(upstreams.entries.keys(), &sums, &own),
                     None => debug!(target: "contact", "loads of another list"),
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -164,7 +164,7 @@
             let upstreams = self.upstreams.borrow();
             ListStanding {
                 first_heard_ms,
-                news_ms: upstreams.news_ms,
+                news_ms: upstreams.confirmed_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
                 has_list: upstreams.is_held(),
             }
@@ -181,7 +181,7 @@
     }
 
     fn note_stale(&self, now_ms: u64) {
-        let age_ms = now_ms.saturating_sub(self.upstreams.borrow().news_ms);
+        let age_ms = now_ms.saturating_sub(self.upstreams.borrow().confirmed_ms);
         let rank = self.reader_rank();
         info!(target: "list", age_ms, rank, "too old, is read without the leader");
     }
@@ -189,11 +189,11 @@
     /// What a reading shows, in view of what was known; says what of it can't be read.
     fn settle_reading(&self, reading: &ListReading) -> Result<Vec<UpstreamEntry>, ListFault> {
         self.note_unread(reading);
-        let settled = reading.settle(&self.upstreams.borrow());
+        let settled = reading.resolve(&self.upstreams.borrow());
         let nothing = || ListFault::Other("none of its entries can be read".to_string());
         let settled = settled.ok_or_else(nothing)?;
-        if !settled.doubled.is_empty() {
-            let lives = &settled.doubled;
+        if !settled.duplicates.is_empty() {
+            let lives = &settled.duplicates;
             info!(target: "list", ?lives, "stand there with several births, the later ones hold");
         }
         Ok(settled.rows)
@@ -218,7 +218,7 @@
 
     /// Logs which incarnations the last change replaced.
     pub(super) fn note_replaced(&self) {
-        let lives = std::mem::take(&mut self.upstreams.borrow_mut().replaced_last);
+        let lives = std::mem::take(&mut self.upstreams.borrow_mut().last_replaced);
         if !lives.is_empty() {
             let (count, lives) = (lives.len(), &lives[..lives.len().min(LIVES_NAMED)]);
             info!(target: "list", count, ?lives, "started again under their names");
@@ -279,7 +279,8 @@
         if seats != before {
             self.step_keeper(|keeper, now_ms| keeper.record_seats(seats.rows(), now_ms));
         }
-        let step = self.upstreams.borrow_mut().read(rows, Some(term), self.id, began_ms);
+        let step =
+            self.upstreams.borrow_mut().update_from_read(rows, Some(term), self.id, began_ms);
         if let Some(step) = step {
             self.send_list(step);
         }
@@ -293,7 +294,7 @@
         for row in rows {
             if seen.insert((row.service.as_str(), row.version)) {
                 let (service, version) = (&row.service, row.version);
-                info!(target: "list", service, %version, life = row.life, "has a new version");
+                info!(target: "list", service, %version, life = row.name, "has a new version");
             }
         }
     }
@@ -311,12 +312,12 @@
         let mut seats = SeatTable::default();
         if upstreams.is_held() {
             for row in &mut rows {
-                row.seat = upstreams.entries.get(&row.key()).and_then(|known| known.seat);
+                row.ring_slot = upstreams.entries.get(&row.key()).and_then(|known| known.ring_slot);
             }
         } else {
             seats.seat(&mut rows, &upstreams, &BTreeSet::new(), began_ms);
         }
-        upstreams.read(rows, None, self.id, began_ms);
+        upstreams.update_from_read(rows, None, self.id, began_ms);
     }
 
     async fn read_list(&self, alone: bool, refusals: u32) -> Result<ListReading, ListFault> {
--- a/lib/src/transport/vm_list_desk.rs
+++ b/lib/src/transport/vm_list_desk.rs
@@ -6,13 +6,13 @@
 
 use super::vm_disk::DiskJob;
 use crate::protocol::vm_wire::{NewsAsk, VmId};
-use crate::state::upstream_list::ListMark;
+use crate::state::upstream_list::ListRevision;
 
 /// Who waits for the list or for news of it, and what was done for that.
 #[derive(Default)]
 pub struct ListDesk {
     /// Who wants a newer state than this VM holds, and what they hold.
-    pub(super) wanting: BTreeMap<VmId, ListMark>,
+    pub(super) wanting: BTreeMap<VmId, ListRevision>,
     /// Questions that could not be answered yet, and when they came.
     pub(super) asking: BTreeMap<VmId, (NewsAsk, u64)>,
     /// When this VM asked last, and how often in a row.
@@ -24,7 +24,7 @@
     /// The thread that keeps the list on disk, at a keeper.
     pub disk: Option<Sender<DiskJob>>,
     /// What it was last given, and whether it is still at it.
-    pub(super) kept: ListMark,
+    pub(super) kept: ListRevision,
     pub(super) keeping: bool,
 }
 
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -14,7 +14,7 @@
 use crate::coordination::news_source::asks_holder;
 use crate::protocol::vm_wire::{NewsAsk, PeerNote, VmDatagram, VmId, VmMessage};
 use crate::state::kept_list::KeptList;
-use crate::state::upstream_list::{ListMark, ListStep, UpstreamEntry};
+use crate::state::upstream_list::{ListDelta, ListRevision, UpstreamEntry};
 
 /// The list isn't asked for again within this time while one is held, in milliseconds: whole lists
 /// asked for with every answer of the leader were what filled its link at 300 VMs.
@@ -52,7 +52,7 @@
         let not_leader = |id: &VmId| Some(*id) != leader || *id == self.id;
         let keepers: Vec<VmId> = view.keepers.iter().copied().filter(not_leader).collect();
         let rows = view.roster.rows.iter().map(|row| row.id).filter(not_leader);
-        let term = self.upstreams.borrow().mark.term;
+        let term = self.upstreams.borrow().revision.term;
         let mut order = reader_order(&keepers, rows.chain([self.id]), term);
         order.extend(leader.filter(|id| *id != self.id));
         order
@@ -84,8 +84,8 @@
             let upstreams = self.upstreams.borrow();
             NewsAsk {
                 sent_ms: now_ms,
-                list: upstreams.mark,
-                list_age_ms: sent_age_ms(upstreams.news_ms, now_ms),
+                list: upstreams.revision,
+                list_age_ms: sent_age_ms(upstreams.confirmed_ms, now_ms),
                 version_age_ms: sent_age_ms(self.contact.borrow().confirmed_ms(), now_ms),
             }
         };
@@ -110,8 +110,8 @@
             let (upstreams, contact) = (self.upstreams.borrow(), self.contact.borrow());
             PeerNote {
                 sent_ms: ask.sent_ms,
-                list: upstreams.mark,
-                list_age_ms: sent_age_ms(upstreams.news_ms, came_ms),
+                list: upstreams.revision,
+                list_age_ms: sent_age_ms(upstreams.confirmed_ms, came_ms),
                 version: contact.applied(),
                 version_age_ms: sent_age_ms(contact.confirmed_ms(), came_ms),
             }
@@ -137,7 +137,7 @@
                 self.ask_document(from);
             }
         }
-        if note.list > self.upstreams.borrow().mark {
+        if note.list > self.upstreams.borrow().revision {
             self.want_list(from, now_ms);
         }
         self.contact_changed.notify_waiters();
@@ -146,9 +146,9 @@
 
     /// Another VM answered a question of `sent_ms` that it held the state `mark` then, and how long
     /// before that was surely the platform's.
-    pub(super) fn take_list_age(&self, mark: ListMark, sent_ms: u64, age_ms: u32) {
+    pub(super) fn take_list_age(&self, mark: ListRevision, sent_ms: u64, age_ms: u32) {
         let mut upstreams = self.upstreams.borrow_mut();
-        upstreams.hear(mark);
+        upstreams.note_revision(mark);
         if age_ms < u32::MAX {
             upstreams.confirm(mark, sent_ms.saturating_sub(u64::from(age_ms)));
         }
@@ -158,7 +158,7 @@
     /// its way. A keeper of the own zone is asked first, since many ask at once; `holder` has it surely, and
     /// is asked by a leader, which no other VM can give anything newer.
     pub(super) fn want_list(&self, holder: VmId, now_ms: u64) {
-        let have = self.upstreams.borrow().mark;
+        let have = self.upstreams.borrow().revision;
         let held = self.upstreams.borrow().is_held();
         let again_ms = match (self.links.is_receiving_large(), held) {
             (true, _) => WANT_LARGE_MS,
@@ -182,21 +182,23 @@
     }
 
     /// Answers a VM that wants a newer state than it holds, now or once there is one.
-    pub(super) fn give_list(&self, to: VmId, have: ListMark) {
+    pub(super) fn give_list(&self, to: VmId, have: ListRevision) {
         let upstreams = self.upstreams.borrow();
-        if upstreams.mark <= have {
+        if upstreams.revision <= have {
             self.list_desk.borrow_mut().wanting.insert(to, have);
             return;
         }
-        match upstreams.step_since(have) {
+        match upstreams.delta_since(have) {
             Some(step) => {
                 let marks = (step.from, step.to);
-                let make = || VmMessage::ListStep(step);
+                let make = || VmMessage::ListDelta(step);
                 self.links.send_shared(to, "list_step", marks, &self.step_frame, make);
             }
-            None => self.links.send_shared(to, "list", upstreams.mark, &self.list_frame, || {
-                VmMessage::List { mark: upstreams.mark, rows: upstreams.rows() }
-            }),
+            None => {
+                self.links.send_shared(to, "list", upstreams.revision, &self.list_frame, || {
+                    VmMessage::List { mark: upstreams.revision, rows: upstreams.rows() }
+                })
+            }
         }
     }
 
@@ -220,9 +222,9 @@
 
     /// Sends the others a list that changed, or a new leader's first. What is large goes to the
     /// keepers alone: the others hear of its mark with their next grant and ask those of their zones.
-    pub(super) fn send_list(&self, step: ListStep) {
+    pub(super) fn send_list(&self, step: ListDelta) {
         let upstreams = self.upstreams.borrow().entries.len();
-        let changed = step.change.rows.len() + step.change.gone.len();
+        let changed = step.change.rows.len() + step.change.removed.len();
         info!(target: "list", upstreams, changed, change = step.to.change, "changed");
         let view = self.view.borrow();
         let not_own = |id: &VmId| *id != self.id;
@@ -231,20 +233,20 @@
             let whole = VmMessage::List { mark: step.to, rows: self.upstreams.borrow().rows() };
             self.links.send_all(keepers, &whole);
         } else if changed > MOST_PUSHED_ROWS {
-            self.links.send_all(keepers, &VmMessage::ListStep(step));
+            self.links.send_all(keepers, &VmMessage::ListDelta(step));
         } else {
             let others = view.roster.rows.iter().map(|row| row.id).filter(not_own);
-            self.links.send_all(others, &VmMessage::ListStep(step));
+            self.links.send_all(others, &VmMessage::ListDelta(step));
         }
     }
 
     /// Takes a step that another VM sent; asks that VM if it doesn't fit what is here.
-    pub(super) fn take_list_step(&self, from: VmId, step: ListStep) {
-        let have = self.upstreams.borrow().mark;
+    pub(super) fn take_list_step(&self, from: VmId, step: ListDelta) {
+        let have = self.upstreams.borrow().revision;
         if step.to <= have {
             return;
         }
-        if self.upstreams.borrow_mut().follow(step, self.now_ms()) {
+        if self.upstreams.borrow_mut().apply_delta(step, self.now_ms()) {
             self.note_received();
         } else {
             self.links.send(from, &VmMessage::WantList { have });
@@ -252,7 +254,7 @@
     }
 
     /// Takes a whole list that another VM sent, or that was kept on disk.
-    pub(super) fn take_list(&self, mark: ListMark, rows: Vec<UpstreamEntry>) {
+    pub(super) fn take_list(&self, mark: ListRevision, rows: Vec<UpstreamEntry>) {
         if self.upstreams.borrow_mut().take_whole(mark, rows, self.now_ms()) {
             self.note_received();
         }
@@ -266,7 +268,7 @@
             desk.found.clear();
         }
         self.view.borrow_mut().list_attempts = 0;
-        self.upstreams.borrow_mut().replaced_last.clear();
+        self.upstreams.borrow_mut().last_replaced.clear();
         self.contact_changed.notify_waiters();
         self.answer_askers();
     }
@@ -275,14 +277,14 @@
     pub(super) fn keep_on_disk(&self) {
         let upstreams = self.upstreams.borrow();
         let mut desk = self.list_desk.borrow_mut();
-        if desk.keeping || !upstreams.is_held() || desk.kept == upstreams.mark {
+        if desk.keeping || !upstreams.is_held() || desk.kept == upstreams.revision {
             return;
         }
-        let list = KeptList { mark: upstreams.mark, rows: upstreams.rows() };
+        let list = KeptList { mark: upstreams.revision, rows: upstreams.rows() };
         let sent =
             desk.disk.as_ref().is_some_and(|disk| disk.send(DiskJob::KeepList(list)).is_ok());
         if sent {
-            (desk.keeping, desk.kept) = (true, upstreams.mark);
+            (desk.keeping, desk.kept) = (true, upstreams.revision);
         }
     }
 }
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -169,7 +169,7 @@
                 let keys = upstreams.entries.keys();
                 keys.filter(|key| outliers.is_aside(**key, now_ms)).count() as u64
             }
-            "wingshed_list_age_ms" => now_ms.saturating_sub(upstreams.news_ms),
+            "wingshed_list_age_ms" => now_ms.saturating_sub(upstreams.confirmed_ms),
             "wingshed_leads" => u64::from(self.leads(now_ms)),
             "wingshed_term" => keeper.as_ref().map_or(0, |keeper| keeper.term()),
             "wingshed_voters" => keeper.as_ref().map_or(0, |keeper| keeper.voters() as u64),
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -48,7 +48,7 @@
 use crate::state::ids::{Incarnation, KeeperId, UpstreamKey};
 use crate::state::packed_text::PackedText;
 use crate::state::route_table::RouteTable;
-use crate::state::upstream_list::{ListMark, UpstreamList};
+use crate::state::upstream_list::{ListRevision, UpstreamList};
 use crate::state::vm_figures::VmFigures;
 use crate::state::vm_settings::VmSettings;
 
@@ -186,9 +186,9 @@
     /// Bytes to and from other VMs, by kind of message.
     pub wire: Rc<WireCount>,
     /// The list of upstreams as a frame, when VMs have asked for the whole.
-    pub list_frame: RefCell<Option<(ListMark, Bytes)>>,
+    pub list_frame: RefCell<Option<(ListRevision, Bytes)>>,
     /// The last step that VMs have asked for as a frame, and from which state to which it leads.
-    pub step_frame: RefCell<Option<((ListMark, ListMark), Bytes)>>,
+    pub step_frame: RefCell<Option<((ListRevision, ListRevision), Bytes)>>,
     /// Who asked for the list, or for news of it, in vain.
     pub list_desk: RefCell<ListDesk>,
     /// VMs that looked for a leader here while this VM was none, at a keeper.
@@ -478,7 +478,7 @@
                 self.take_document_change(from, before, version, &change);
             }
             VmMessage::WantList { have } => self.give_list(from, have),
-            VmMessage::ListStep(step) => self.take_list_step(from, step),
+            VmMessage::ListDelta(step) => self.take_list_step(from, step),
             VmMessage::List { mark, rows } => self.take_list(mark, rows),
         }
     }
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -237,7 +237,7 @@
             info!(
                 target: "rollout", attempt, service, to = row.order.target,
                 number = row.order.number, phase = ?row.phase, why = tag.reason.text(),
-                life = entry.life, sent_target = counts.target.sent, sent_all = counts.sent(),
+                life = entry.name, sent_target = counts.target.sent, sent_all = counts.sent(),
                 "goes to the version that is rolled out",
             );
         }
@@ -331,7 +331,7 @@
             hold_ms: self.mean_hold_ms(service),
             ..TargetStanding::default()
         };
-        for (key, entry) in upstreams.taking(service) {
+        for (key, entry) in upstreams.accepting(service) {
             let able = !entry.cold
                 && !zones.watch.is_emptied(&entry.zone)
                 && !silence.view.is_dark(key, now_ms);
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -50,7 +50,7 @@
         let now_ms = self.node.now_ms();
         let upstreams = self.node.upstreams.borrow();
         let Some(entry) = upstreams.entries.get(&upstream) else { return };
-        let fleet = upstreams.taking(&entry.service).map(|(key, _)| key);
+        let fleet = upstreams.accepting(&entry.service).map(|(key, _)| key);
         self.node.figures.borrow_mut().signs += 1;
         let mut outliers = self.node.outliers.borrow_mut();
         match fault {
@@ -61,7 +61,7 @@
         }
         self.note_outcome(upstream, false);
         info!(
-            target: "upstream", life = entry.life, attempt = self.caller.attempt,
+            target: "upstream", life = entry.name, attempt = self.caller.attempt,
             aside = outliers.is_aside(upstream, now_ms), "{what}",
         );
     }
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -186,7 +186,7 @@
         let lives = |keys: &[UpstreamKey], without: &[UpstreamKey]| -> Vec<String> {
             let upstreams = self.upstreams.borrow();
             let other = keys.iter().filter(|key| !without.contains(key));
-            other.filter_map(|key| Some(upstreams.entries.get(key)?.life.clone())).collect()
+            other.filter_map(|key| Some(upstreams.entries.get(key)?.name.clone())).collect()
         };
         let (fresh, back) = (lives(&dark, &before), lives(&before, &dark));
         info!(target: "silence", dark = dark.len(), ?fresh, ?back, "changed");
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -102,7 +102,7 @@
             return false;
         }
         let lag_ms = self.settings.borrow().list.lag_ms;
-        let news_ms = self.upstreams.borrow().news_ms;
+        let news_ms = self.upstreams.borrow().confirmed_ms;
         entry.cold || self.zones.borrow().watch.may_be_cold(&entry.zone, news_ms, lag_ms)
     }
 
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -17,21 +17,21 @@
 use wingshed_lib::state::ids::UpstreamKey;
 use wingshed_lib::state::rollout_order::VersionKey;
 use wingshed_lib::state::upstream_list::{
-    EntryDoubt, ListMark, ListStep, UpstreamEntry, UpstreamList,
+    EntryDoubt, ListDelta, ListRevision, UpstreamEntry, UpstreamList,
 };
 use wingshed_lib::state::zero_runs::{pack_zeros, unpack_zeros};
 
 fn entry(number: u16, leaving: bool) -> UpstreamEntry {
     UpstreamEntry {
-        life: format!("life-{number}"),
+        name: format!("life-{number}"),
         service: "engines".to_string(),
         address: SocketAddr::from(([10, 0, 0, 1], 1000 + number)),
         zone: "a".to_string(),
         leaving,
-        seat: Some(u64::from(number)),
+        ring_slot: Some(u64::from(number)),
         cold: false,
         version: VersionKey::default(),
-        born: None,
+        started_ms: None,
         doubt: EntryDoubt::None,
     }
 }
@@ -45,8 +45,13 @@
 const LONE: u32 = 3;
 
 /// What a leader reads.
-fn lead(list: &mut UpstreamList, rows: Vec<UpstreamEntry>, term: u64, ms: u64) -> Option<ListStep> {
-    list.read(rows, Some(term), LEADER, ms)
+fn lead(
+    list: &mut UpstreamList,
+    rows: Vec<UpstreamEntry>,
+    term: u64,
+    ms: u64,
+) -> Option<ListDelta> {
+    list.update_from_read(rows, Some(term), LEADER, ms)
 }
 
 fn row(id: u32, ready: bool) -> RosterRow {
@@ -57,7 +62,7 @@
 fn leader_and_follower() -> (UpstreamList, UpstreamList) {
     let (mut leader, mut follower) = (UpstreamList::default(), UpstreamList::default());
     lead(&mut leader, entries(&[1, 2]), 1, 0).expect("a first list is news");
-    follower.take_whole(leader.mark, leader.rows(), 0);
+    follower.take_whole(leader.revision, leader.rows(), 0);
     (leader, follower)
 }
 
@@ -69,10 +74,10 @@
     let nothing = lead(&mut leader, vec![entry(2, true), entry(3, false)], 1, 20);
 
     assert_eq!(step.change.rows, [entry(2, true), entry(3, false)]);
-    assert_eq!(step.change.gone, [entry(1, false).key()]);
+    assert_eq!(step.change.removed, [entry(1, false).key()]);
     assert!(nothing.is_none(), "an unchanged list is no news");
-    assert!(follower.follow(step, 10));
-    assert_eq!((follower.mark, follower.rows()), (leader.mark, leader.rows()));
+    assert!(follower.apply_delta(step, 10));
+    assert_eq!((follower.revision, follower.rows()), (leader.revision, leader.rows()));
 }
 
 #[test]
@@ -83,8 +88,8 @@
     let step = lead(&mut heir, entries(&[1, 2]), 2, 10).expect("a new term is news");
 
     assert!(step.change.is_empty(), "nothing but the term has changed");
-    assert!(other.follow(step, 10));
-    assert_eq!(other.mark, heir.mark);
+    assert!(other.apply_delta(step, 10));
+    assert_eq!(other.revision, heir.revision);
 }
 
 #[test]
@@ -92,7 +97,9 @@
     type Act = fn(&mut UpstreamList);
     let cases: [(&str, Act); 3] = [
         ("it missed a step", |list| drop(lead(list, entries(&[9]), 1, 5))),
-        ("it read another list itself", |list| drop(list.read(entries(&[1]), None, LONE, 5))),
+        ("it read another list itself", |list| {
+            drop(list.update_from_read(entries(&[1]), None, LONE, 5))
+        }),
         ("it was told nothing yet", |list| *list = UpstreamList::default()),
     ];
     for (case, act) in cases {
@@ -102,7 +109,7 @@
 
         let step = lead(&mut leader, entries(&[2, 3]), 1, 10).expect("news");
 
-        assert!(!follower.follow(step, 10), "{case}");
+        assert!(!follower.apply_delta(step, 10), "{case}");
         assert_eq!(follower.rows(), before, "{case}");
     }
 }
@@ -112,24 +119,24 @@
     let (mut leader, mut follower) = leader_and_follower();
     for number in 3..9 {
         let step = lead(&mut leader, entries(&[1, number]), 1, 10).expect("news");
-        assert!(follower.follow(step, 10));
+        assert!(follower.apply_delta(step, 10));
     }
     // It could not vouch for a moment, while a reading was under way.
-    leader.read(entries(&[1]), None, LEADER, 20);
+    leader.update_from_read(entries(&[1]), None, LEADER, 20);
 
     lead(&mut leader, vec![entry(1, true)], 1, 30).expect("news");
-    let taken = follower.take_whole(leader.mark, leader.rows(), 30);
+    let taken = follower.take_whole(leader.revision, leader.rows(), 30);
 
-    assert!(taken, "{:?} after {:?}", leader.mark, follower.mark);
+    assert!(taken, "{:?} after {:?}", leader.revision, follower.revision);
     assert!(follower.rows()[0].leaving);
 }
 
 #[test]
 fn an_older_whole_list_takes_nothing_back() {
     let (mut leader, mut follower) = leader_and_follower();
-    let old = (leader.mark, leader.rows());
+    let old = (leader.revision, leader.rows());
     let step = lead(&mut leader, entries(&[2, 3]), 1, 10).expect("news");
-    follower.follow(step, 10);
+    follower.apply_delta(step, 10);
 
     assert!(!follower.take_whole(old.0, old.1, 20));
     assert_eq!(follower.rows(), leader.rows());
@@ -340,19 +347,19 @@
 fn what_a_lone_reader_found_unchanged_stays_what_the_leader_told() {
     let (mut leader, mut follower) = leader_and_follower();
 
-    let step = follower.read(entries(&[1, 2]), None, LONE, 500);
+    let step = follower.update_from_read(entries(&[1, 2]), None, LONE, 500);
 
     assert!(step.is_none(), "the list is as it was told: no whole list is needed later");
-    assert_eq!((follower.mark, follower.news_ms), (leader.mark, 500));
+    assert_eq!((follower.revision, follower.confirmed_ms), (leader.revision, 500));
     let step = lead(&mut leader, entries(&[1, 3]), 1, 900).expect("news");
-    assert!(follower.follow(step, 900));
+    assert!(follower.apply_delta(step, 900));
 }
 
 #[test]
 fn a_leaders_older_list_does_not_replace_what_was_read_without_it() {
     let (mut leader, mut follower) = leader_and_follower();
-    let told = (leader.mark, leader.rows());
-    follower.read(vec![entry(1, true), entry(2, false)], None, LONE, 500);
+    let told = (leader.revision, leader.rows());
+    follower.update_from_read(vec![entry(1, true), entry(2, false)], None, LONE, 500);
 
     assert!(!follower.take_whole(told.0, told.1, 600), "the leader's is older");
     ask(&mut leader, &mut follower, 700);
@@ -360,31 +367,31 @@
     let leaves = leader.rows().iter().any(|row| row.leaving);
     assert!(leaves, "it takes over what was read without it");
     let step = lead(&mut leader, entries(&[2]), 1, 900).expect("news");
-    assert!(follower.follow(step, 900), "and goes on from there");
+    assert!(follower.apply_delta(step, 900), "and goes on from there");
 }
 
 #[test]
 fn two_that_read_without_a_leader_end_alike() {
     let (mut one, mut other) = leader_and_follower();
-    one.read(entries(&[1, 5]), None, 11, 500);
-    other.read(entries(&[1, 6]), None, 12, 500);
-    assert_ne!(one.mark, other.mark);
+    one.update_from_read(entries(&[1, 5]), None, 11, 500);
+    other.update_from_read(entries(&[1, 6]), None, 12, 500);
+    assert_ne!(one.revision, other.revision);
 
     ask(&mut one, &mut other, 600);
 
-    assert_eq!((one.mark, one.rows()), (other.mark, other.rows()));
+    assert_eq!((one.revision, one.rows()), (other.revision, other.rows()));
 }
 
 #[test]
 fn only_who_holds_the_same_state_learns_its_age() {
     let (mut leader, mut follower) = leader_and_follower();
-    leader.read(entries(&[1, 2]), Some(1), LEADER, 400);
+    leader.update_from_read(entries(&[1, 2]), Some(1), LEADER, 400);
 
-    follower.confirm(leader.mark, 400);
-    follower.confirm(leader.mark, 300);
-    follower.confirm(ListMark { term: 9, change: 9, reader: 9 }, 800);
+    follower.confirm(leader.revision, 400);
+    follower.confirm(leader.revision, 300);
+    follower.confirm(ListRevision { term: 9, change: 9, reader: 9 }, 800);
 
-    assert_eq!(follower.news_ms, 400);
+    assert_eq!(follower.confirmed_ms, 400);
 }
 
 #[test]
@@ -484,12 +491,12 @@
 
 /// Two VMs that hold different states tell each other so; who holds the lower takes the other's.
 fn ask(one: &mut UpstreamList, other: &mut UpstreamList, now_ms: u64) {
-    one.hear(other.mark);
-    other.hear(one.mark);
-    let (from, to) = if one.mark > other.mark { (one, other) } else { (other, one) };
-    match from.step_since(to.mark) {
-        Some(step) => to.follow(step, now_ms),
-        None => to.take_whole(from.mark, from.rows(), now_ms),
+    one.note_revision(other.revision);
+    other.note_revision(one.revision);
+    let (from, to) = if one.revision > other.revision { (one, other) } else { (other, one) };
+    match from.delta_since(to.revision) {
+        Some(step) => to.apply_delta(step, now_ms),
+        None => to.take_whole(from.revision, from.rows(), now_ms),
     };
 }
 
@@ -528,13 +535,13 @@
         happenings in happenings(),
     ) {
         let (mut leader, mut follower) = leader_and_follower();
-        let (mut term, mut lost): (u64, Option<ListStep>) = (1, None);
+        let (mut term, mut lost): (u64, Option<ListDelta>) = (1, None);
         for (at, happening) in happenings.into_iter().enumerate() {
             let now_ms = at as u64;
             match happening {
                 Happening::Read(list, heard) => match lead(&mut leader, entries(&list), term, now_ms) {
                     Some(step) if heard => {
-                        follower.follow(step, now_ms);
+                        follower.apply_delta(step, now_ms);
                     }
                     step => lost = step.or(lost),
                 },
@@ -544,23 +551,23 @@
                     lead(&mut leader, rows, term, now_ms);
                 }
                 Happening::Alone(list) => {
-                    follower.read(entries(&list), None, LONE, now_ms);
+                    follower.update_from_read(entries(&list), None, LONE, now_ms);
                 }
                 Happening::LeaderAlone(list) => {
-                    leader.read(entries(&list), None, LEADER, now_ms);
+                    leader.update_from_read(entries(&list), None, LEADER, now_ms);
                     lead(&mut leader, entries(&list), term, now_ms);
                 }
                 Happening::Late => {
-                    lost.take().map(|step| follower.follow(step, now_ms));
+                    lost.take().map(|step| follower.apply_delta(step, now_ms));
                 }
                 Happening::Ask => ask(&mut leader, &mut follower, now_ms),
             }
-            if follower.mark == leader.mark {
+            if follower.revision == leader.revision {
                 prop_assert_eq!(follower.rows(), leader.rows());
             }
         }
         ask(&mut leader, &mut follower, 1000);
-        prop_assert_eq!((follower.mark, follower.rows()), (leader.mark, leader.rows()));
+        prop_assert_eq!((follower.revision, follower.rows()), (leader.revision, leader.rows()));
     }
 
     #[test]
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -22,7 +22,7 @@
 use wingshed_lib::state::ids::UpstreamKey;
 use wingshed_lib::state::prompt_part::PromptPart;
 use wingshed_lib::state::upstream_list::{
-    EntryDoubt, ListChange, ListMark, ListStep, UpstreamEntry, UpstreamList,
+    EntryDoubt, ListChange, ListDelta, ListRevision, UpstreamEntry, UpstreamList,
 };
 
 const ZONES: u32 = 5;
@@ -37,22 +37,22 @@
 fn upstream(number: u32) -> UpstreamEntry {
     let [a, b, c, _] = number.to_le_bytes();
     UpstreamEntry {
-        life: format!("life-{number}"),
+        name: format!("life-{number}"),
         service: "engines".to_string(),
         address: SocketAddr::from(([10, c, b, a], 8000)),
         zone: "a".to_string(),
         leaving: false,
-        seat: Some(u64::from(number)),
+        ring_slot: Some(u64::from(number)),
         cold: false,
         version: Default::default(),
-        born: None,
+        started_ms: None,
         doubt: EntryDoubt::None,
     }
 }
 
 fn list_of(upstreams: u32) -> UpstreamList {
     let mut list = UpstreamList::default();
-    list.read((0..upstreams).map(upstream).collect(), Some(1), 1, 0);
+    list.update_from_read((0..upstreams).map(upstream).collect(), Some(1), 1, 0);
     list
 }
 
@@ -81,7 +81,7 @@
     shared: &mut SharedLoads,
     roster: &VmRoster,
     list: &UpstreamList,
-    have: ListMark,
+    have: ListRevision,
     now_ms: u64,
 ) -> LoadNews {
     shared.news(|| roster.loads(), loads_shared_ms(roster.len()), list, have, now_ms)
@@ -91,8 +91,8 @@
     let list = list_of(10 * vms);
     let roster = busy_roster(vms, &list, IN_FLIGHT);
     let mut shared = SharedLoads::default();
-    let placed = encode(&load_news(&mut shared, &roster, &list, list.mark, 0)).len();
-    let keyed = encode(&load_news(&mut shared, &roster, &list, ListMark::default(), 0)).len();
+    let placed = encode(&load_news(&mut shared, &roster, &list, list.revision, 0)).len();
+    let keyed = encode(&load_news(&mut shared, &roster, &list, ListRevision::default(), 0)).len();
     (placed, keyed)
 }
 
@@ -111,7 +111,7 @@
     let list = list_of(240);
     let roster = busy_roster(300, &list, 2.0);
 
-    let news = load_news(&mut SharedLoads::default(), &roster, &list, ListMark::default(), 0);
+    let news = load_news(&mut SharedLoads::default(), &roster, &list, ListRevision::default(), 0);
 
     let LoadNews::Keyed(loads) = news else { panic!("{news:?}") };
     assert_eq!(loads, roster.loads());
@@ -126,7 +126,7 @@
         let renewing = (0..vms).filter(|id| now_ms % RENEW_MS == u64::from(id * 7) % RENEW_MS);
         for id in renewing {
             roster.note(vm(id), None, Vec::new(), now_ms);
-            load_news(&mut shared, &roster, &list, list.mark, now_ms);
+            load_news(&mut shared, &roster, &list, list.revision, now_ms);
         }
     }
     shared.sums()
@@ -148,7 +148,7 @@
 
     for requests in [5, 6] {
         roster.note(vm(1), None, load(requests), 0);
-        let news = load_news(&mut shared, &roster, &list, ListMark::default(), 0);
+        let news = load_news(&mut shared, &roster, &list, ListRevision::default(), 0);
         let LoadNews::Keyed(loads) = news else { panic!("{news:?}") };
         assert_eq!(loads, load(requests));
     }
@@ -240,16 +240,16 @@
 fn rows_copied(upstreams: u32) -> usize {
     let mut list = list_of(upstreams);
     let places = |list: &UpstreamList| -> BTreeSet<(UpstreamKey, usize)> {
-        list.entries.iter().map(|(key, row)| (*key, row.life.as_ptr() as usize)).collect()
+        list.entries.iter().map(|(key, row)| (*key, row.name.as_ptr() as usize)).collect()
     };
     let before = places(&list);
     let leaving = |number| UpstreamEntry { leaving: true, ..upstream(number) };
     let change =
-        ListChange { rows: (0..10).map(leaving).collect(), gone: vec![upstream(20).key()] };
-    let to = ListMark { change: list.mark.change + 1, ..list.mark };
-    let step = ListStep { from: list.mark, to, change };
+        ListChange { rows: (0..10).map(leaving).collect(), removed: vec![upstream(20).key()] };
+    let to = ListRevision { change: list.revision.change + 1, ..list.revision };
+    let step = ListDelta { from: list.revision, to, change };
 
-    assert!(list.follow(step, 1000));
+    assert!(list.apply_delta(step, 1000));
 
     assert_eq!(list.entries.len() as u32, upstreams - 1);
     assert_eq!(list.entries.values().filter(|row| row.leaving).count(), 10);
@@ -304,11 +304,11 @@
         let service = if number == 2 { "others" } else { "engines" };
         UpstreamEntry { service: service.to_string(), ..upstream(number) }
     });
-    list.read(rows.collect(), Some(1), 1, 500);
+    list.update_from_read(rows.collect(), Some(1), 1, 500);
 
     let seen = list.seen_of_service("engines").map(|(key, entry, at_ms)| {
         assert_eq!(key, entry.key());
-        (entry.life.as_str(), at_ms)
+        (entry.name.as_str(), at_ms)
     });
 
     let seen: BTreeSet<(&str, u64)> = seen.collect();
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -20,15 +20,15 @@
 
 fn entry(life: &str, born: Option<u64>) -> UpstreamEntry {
     UpstreamEntry {
-        life: life.to_string(),
+        name: life.to_string(),
         service: "s".to_string(),
         address: "10.0.0.1:1".parse().unwrap(),
         zone: "z".to_string(),
         leaving: false,
-        seat: None,
+        ring_slot: None,
         cold: false,
         version: VersionKey::default(),
-        born,
+        started_ms: born,
         doubt: EntryDoubt::None,
     }
 }
@@ -48,13 +48,13 @@
 /// A list as it was read once.
 fn list(rows: &[UpstreamEntry]) -> UpstreamList {
     let mut list = UpstreamList::default();
-    list.read(rows.to_vec(), Some(1), READER, 1000);
+    list.update_from_read(rows.to_vec(), Some(1), READER, 1000);
     list
 }
 
 fn unread(life: Option<&str>, born: Option<u64>) -> UnreadEntry {
     let finding = Finding { path: "$".to_string(), line: None, text: "is odd".to_string() };
-    UnreadEntry { finding, life: life.map(str::to_string), born, address: None }
+    UnreadEntry { finding, name: life.map(str::to_string), started_ms: born, address: None }
 }
 
 fn reading(rows: &[UpstreamEntry], unread: &[UnreadEntry]) -> ListReading {
@@ -63,8 +63,8 @@
 
 /// The rows that a reading leaves, by name.
 fn settled(reading: &ListReading, known: &UpstreamList) -> Vec<UpstreamEntry> {
-    let mut rows = reading.settle(known).expect("something of it was read").rows;
-    rows.sort_by(|a, b| a.life.cmp(&b.life));
+    let mut rows = reading.resolve(known).expect("something of it was read").rows;
+    rows.sort_by(|a, b| a.name.cmp(&b.name));
     rows
 }
 
@@ -80,9 +80,9 @@
 fn an_upstream_that_left_and_is_born_again_takes_work() {
     let mut known = list(&[leaving(entry("i", Some(1)))]);
 
-    known.read(vec![entry("i", Some(2))], Some(1), READER, 2000);
+    known.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000);
 
-    assert_eq!(known.taking("s").count(), 1);
+    assert_eq!(known.accepting("s").count(), 1);
 }
 
 #[test]
@@ -90,9 +90,9 @@
     for born in [None, Some(1)] {
         let mut known = list(&[leaving(entry("i", born))]);
 
-        known.read(vec![entry("i", born)], Some(1), READER, 2000);
+        known.update_from_read(vec![entry("i", born)], Some(1), READER, 2000);
 
-        assert_eq!(known.taking("s").count(), 0, "born {born:?}");
+        assert_eq!(known.accepting("s").count(), 0, "born {born:?}");
     }
 }
 
@@ -100,10 +100,10 @@
 fn a_step_in_which_one_name_is_gone_and_new_leads_to_the_new_incarnation() {
     let mut leader = list(&[leaving(entry("i", Some(1)))]);
     let mut follower = UpstreamList::default();
-    follower.take_whole(leader.mark, leader.rows(), 1000);
-    let step = leader.read(vec![entry("i", Some(2))], Some(1), READER, 2000).unwrap();
+    follower.take_whole(leader.revision, leader.rows(), 1000);
+    let step = leader.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000).unwrap();
 
-    assert!(follower.follow(step, 2000));
+    assert!(follower.apply_delta(step, 2000));
 
     assert_eq!(follower.rows(), [entry("i", Some(2))]);
 }
@@ -112,11 +112,11 @@
 fn steps_that_are_joined_name_the_last_of_several_incarnations() {
     let mut leader = list(&[entry("i", Some(1))]);
     let mut follower = UpstreamList::default();
-    follower.take_whole(leader.mark, leader.rows(), 1000);
-    leader.read(vec![entry("i", Some(2))], Some(1), READER, 2000);
-    leader.read(vec![entry("i", Some(3))], Some(1), READER, 3000);
+    follower.take_whole(leader.revision, leader.rows(), 1000);
+    leader.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000);
+    leader.update_from_read(vec![entry("i", Some(3))], Some(1), READER, 3000);
 
-    follower.follow(leader.step_since(follower.mark).unwrap(), 3000);
+    follower.apply_delta(leader.delta_since(follower.revision).unwrap(), 3000);
 
     assert_eq!(follower.rows(), [entry("i", Some(3))]);
 }
@@ -125,9 +125,9 @@
 fn incarnations_that_are_replaced_are_counted_and_other_newcomers_are_not() {
     let mut known = list(&[entry("a", Some(1)), entry("b", Some(1))]);
 
-    known.read(vec![entry("a", Some(2)), entry("c", Some(2))], Some(1), READER, 2000);
+    known.update_from_read(vec![entry("a", Some(2)), entry("c", Some(2))], Some(1), READER, 2000);
 
-    assert_eq!((known.replaced, known.replaced_last), (1, vec!["a".to_string()]));
+    assert_eq!((known.replaced, known.last_replaced), (1, vec!["a".to_string()]));
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let folder = tempfile::tempdir().unwrap();
     let known = list(&[entry("i", Some(7))]);
 
-    write_kept(folder.path(), &KeptList { mark: known.mark, rows: known.rows() }).unwrap();
+    write_kept(folder.path(), &KeptList { mark: known.revision, rows: known.rows() }).unwrap();
 
     let kept = read_kept(folder.path()).unwrap().unwrap();
     assert_eq!(kept.rows, known.rows());
@@ -145,7 +145,8 @@
 fn a_row_that_was_kept_before_births_were_known_has_none() {
     let row = entry("i", None);
     let version = VersionKey::default();
-    let kept = (&row.life, &row.service, row.address, &row.zone, false, row.seat, false, version);
+    let kept =
+        (&row.name, &row.service, row.address, &row.zone, false, row.ring_slot, false, version);
 
     let bytes = rmp_serde::to_vec(&kept).unwrap();
 
@@ -156,11 +157,11 @@
 fn a_birth_that_is_read_after_a_list_from_disk_begins_anew() {
     let mut known = UpstreamList::default();
     let kept = list(&[leaving(entry("i", Some(1)))]);
-    known.take_whole(kept.mark, kept.rows(), 1000);
+    known.take_whole(kept.revision, kept.rows(), 1000);
 
-    known.read(vec![entry("i", Some(2))], Some(2), READER, 2000);
+    known.update_from_read(vec![entry("i", Some(2))], Some(2), READER, 2000);
 
-    assert_eq!(known.taking("s").count(), 1);
+    assert_eq!(known.accepting("s").count(), 1);
 }
 
 #[test]
@@ -170,7 +171,7 @@
     let mut table = SeatTable::default();
     let mut rows = vec![a, b];
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
-    let seats: Vec<_> = rows.iter().map(|row| row.seat).collect();
+    let seats: Vec<_> = rows.iter().map(|row| row.ring_slot).collect();
     let known = list(&rows);
     // A newcomer stands before the two that start again, and one of their seats is the first vacant.
     let mut rows = vec![
@@ -181,7 +182,7 @@
 
     table.seat(&mut rows, &known, &BTreeSet::new(), 1500);
 
-    assert_eq!(rows[1..].iter().map(|row| row.seat).collect::<Vec<_>>(), seats);
+    assert_eq!(rows[1..].iter().map(|row| row.ring_slot).collect::<Vec<_>>(), seats);
 }
 
 #[test]
@@ -225,7 +226,7 @@
 fn a_vm_with_an_older_list_tells_nothing_against_the_new_incarnation() {
     let others = ["a", "b", "c", "d"].map(|name| entry(name, None));
     let known = list(&[&others[..], &[entry("i", Some(2))]].concat());
-    let fleet = |_| known.taking("s").map(|(key, _)| key).collect::<Vec<_>>().into_iter();
+    let fleet = |_| known.accepting("s").map(|(key, _)| key).collect::<Vec<_>>().into_iter();
     let named = |born| {
         let mut table = HealthTable::default();
         let upstream = entry("i", Some(born)).key();
@@ -240,10 +241,10 @@
 fn two_vms_that_know_different_incarnations_agree_on_the_newer_list() {
     let mut newer = list(&[entry("i", Some(1))]);
     let mut older = newer.clone();
-    newer.read(vec![entry("i", Some(2))], Some(1), READER, 2000);
+    newer.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000);
 
-    assert!(!newer.take_whole(older.mark, older.rows(), 2100), "the older one is not taken");
-    older.take_whole(newer.mark, newer.rows(), 2100);
+    assert!(!newer.take_whole(older.revision, older.rows(), 2100), "the older one is not taken");
+    older.take_whole(newer.revision, newer.rows(), 2100);
 
     assert_eq!(older.rows(), newer.rows());
 }
@@ -252,9 +253,9 @@
 fn of_two_entries_of_one_name_the_later_born_holds() {
     let (early, late) = (entry("i", Some(1)), entry("i", Some(2)));
     for rows in [[late.clone(), early.clone()], [early, late.clone()]] {
-        let told = reading(&rows, &[]).settle(&UpstreamList::default()).unwrap();
+        let told = reading(&rows, &[]).resolve(&UpstreamList::default()).unwrap();
 
-        assert_eq!((told.rows, told.doubled), (vec![late.clone()], vec!["i".to_string()]));
+        assert_eq!((told.rows, told.duplicates), (vec![late.clone()], vec!["i".to_string()]));
     }
 }
 
@@ -262,7 +263,7 @@
 fn a_reading_of_which_nothing_can_be_read_is_no_news() {
     let known = list(&[entry("i", Some(1))]);
 
-    assert_eq!(reading(&[], &[unread(None, None)]).settle(&known), None);
+    assert_eq!(reading(&[], &[unread(None, None)]).resolve(&known), None);
 }
 
 #[test]
@@ -312,9 +313,9 @@
     let mut known = list(&[a, other.clone()]);
     let rows = settled(&reading(&[other], &[unread(Some("a"), None)]), &known);
 
-    known.read(rows, Some(1), READER, 2000);
+    known.update_from_read(rows, Some(1), READER, 2000);
 
-    assert_eq!(known.taking("s").count(), 0);
+    assert_eq!(known.accepting("s").count(), 0);
 }
 
 #[test]
@@ -351,11 +352,11 @@
 fn a_doubt_ends_with_the_next_entry_that_is_read() {
     for doubt in [EntryDoubt::State, EntryDoubt::Unread] {
         let mut known = list(&[doubtful(doubt, entry("i", Some(1)))]);
-        let before = known.taking("s").count();
+        let before = known.accepting("s").count();
 
-        known.read(vec![entry("i", Some(1))], Some(1), READER, 2000);
+        known.update_from_read(vec![entry("i", Some(1))], Some(1), READER, 2000);
 
-        assert_eq!((before, known.taking("s").count()), (0, 1), "{doubt:?} is not sticky");
+        assert_eq!((before, known.accepting("s").count()), (0, 1), "{doubt:?} is not sticky");
     }
 }
 
@@ -364,7 +365,7 @@
     let mut table = SeatTable::default();
     let mut rows = vec![entry("a", Some(1))];
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
-    let (seat, known) = (rows[0].seat, list(&rows));
+    let (seat, known) = (rows[0].ring_slot, list(&rows));
     let mut rows = vec![
         at("10.0.0.9:1", entry("b", Some(2))),
         doubtful(EntryDoubt::Unread, entry("a", Some(1))),
@@ -372,7 +373,7 @@
 
     table.seat(&mut rows, &known, &BTreeSet::new(), 90_000);
 
-    assert_eq!((rows[1].seat, rows[0].seat == seat), (seat, false));
+    assert_eq!((rows[1].ring_slot, rows[0].ring_slot == seat), (seat, false));
 }
 
 #[test]
@@ -382,5 +383,5 @@
 
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
 
-    assert_eq!(rows[0].seat, None);
+    assert_eq!(rows[0].ring_slot, None);
 }
--- a/lib/tests/test_list_keeping.rs
+++ b/lib/tests/test_list_keeping.rs
@@ -8,22 +8,22 @@
 };
 use wingshed_lib::state::kept_list::{read_kept, write_kept, KeptList};
 use wingshed_lib::state::rollout_order::VersionKey;
-use wingshed_lib::state::upstream_list::{EntryDoubt, ListMark, UpstreamEntry};
+use wingshed_lib::state::upstream_list::{EntryDoubt, ListRevision, UpstreamEntry};
 
 fn list(upstreams: u16, change: u64) -> KeptList {
     let row = |number: u16| UpstreamEntry {
-        life: format!("i-{:010x}", u64::from(number) * 0x9e37_79b9),
+        name: format!("i-{:010x}", u64::from(number) * 0x9e37_79b9),
         service: "engines-of-one-kind".to_string(),
         address: SocketAddr::from(([10, 3, 0, 1], 1000 + number)),
         zone: "north-a".to_string(),
         leaving: number % 7 == 0,
-        seat: Some(u64::from(number)),
+        ring_slot: Some(u64::from(number)),
         cold: false,
         version: VersionKey::default(),
-        born: None,
+        started_ms: None,
         doubt: EntryDoubt::None,
     };
-    let mark = ListMark { term: 3, change, reader: 5 };
+    let mark = ListRevision { term: 3, change, reader: 5 };
     KeptList { mark, rows: (0..upstreams).map(row).collect() }
 }
 
--- a/lib/tests/test_rollouts.rs
+++ b/lib/tests/test_rollouts.rs
@@ -17,15 +17,15 @@
 
 fn entry(life: &str, version: &str) -> UpstreamEntry {
     UpstreamEntry {
-        life: life.to_string(),
+        name: life.to_string(),
         service: "s1".to_string(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: "a".to_string(),
         leaving: false,
-        seat: None,
+        ring_slot: None,
         cold: false,
         version: VersionKey::of(version),
-        born: None,
+        started_ms: None,
         doubt: EntryDoubt::None,
     }
 }
@@ -166,10 +166,10 @@
     let upstreams = upstreams();
     for able in 4..8 {
         let seen = upstreams.iter().map(|(entry, seen_ms)| (entry, *seen_ms));
-        let life = &upstreams[able].0.life;
-        let rule = watch.rule("s1", RolloutLane::Trial, seen, |entry| entry.life == *life, 9000);
+        let life = &upstreams[able].0.name;
+        let rule = watch.rule("s1", RolloutLane::Trial, seen, |entry| entry.name == *life, 9000);
         let taking = upstreams.iter().filter(|(entry, _)| !rule.withholds(entry));
-        let lives: Vec<&str> = taking.map(|(entry, _)| entry.life.as_str()).collect();
+        let lives: Vec<&str> = taking.map(|(entry, _)| entry.name.as_str()).collect();
         assert_eq!(lives, [life.as_str()], "the others' zones are emptied");
     }
 }
--- a/lib/tests/test_vm_decisions.rs
+++ b/lib/tests/test_vm_decisions.rs
@@ -330,27 +330,27 @@
 
 fn entry(life: &str, address: &str, leaving: bool) -> UpstreamEntry {
     UpstreamEntry {
-        life: life.to_string(),
+        name: life.to_string(),
         service: "s".to_string(),
         address: address.parse::<SocketAddr>().unwrap(),
         zone: "z".to_string(),
         leaving,
-        seat: None,
+        ring_slot: None,
         cold: false,
         version: VersionKey::default(),
-        born: None,
+        started_ms: None,
         doubt: EntryDoubt::None,
     }
 }
 
 fn seat_of(list: &UpstreamList, life: &str) -> Option<u64> {
-    list.entries.get(&UpstreamKey::of(life)).and_then(|entry| entry.seat)
+    list.entries.get(&UpstreamKey::of(life)).and_then(|entry| entry.ring_slot)
 }
 
 fn take(table: &mut SeatTable, list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64) {
     let mut rows = rows.to_vec();
     table.seat(&mut rows, list, &BTreeSet::new(), now_ms);
-    list.read(rows, None, 9, now_ms);
+    list.update_from_read(rows, None, 9, now_ms);
 }
 
 #[test]
@@ -401,7 +401,7 @@
     let mut take_patiently = |list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64| {
         let mut rows = rows.to_vec();
         table.seat(&mut rows, list, &patient, now_ms);
-        list.read(rows, None, 9, now_ms);
+        list.update_from_read(rows, None, 9, now_ms);
     };
 
     take_patiently(&mut list, &[a.clone(), b.clone(), c.clone()], 2000);
@@ -464,14 +464,14 @@
 #[test]
 fn leaving_is_sticky_for_a_life() {
     let mut list = UpstreamList::default();
-    assert!(list.read(vec![entry("a", "10.0.0.1:1", true)], None, 9, 1).is_some());
+    assert!(list.update_from_read(vec![entry("a", "10.0.0.1:1", true)], None, 9, 1).is_some());
     assert!(
-        list.read(vec![entry("a", "10.0.0.1:1", false)], None, 9, 2).is_none(),
+        list.update_from_read(vec![entry("a", "10.0.0.1:1", false)], None, 9, 2).is_none(),
         "a list that lags"
     );
-    assert_eq!(list.taking("s").count(), 0);
-    list.read(vec![entry("a2", "10.0.0.1:1", false)], None, 9, 3);
-    assert_eq!(list.taking("s").count(), 1);
+    assert_eq!(list.accepting("s").count(), 0);
+    list.update_from_read(vec![entry("a2", "10.0.0.1:1", false)], None, 9, 3);
+    assert_eq!(list.accepting("s").count(), 1);
 }
 
 #[test]
--- a/lib/tests/test_vm_links.rs
+++ b/lib/tests/test_vm_links.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, LocalSet};
 use wingshed_lib::protocol::vm_wire::{encode_frame, VmId, VmMessage};
-use wingshed_lib::state::upstream_list::{EntryDoubt, ListMark, UpstreamEntry};
+use wingshed_lib::state::upstream_list::{EntryDoubt, ListRevision, UpstreamEntry};
 use wingshed_lib::transport::vm_links::LinkTable;
 use wingshed_lib::transport::wire_count::WireCount;
 
@@ -29,18 +29,18 @@
 
 fn whole_list(upstreams: u64) -> VmMessage {
     let row = |number: u64| UpstreamEntry {
-        life: format!("{:x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        name: format!("{:x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         service: "engines".to_string(),
         address: ([10, 0, 0, 1], 8000).into(),
         zone: "a".to_string(),
         leaving: false,
-        seat: Some(number.wrapping_mul(0xd134_2543_de82_ef95)),
+        ring_slot: Some(number.wrapping_mul(0xd134_2543_de82_ef95)),
         cold: false,
         version: Default::default(),
-        born: None,
+        started_ms: None,
         doubt: EntryDoubt::None,
     };
-    VmMessage::List { mark: ListMark::default(), rows: (0..upstreams).map(row).collect() }
+    VmMessage::List { mark: ListRevision::default(), rows: (0..upstreams).map(row).collect() }
 }
 
 /// A VM that gives one whole list to another, whose end of the link a test reads by itself.
