--- a/lib/src/state/body_end.rs
+++ b/lib/src/state/body_end.rs
@@ -1,22 +1,22 @@
-//! What delimits the body of an answer, and where it stopped.
+//! The framing of an answer's body, and the place at which the body ended.
 
-/// What delimits a body.
+/// The framing of a body, that is, what marks its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// Its length, which may be none.
+    /// The body ends after a given length, which may be 0.
     Length,
-    /// Chunks, of which the last is empty.
+    /// The body is a series of chunks, the last of which is empty.
     Chunked,
-    /// The end of the connection, which a process that crashes ends, too.
+    /// The body ends with the connection, which a crash of the process ends as well.
     Connection,
 }
 
 impl BodyFraming {
-    /// All of them, in the order of the counters.
+    /// All framings, in the order of the counters.
     pub const ALL: [BodyFraming; 3] =
         [BodyFraming::Length, BodyFraming::Chunked, BodyFraming::Connection];
 
-    /// Its name in figures and logs.
+    /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             BodyFraming::Length => "length",
@@ -26,10 +26,10 @@
     }
 }
 
-/// Where a body stopped.
+/// The place at which a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// On a boundary of events, or it is no series of events.
+    /// Between two events, or the body isn't a series of events.
     Boundary,
     /// Inside an event.
     InsideEvent,
@@ -38,10 +38,10 @@
 }
 
 impl BodyEnd {
-    /// All of them, in the order of the counters.
+    /// All places, in the order of the counters.
     pub const ALL: [BodyEnd; 3] = [BodyEnd::Boundary, BodyEnd::InsideEvent, BodyEnd::NoEvent];
 
-    /// Its name in figures and logs.
+    /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             BodyEnd::Boundary => "boundary",
--- a/lib/src/state/chat_memory.rs
+++ b/lib/src/state/chat_memory.rs
@@ -1,24 +1,24 @@
-//! Which engines hold a chat's prefix, as far as a home router knows.
+//! The engines that hold a chat's prefix, as far as the chat's home router knows.
 //!
-//! Bounded: the least recently used chats are forgotten first. What an engine's
-//! cache events leave open is kept as "perhaps" and never as "surely".
+//! The memory is bounded: the least recently used chats are removed first. Once cache events of an
+//! engine were lost, its holders are uncertain and never count as certain again.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::ids::{ChatKey, Incarnation, UpstreamKey};
 
-/// How many holders of one chat are remembered.
+/// The most holders of one chat that are kept.
 pub const HOLDERS_KEPT: usize = 4;
 
-/// After so many gaps nothing is expected of a holder.
+/// After this many gaps in an engine's events, nothing is expected to be left in its cache.
 const GAPS_TO_FORGET: f64 = 256.0;
 
-/// How sure it is that a holder still has the prefix.
+/// How certain it is that a holder still has the prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HolderCertainty {
-    /// Events were missed since: it may have been dropped.
+    /// Events were lost since the chat was served, so that its drop may have been missed.
     Perhaps,
-    /// Served there, and no event says otherwise.
+    /// The chat was served there, and no event has reported its drop since.
     Surely,
 }
 
@@ -27,11 +27,11 @@
 pub struct ChatHolder {
     /// The engine.
     pub engine: UpstreamKey,
-    /// The engine's life at that time.
+    /// The incarnation of the engine that served the chat.
     pub incarnation: Incarnation,
-    /// The prompt tokens that it held after serving.
+    /// The prompt tokens that the engine held after serving the chat.
     pub tokens: u32,
-    /// The engine's gap counter when this was noted.
+    /// The engine's gap counter at the time of serving.
     gap_epoch: u32,
 }
 
@@ -41,7 +41,7 @@
     used: u64,
 }
 
-/// The memory of one home router.
+/// The prefix holders of the chats of one home router.
 #[derive(Clone, Debug)]
 pub struct ChatMemory {
     capacity: usize,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Notes that `engine` served `chat` and now holds `tokens` of it.
+    /// Records that `engine` served `chat` and now holds `tokens` of it.
     pub fn note(&mut self, chat: ChatKey, engine: UpstreamKey, life: Incarnation, tokens: u32) {
         let gap_epoch = self.gap_epochs.get(&engine).copied().unwrap_or(0);
         self.clock += 1;
@@ -83,15 +83,15 @@
         }
     }
 
-    /// The holders of a chat, the latest first.
+    /// The holders of a chat, the most recent first.
     pub fn holders(&self, chat: ChatKey) -> &[ChatHolder] {
         self.chats.get(&chat).map_or(&[], |record| &record.holders)
     }
 
-    /// The tokens that a holder is expected to have still.
+    /// The number of tokens that a holder is expected to have still.
     ///
-    /// Each gap may hide one drop, and an engine holds some hundreds of chats; so one gap makes
-    /// little difference to one chat, and many make it worthless.
+    /// Each gap may hide one drop, and an engine holds some hundreds of chats. So one gap hardly
+    /// lowers the expectation for one chat, and many gaps make it worthless.
     pub fn expected_tokens(&self, holder: &ChatHolder) -> u32 {
         let gaps = self.gap_epochs.get(&holder.engine).copied().unwrap_or(0);
         let missed = gaps.saturating_sub(holder.gap_epoch) as f64;
@@ -99,12 +99,12 @@
         (holder.tokens as f64 * share) as u32
     }
 
-    /// An engine reported its life; what an earlier life held is gone.
+    /// Records the incarnation of an engine. What an earlier incarnation held is lost.
     pub fn set_life(&mut self, engine: UpstreamKey, life: Incarnation) {
         self.lives.insert(engine, life);
     }
 
-    /// How sure a holder is; `None` when the life that served the chat is over.
+    /// The certainty of a holder; `None` when the incarnation that served the chat is gone.
     pub fn certainty(&self, holder: &ChatHolder) -> Option<HolderCertainty> {
         let life = self.lives.get(&holder.engine);
         if life.is_some_and(|life| *life != holder.incarnation) {
@@ -117,24 +117,24 @@
         }
     }
 
-    /// An engine said that it dropped a chat.
+    /// Records that an engine dropped a chat.
     pub fn drop_holder(&mut self, chat: ChatKey, engine: UpstreamKey) {
         if let Some(record) = self.chats.get_mut(&chat) {
             record.holders.retain(|holder| holder.engine != engine);
         }
     }
 
-    /// Some of an engine's events were lost: all that is known of it becomes "perhaps".
+    /// Records that events of an engine were lost, which makes all its holders uncertain.
     pub fn note_gap(&mut self, engine: UpstreamKey) {
         *self.gap_epochs.entry(engine).or_default() += 1;
     }
 
-    /// How many chats are remembered.
+    /// The number of chats that are kept.
     pub fn len(&self) -> usize {
         self.chats.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no chat is kept.
     pub fn is_empty(&self) -> bool {
         self.chats.is_empty()
     }
--- a/lib/src/state/configuration.rs
+++ b/lib/src/state/configuration.rs
@@ -1,8 +1,7 @@
-//! The configuration: what is in force on every router, as named entries in
-//! five sections. A change is a list of entry operations, so that a change to
-//! one of 48,000 workspaces costs the bytes of one entry on every wire.
+//! The configuration of the routers: named entries in five sections.
 //!
-//! See `docs/design/changes.md`.
+//! A change is a list of operations on entries, so that a change to one of 48,000 workspaces
+//! transmits one entry only. See `docs/design/changes.md`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Section {
-    /// Groups of upstreams that serve the same thing.
+    /// Groups of interchangeable upstreams.
     Fleets,
-    /// Single servers.
+    /// The servers of the fleets.
     Upstreams,
     /// Customers of the operator.
     Workspaces,
@@ -31,7 +30,7 @@
 }
 
 impl Section {
-    /// Every section, in the order a document is written.
+    /// All sections, in the order in which a document is written.
     pub const ALL: [Section; 5] = [
         Section::Fleets,
         Section::Upstreams,
@@ -52,83 +51,84 @@
     }
 }
 
-/// What kind of server a fleet is made of.
+/// The kind of server that a fleet consists of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FleetKind {
-    /// Model engines, which take chats.
+    /// Model engines, which serve chats.
     Engine,
-    /// Plain upstreams, which take any request.
+    /// Plain upstreams, which serve any request.
     Plain,
 }
 
-/// A group of upstreams and the rules for spreading work over it.
+/// A group of upstreams and the rules for distributing requests among them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetEntry {
-    /// Engines or plain servers.
+    /// Whether the servers are engines or plain upstreams.
     pub kind: FleetKind,
-    /// No upstream is given work at or above this multiple of the fleet's mean.
+    /// An upstream gets no further work once its load reaches this multiple of the fleet's mean.
     pub multiple: f64,
-    /// At most this share of the fleet is set aside on passive health checks at once.
+    /// The largest share of the fleet that passive health checks may eject at the same time.
     pub set_aside_share: f64,
-    /// Requests that may wait at one router.
+    /// The most requests that may wait at one router.
     pub queue: usize,
-    /// Requests that one engine is given at once, at the most: as many as it runs together, so
-    /// that what waits does so at its home, where classes and workspaces take turns.
+    /// The most requests that one engine is given at the same time. It should be the number that
+    /// the engine runs concurrently, so that further requests wait at the engine's home router,
+    /// where they are scheduled fairly by class and workspace.
     pub requests_per_engine: u32,
-    /// Whether the upstreams check the fence of an order themselves.
+    /// Whether the upstreams check the fencing token of an order themselves.
     pub checks_fence: bool,
-    /// What computing and moving KV costs on its engines.
+    /// The costs of computing and transferring KV cache on its engines.
     pub rates: MoveRates,
 }
 
-/// The rates of a fleet of engines, measured by the operator.
+/// The rates of a fleet of engines, as measured by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MoveRates {
-    /// Prompt tokens that an engine computes in a millisecond.
+    /// Prompt tokens that an engine computes per millisecond.
     pub prefill_per_ms: f64,
-    /// Tokens of KV that travel between engines in a millisecond; 0 when they do not.
+    /// Tokens of KV cache that are transferred between engines per millisecond; 0 if they can't be.
     pub import_per_ms: f64,
-    /// What an import costs before its first byte, in milliseconds.
+    /// The time before an import delivers its first byte, in milliseconds.
     pub import_start_ms: f64,
 }
 
-/// Rates without imports.
+/// The default rates, which exclude imports.
 pub const NO_IMPORT_RATES: MoveRates =
     MoveRates { prefill_per_ms: 8.0, import_per_ms: 0.0, import_start_ms: 30.0 };
 
-/// One server.
+/// A server of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// The fleet it belongs to.
+    /// The fleet that it belongs to.
     pub fleet: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// An operator lets it drain: it takes no new work.
+    /// Whether an operator drains it, so that it gets no new work.
     pub draining: bool,
 }
 
-/// A customer, its key and its limits.
+/// A customer with its key and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceEntry {
     /// SHA-256 of the key, in hex; the key itself is never stored.
     pub key_hash: String,
-    /// The policy that steers its requests.
+    /// The policy that is applied to its requests.
     pub policy: String,
-    /// Requests a second, sustained.
+    /// The sustained request rate, in requests per second.
     pub rate: u64,
-    /// Requests in flight at one router.
+    /// The most requests in flight at one router.
     pub in_flight: u64,
-    /// Its share beside other workspaces of the same class.
+    /// Its weight among the workspaces of the same class.
     pub weight: u64,
 }
 
 /// A policy program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyEntry {
-    /// The program's text.
+    /// The source code of the program.
     pub source: String,
 }
 
@@ -139,7 +139,7 @@
     pub key_hash: String,
 }
 
-/// One entry of any section, checked. Unchanged entries are shared between versions.
+/// A validated entry of any section.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigEntry {
     /// See [`FleetEntry`].
@@ -154,7 +154,7 @@
     Operator(OperatorEntry),
 }
 
-/// One operation of a change.
+/// An operation of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryOperation {
     /// Adds or replaces an entry.
@@ -175,7 +175,8 @@
     },
 }
 
-/// The configuration at one version. Immutable; a change makes a new one.
+/// The configuration of one version. It is immutable; a change creates a new one, which shares the
+/// unchanged entries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     /// Rises by one with each accepted change.
@@ -184,7 +185,8 @@
     pub fleets: BTreeMap<String, Arc<FleetEntry>>,
     /// Upstreams by name.
     pub upstreams: BTreeMap<String, Arc<UpstreamEntry>>,
-    /// Workspaces by name. Hashed: the largest section, read for each request.
+    /// Workspaces by name. Uses a hash map, since it is the largest section and is read for each
+    /// request.
     pub workspaces: HashMap<String, Arc<WorkspaceEntry>>,
     /// Policies by name.
     pub policies: BTreeMap<String, Arc<PolicyEntry>>,
@@ -192,13 +194,13 @@
     pub operators: BTreeMap<String, Arc<OperatorEntry>>,
 }
 
-/// SHA-256 in hex, the form in which keys are stored.
+/// The SHA-256 hash of a key in hex, which is the form in which keys are stored.
 pub fn hash_key(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
 
 impl Configuration {
-    /// An entry as it stands in a document.
+    /// An entry in the form that it has in a document.
     pub fn value_of(&self, section: Section, name: &str) -> Option<Value> {
         fn to_value<T: Serialize>(entry: Option<&Arc<T>>) -> Option<Value> {
             entry.and_then(|entry| serde_json::to_value(entry.as_ref()).ok())
@@ -212,7 +214,7 @@
         }
     }
 
-    /// The names in a section, in order.
+    /// The names in a section, sorted.
     pub fn names(&self, section: Section) -> Vec<String> {
         let mut names: Vec<String> = match section {
             Section::Fleets => self.fleets.keys().cloned().collect(),
@@ -257,10 +259,10 @@
         operations
     }
 
-    /// Applies operations into a new configuration at `version`, or every finding.
+    /// Applies operations and returns a new configuration at `version`, or all findings.
     ///
-    /// References are checked against the result, so the order of the operations
-    /// within one change does not matter.
+    /// References are checked in the result, so that the order of the operations within one change
+    /// does not matter.
     pub fn apply(
         &self,
         version: u64,
@@ -313,7 +315,8 @@
         }
     }
 
-    /// Workspaces are re-checked only when they or a policy changed: there may be 48,000.
+    /// Checks that all referenced entries exist. Workspaces are checked only if they changed or a
+    /// policy was removed, since there may be 48,000 of them.
     fn check_references(
         &self,
         operations: &[EntryOperation],
@@ -415,7 +418,7 @@
     }
 }
 
-/// A document may give the key itself, which is hashed on reading, or its hash.
+/// Reads a key's hash. A document may contain the hash, or the key itself, which is then hashed.
 fn read_key_hash(reader: &mut ObjectReader<'_>, list: &mut FindingList) -> String {
     if let Some(key) = reader.optional_text("key", list) {
         return hash_key(&key);
@@ -428,12 +431,13 @@
     hash.to_ascii_lowercase()
 }
 
-/// Reads a whole document into a configuration at version 0, or every finding.
+/// Reads a document into a configuration at version 0; returns all findings if it is invalid.
 pub fn read_configuration(text: &str) -> Result<Configuration, Vec<Finding>> {
     read_configuration_with(text, |_, _| {})
 }
 
-/// The same, after `prepare` has changed the document or added findings of its own.
+/// Like [`read_configuration`], but calls `prepare` first, which may change the document or add
+/// findings.
 pub fn read_configuration_with(
     text: &str,
     prepare: impl FnOnce(&mut Value, &mut FindingList),
--- a/lib/src/state/connect_count.rs
+++ b/lib/src/state/connect_count.rs
@@ -1,22 +1,22 @@
-//! How many connections to upstreams a VM opened, and why no other served.
+//! Counts of the connections that a VM opened to upstreams, by cause.
 
-/// Why a connection is opened.
+/// The reason why a request needed a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectCause {
-    /// This VM had none to this life of the upstream.
+    /// The VM had no connection to this incarnation of the upstream before.
     First,
-    /// Those that it has are in use.
+    /// All open connections are in use.
     Busy,
-    /// The last one had rested for its time.
+    /// The last one had reached its idle time-out.
     Rested,
     /// The upstream closed the last one.
     Closed,
-    /// This VM cut the last one in the middle of an answer.
+    /// The VM closed the last one in the middle of an answer.
     Cut,
 }
 
 impl ConnectCause {
-    /// All of them, in the order of the counters.
+    /// All causes, in the order of the counters.
     pub const ALL: [ConnectCause; 5] = [
         ConnectCause::First,
         ConnectCause::Busy,
@@ -25,7 +25,7 @@
         ConnectCause::Cut,
     ];
 
-    /// Its name in figures.
+    /// The name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             ConnectCause::First => "first",
@@ -37,19 +37,19 @@
     }
 }
 
-/// Connections that were opened since the VM's start.
+/// The number of connections opened since the VM started, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectCount {
     counts: [u64; ConnectCause::ALL.len()],
 }
 
 impl ConnectCount {
-    /// One was opened.
+    /// Counts a connection that was opened.
     pub fn note(&mut self, cause: ConnectCause) {
         self.counts[cause as usize] += 1;
     }
 
-    /// How many were opened for this cause.
+    /// The number of connections opened for this cause.
     pub fn opened(&self, cause: ConnectCause) -> u64 {
         self.counts[cause as usize]
     }
--- a/lib/src/state/document_change.rs
+++ b/lib/src/state/document_change.rs
@@ -1,9 +1,9 @@
-//! What is new in a document against an earlier one, so that a small change of a large
-//! configuration travels small.
+//! The difference between two versions of a document, so that a small change of a large
+//! configuration is sent in few bytes.
 //!
-//! A document is cut after each closing brace, whatever it means: an entry of a list is then a
-//! piece of its own, and one that stays is found again wherever it has moved to. Both ends are
-//! held to a hash of the whole. See `docs/design/fleet-news.md`.
+//! A document is split after each closing brace, without parsing it. An entry of a list is then a
+//! piece of its own, and an unchanged entry is recognised even if it moved. Hashes of both
+//! documents are checked when a change is applied. See `docs/design/fleet-news.md`.
 
 use std::collections::HashMap;
 
@@ -13,36 +13,37 @@
 /// A piece of the new document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DocumentPiece {
-    /// These bytes of the earlier document.
+    /// A range of bytes of the earlier document.
     Kept {
-        /// Where they begin.
+        /// The offset at which it begins.
         from: usize,
-        /// How many.
+        /// The number of bytes.
         length: usize,
     },
-    /// Bytes of its own.
+    /// Bytes that are not copied from the earlier document.
     New(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
-/// A document, encoded against an earlier one.
+/// A document, encoded as a difference from an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentChange {
     /// The hash of the earlier document.
     pub before_hash: u64,
     /// The hash of the new one.
     pub after_hash: u64,
-    /// The new one's pieces, in order.
+    /// The pieces of the new document, in order.
     pub pieces: Vec<DocumentPiece>,
 }
 
 impl DocumentChange {
-    /// Encodes `after` against `before`.
+    /// Encodes `after` as a difference from `before`.
     pub fn between(before: &[u8], after: &[u8]) -> DocumentChange {
         let known: HashMap<&[u8], usize> = cut(before).map(|(from, piece)| (piece, from)).collect();
         let mut pieces = Vec::new();
         for (_, piece) in cut(after) {
             if let Some(DocumentPiece::Kept { from, length }) = pieces.last_mut() {
-                // Short pieces stand in many places, so the next one in line goes first.
+                // A short piece occurs in many places, so the continuation of the last one is
+                // preferred.
                 if before[*from + *length..].starts_with(piece) {
                     *length += piece.len();
                     continue;
@@ -57,7 +58,8 @@
         DocumentChange { before_hash: xxh3_64(before), after_hash: xxh3_64(after), pieces }
     }
 
-    /// The bytes that aren't in the earlier document: the cost of sending it.
+    /// The number of bytes that are not copied from the earlier document, which is the cost of
+    /// sending.
     pub fn new_bytes(&self) -> usize {
         let lengths = self.pieces.iter().map(|piece| match piece {
             DocumentPiece::Kept { .. } => 0,
@@ -66,7 +68,8 @@
         lengths.sum()
     }
 
-    /// The new document; `None` when `before` isn't the one that this was encoded against.
+    /// Reconstructs the new document; `None` if `before` isn't the document that this was encoded
+    /// against.
     pub fn apply(&self, before: &[u8]) -> Option<Vec<u8>> {
         if xxh3_64(before) != self.before_hash {
             return None;
@@ -84,7 +87,7 @@
     }
 }
 
-/// The pieces of a document and where they begin.
+/// The pieces of a document with their offsets.
 fn cut(document: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
     let mut from = 0;
     document.split_inclusive(|byte| *byte == b'}').map(move |piece| {
--- a/lib/src/state/finding.rs
+++ b/lib/src/state/finding.rs
@@ -1,5 +1,5 @@
-//! Findings: everything wrong with a document, each with its place, collected
-//! and reported together, so that an operator mends a file in one go.
+//! Findings: all faults of a document, each with its location, collected and reported together, so
+//! that an operator can correct a file in one pass.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// One thing that is wrong, with its place in the document.
+/// One fault of a document and its location.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
     /// The JSON path, such as `$.limits.in_flight`.
     pub path: String,
-    /// The line of that path in the document's text, once known; from 1.
+    /// The line of that path in the document's text, from 1; `None` until it is located.
     pub line: Option<usize>,
-    /// A sentence that says what is wrong.
+    /// A sentence that describes the fault.
     pub text: String,
 }
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// Findings as collected while a document is read.
+/// The findings that are collected while a document is read.
 #[derive(Debug, Default)]
 pub struct FindingList {
-    /// In the order they were met.
+    /// The findings in the order in which they were found.
     pub findings: Vec<Finding>,
 }
 
@@ -44,7 +44,7 @@
         self.findings.push(finding);
     }
 
-    /// Fills in the lines from the document's text, then orders by line.
+    /// Adds the line numbers from the document's text and sorts the findings by line.
     pub fn locate(mut self, text: &str) -> Vec<Finding> {
         let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &Default::default());
         let root = parsed.ok().and_then(|result| result.value);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Parses a document as strict JSON whose root is an object; a syntax error is a finding.
+/// Parses a document as strict JSON with an object as its root; a syntax error is a finding.
 pub fn parse_document(text: &str, list: &mut FindingList) -> Option<Value> {
     let value: Value = match serde_json::from_str(text) {
         Ok(value) => value,
@@ -79,7 +79,8 @@
     Some(value)
 }
 
-/// `serde_json` keeps the last of two equal keys in silence; an operator must hear of it.
+/// Reports duplicate keys. `serde_json` silently keeps the last one of equal keys, so that an
+/// operator would not notice.
 fn find_doubled_keys(value: &ast::Value, path: &str, list: &mut FindingList) {
     match value {
         ast::Value::Object(object) => {
@@ -101,7 +102,7 @@
     }
 }
 
-/// Walks as far along `path` as the document goes, and gives that place's line.
+/// The line of `path`, or of its longest prefix that exists in the document.
 fn line_of(text: &str, root: &ast::Value, path: &str) -> usize {
     let mut start = root.start();
     let mut value = root;
@@ -125,10 +126,10 @@
     text[..start].bytes().filter(|byte| *byte == b'\n').count() + 1
 }
 
-/// Reads one JSON object field by field, and collects what is wrong with it.
+/// Reads a JSON object field by field and collects its faults.
 ///
-/// Each getter returns a usable value even after a finding, so that reading goes
-/// on to the end and all findings come at once. Call [`ObjectReader::finish`].
+/// Each getter returns a usable value even after a finding, so that reading continues and all
+/// findings are reported together. [`ObjectReader::finish`] has to be called at the end.
 pub struct ObjectReader<'a> {
     path: String,
     map: &'a Map<String, Value>,
@@ -136,7 +137,8 @@
 }
 
 impl<'a> ObjectReader<'a> {
-    /// A reader of `value` at `path`; a value that is no object reads as empty.
+    /// A reader of `value` at `path`; a value that is not an object is reported and read as an
+    /// empty one.
     pub fn new(path: &str, value: &'a Value, list: &mut FindingList) -> ObjectReader<'a> {
         static EMPTY: std::sync::OnceLock<Map<String, Value>> = std::sync::OnceLock::new();
         let map = value.as_object().unwrap_or_else(|| {
@@ -146,18 +148,18 @@
         ObjectReader { path: path.to_string(), map, seen: BTreeSet::new() }
     }
 
-    /// The path of a field.
+    /// The JSON path of a field.
     pub fn path_of(&self, key: &str) -> String {
         format!("{}.{key}", self.path)
     }
 
-    /// The raw value of a field, marked as known.
+    /// The raw value of a field; the key then counts as known.
     pub fn value(&mut self, key: &str) -> Option<&'a Value> {
         self.seen.insert(key.to_string());
         self.map.get(key)
     }
 
-    /// A text that must be there and not be empty.
+    /// A string that is required and must not be empty.
     pub fn text(&mut self, key: &str, list: &mut FindingList) -> String {
         let path = self.path_of(key);
         match self.value(key).map(Value::as_str) {
@@ -169,13 +171,14 @@
         String::new()
     }
 
-    /// A text that may be absent.
+    /// An optional string.
     pub fn optional_text(&mut self, key: &str, list: &mut FindingList) -> Option<String> {
         self.value(key)?;
         Some(self.text(key, list))
     }
 
-    /// A whole number within `range`; `default` when absent, or a finding when there is none.
+    /// A whole number within `range`. An absent one gives `default`, or a finding if there is no
+    /// default.
     pub fn number(
         &mut self,
         key: &str,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// A number within `range`, with a default.
+    /// A number within `range`; an absent one gives `default`.
     pub fn ratio(
         &mut self,
         key: &str,
@@ -224,7 +227,7 @@
         }
     }
 
-    /// A truth value, with a default.
+    /// A boolean; an absent one gives `default`.
     pub fn flag(&mut self, key: &str, default: bool, list: &mut FindingList) -> bool {
         let path = self.path_of(key);
         let Some(value) = self.value(key) else { return default };
@@ -234,14 +237,15 @@
         })
     }
 
-    /// An address of IP number and port. Names are refused: the platform has IP numbers only.
+    /// An IP address with a port. Host names are refused, since the platform assigns IP addresses
+    /// only.
     pub fn address(&mut self, key: &str, list: &mut FindingList) -> SocketAddr {
         let path = self.path_of(key);
         let text = self.text(key, list);
         parse_address(&path, &text, list)
     }
 
-    /// The elements of an array, each with its path; absent reads as empty.
+    /// The elements of an array with their paths; an absent array is empty.
     pub fn array(&mut self, key: &str, list: &mut FindingList) -> Vec<(String, &'a Value)> {
         let path = self.path_of(key);
         let Some(value) = self.value(key) else { return Vec::new() };
@@ -253,7 +257,7 @@
         elements.iter().enumerate().map(place).collect()
     }
 
-    /// Reports every key that no getter asked for.
+    /// Reports all keys that no getter has read.
     pub fn finish(self, list: &mut FindingList) {
         for key in self.map.keys().filter(|key| !self.seen.contains(*key)) {
             list.add(&self.path_of(key), "unknown key");
@@ -261,7 +265,8 @@
     }
 }
 
-/// Reads `text` as an IP number and a port; a finding and an unusable address otherwise.
+/// Parses an IP address with a port; adds a finding and returns an unusable address if it is
+/// invalid.
 pub fn parse_address(path: &str, text: &str, list: &mut FindingList) -> SocketAddr {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.port() != 0 => return address,
--- a/lib/src/state/ids.rs
+++ b/lib/src/state/ids.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys. Names appear at the edges only; tables use these.
+//! Small `Copy` keys. Names are used at the interfaces only; tables use these keys.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
@@ -20,51 +20,53 @@
 }
 
 small_key!(
-    /// A router, by the number its settings give it.
+    /// A router, identified by the number in its settings.
     RouterId,
     u32
 );
 small_key!(
-    /// A keeper, by the number its settings give it.
+    /// A keeper, identified by the number in its settings.
     KeeperId,
     u32
 );
 small_key!(
-    /// One life of a process or of a keeper's disk; a later life is never taken for an earlier one.
+    /// One incarnation of a process or of a keeper's disk; no two incarnations of it are equal.
     Incarnation,
     u64
 );
 small_key!(
-    /// An upstream, by the hash of its name, so that every router uses the same key unasked.
+    /// An incarnation of an upstream, identified by the hash of its name and start time, so that all
+    /// routers compute the same key.
     UpstreamKey,
     u64
 );
 small_key!(
-    /// A fleet, by the hash of its name.
+    /// A fleet, identified by the hash of its name.
     FleetKey,
     u64
 );
 small_key!(
-    /// A workspace, by the hash of its name.
+    /// A workspace, identified by the hash of its name.
     WorkspaceKey,
     u64
 );
 small_key!(
-    /// A chat, by the hash of its workspace and its own name.
+    /// A chat, identified by the hash of its workspace and its name.
     ChatKey,
     u64
 );
 
 small_key!(
-    /// A request by its content, whichever VM gets it and however often; see [`RequestMark::of`].
+    /// A request, identified by the hash of its content, so that repeated attempts at any VM have
+    /// the same fingerprint; see [`RequestFingerprint::of`].
     RequestMark,
     u64
 );
 
 impl RequestMark {
-    /// The mark of what a caller asks for: what stays the same when it comes again under a new name for
-    /// the attempt. `workspace` stands for the caller where its key has one, so that a caller who
-    /// changes keys is known again.
+    /// The fingerprint of what a caller requests. It excludes whatever changes when the request is
+    /// attempted again, such as the attempt's name. `workspace` identifies the caller if its key
+    /// belongs to one, so that the fingerprint remains the same when the caller changes keys.
     pub fn of(
         method: &str,
         host: &str,
@@ -83,19 +85,19 @@
 }
 
 impl UpstreamKey {
-    /// The key of the upstream with this name.
+    /// The key of the upstream with this name, without a start time.
     pub fn of(name: &str) -> UpstreamKey {
         UpstreamKey(xxh3_64(name.as_bytes()))
     }
 
-    /// The key of the incarnation of this name that was born then, in Unix milliseconds; a name
-    /// without a birth is one incarnation. See `docs/design/identity.md`.
-    pub fn of_start(name: &str, born: Option<u64>) -> UpstreamKey {
-        let Some(born) = born else { return UpstreamKey::of(name) };
+    /// The key of the incarnation of this name that started at this time, in Unix milliseconds. All
+    /// incarnations of a name without start times have the same key. See `docs/design/identity.md`.
+    pub fn of_start(name: &str, started_ms: Option<u64>) -> UpstreamKey {
+        let Some(started_ms) = started_ms else { return UpstreamKey::of(name) };
         let mut bytes = Vec::with_capacity(name.len() + 1 + size_of::<u64>());
         bytes.extend_from_slice(name.as_bytes());
         bytes.push(0);
-        bytes.extend_from_slice(&born.to_le_bytes());
+        bytes.extend_from_slice(&started_ms.to_le_bytes());
         UpstreamKey(xxh3_64(&bytes))
     }
 }
--- a/lib/src/state/kept_list.rs
+++ b/lib/src/state/kept_list.rs
@@ -1,10 +1,10 @@
-//! The list of upstreams on a keeper's disk.
+//! The copy of the list of upstreams on a keeper's disk.
 //!
-//! After a common loss of power no other VM holds the list, and reading it anew takes its pages
-//! at the platform's rate, while hundreds of VMs wait. What is kept is used at once; the mark shows
-//! whether it is what the others hold. One file beside the log, replaced by rename: either the
-//! whole of one list is there, or that of another, or none, and none is no fault. See
-//! `docs/design/fleet-news.md`.
+//! After a power failure of all VMs no VM has the list, and reading all its pages takes time at the
+//! platform's rate limit, while hundreds of VMs wait. A keeper therefore uses the copy at once; its
+//! revision shows whether other VMs hold the same list. The copy is one file beside the log that is
+//! replaced by a rename, so that it always holds one complete list. A missing file is not an error.
+//! See `docs/design/fleet-news.md`.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -15,22 +15,22 @@
 use super::packed_text::PackedText;
 use super::upstream_list::{ListRevision, UpstreamEntry};
 
-/// The file's name, and that of the one which replaces it.
+/// The name of the file, and of the temporary file that replaces it.
 const FILE: &str = "upstreams";
 const NEXT_FILE: &str = "upstreams.next";
-/// The bytes of the checksum before the packed list.
+/// The size of the checksum before the compressed list, in bytes.
 const SUM_BYTES: usize = 4;
 
-/// A state of the list and its mark.
+/// A list of upstreams as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptList {
-    /// Which state it is.
+    /// The revision of the list.
     pub mark: ListRevision,
     /// The rows.
     pub rows: Vec<UpstreamEntry>,
 }
 
-/// Writes the list in place of the one before.
+/// Replaces the copy on disk.
 pub fn write_kept(folder: &Path, list: &KeptList) -> io::Result<()> {
     let plain = rmp_serde::to_vec(list).map_err(io::Error::other)?;
     let packed = PackedText::pack(&plain).into_bytes();
@@ -42,7 +42,7 @@
     fs::rename(next, folder.join(FILE))
 }
 
-/// The list that was kept, if there is one; an error when the file is no list of ours.
+/// Reads the copy; `None` if there is none, and an error if the file is damaged.
 pub fn read_kept(folder: &Path) -> io::Result<Option<KeptList>> {
     let bytes = match fs::read(folder.join(FILE)) {
         Ok(bytes) => bytes,
@@ -50,10 +50,10 @@
         Err(error) => return Err(error),
     };
     let Some((sum, packed)) = bytes.split_first_chunk::<SUM_BYTES>() else {
-        return Err(io::Error::other("it is too short"));
+        return Err(io::Error::other("the file is too short"));
     };
     if crc32fast::hash(packed) != u32::from_le_bytes(*sum) {
-        return Err(io::Error::other("its checksum is another"));
+        return Err(io::Error::other("the checksum does not match"));
     }
     let plain = PackedText::from_bytes(packed.to_vec()).unpack()?;
     let list = rmp_serde::from_slice(&plain).map_err(io::Error::other)?;
--- a/lib/src/state/list_reading.rs
+++ b/lib/src/state/list_reading.rs
@@ -1,9 +1,10 @@
-//! One reading of the platform's list, before it becomes a state of it.
+//! One read of the platform's list, before it becomes a revision of the list.
 //!
-//! Entries may come from writers that we don't know, and one that can't be read must not cost the
-//! others. Invariants: what can't be read names no upstream to use; of two entries of one name the
-//! later started_ms holds; an upstream that was known and is named still, but can't be read now, is neither
-//! gone nor used while others of its service are. See `docs/design/identity.md`.
+//! Entries may be written by unknown programs, and an entry that can't be parsed must not affect
+//! the others. Invariants: an unreadable entry adds no upstream to use; of two entries with one
+//! name the one that started later holds; a known upstream whose entry is unreadable now is kept,
+//! but not used as long as other upstreams of its service are available. See
+//! `docs/design/identity.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,21 +12,22 @@
 use super::finding::Finding;
 use super::upstream_list::{EntryDoubt, UpstreamEntry, UpstreamList};
 
-/// An entry that can't be read, and what is readable of the name in it.
+/// An entry that can't be parsed, with those fields that identify its upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadEntry {
-    /// What is wrong, with its place; the first thing, where there are several.
+    /// The first fault in the entry, with its location.
     pub finding: Finding,
-    /// The name, if that can be read.
+    /// The name, if it is readable.
     pub name: Option<String>,
-    /// The birth, likewise.
+    /// The start time, if it is readable.
     pub started_ms: Option<u64>,
-    /// The address, likewise.
+    /// The address, if it is readable.
     pub address: Option<SocketAddr>,
 }
 
-/// Whom entries that can't be read name, and with which starts: by name, or by address where they give
-/// no name. Found without a search: nothing bounds what other writers leave.
+/// The upstreams that unreadable entries may refer to, with their start times: by name, or by
+/// address for entries without a name. The maps avoid a search for each row, since the number of
+/// unreadable entries is unbounded.
 #[derive(Default)]
 struct UnreadNames<'a> {
     by_name: BTreeMap<&'a str, Vec<Option<u64>>>,
@@ -53,23 +55,23 @@
     }
 }
 
-/// All pages of one reading.
+/// The content of all pages of one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListReading {
-    /// Entries that were read.
+    /// Entries that were parsed.
     pub rows: Vec<UpstreamEntry>,
-    /// Entries that were not.
+    /// Entries that could not be parsed.
     pub unread: Vec<UnreadEntry>,
-    /// What is odd about entries that were read, with its place.
+    /// Oddities of entries that were parsed, with their locations.
     pub findings: Vec<Finding>,
 }
 
-/// What a reading shows, in view of what was known.
+/// The result of a read, combined with the list known before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResolvedReading {
-    /// The rows, one a name.
+    /// The rows, one for each name.
     pub rows: Vec<UpstreamEntry>,
-    /// Names that stood there with several starts.
+    /// Names that were listed with several start times.
     pub duplicates: Vec<String>,
 }
 
@@ -85,8 +87,8 @@
         self.findings.append(&mut page.findings);
     }
 
-    /// What the reading shows. `None` when it has entries and none can be read: that is no news of
-    /// anyone, and what was known holds.
+    /// Combines the read with the known list. Returns `None` if the read has entries but none that
+    /// can be parsed; the known list then stays in use.
     pub fn resolve(&self, known: &UpstreamList) -> Option<ResolvedReading> {
         if self.rows.is_empty() && !self.unread.is_empty() {
             return None;
@@ -97,8 +99,9 @@
         Some(ResolvedReading { rows, duplicates })
     }
 
-    /// Known upstreams that are named by entries which can't be read, and by no other. They stay as
-    /// they were known if their service has no other that takes work: refusing would serve no caller.
+    /// Known upstreams that only unreadable entries refer to. They keep taking work if their
+    /// service has no other upstream that does, since withholding them would leave its callers
+    /// unserved.
     fn held(&self, rows: &[UpstreamEntry], known: &UpstreamList) -> Vec<UpstreamEntry> {
         if self.unread.is_empty() {
             return Vec::new();
@@ -120,7 +123,7 @@
     }
 }
 
-/// One row a name, the later started_ms of several; and the names that had several starts.
+/// The latest incarnation of each name, and the names that had several start times.
 fn latest_starts(rows: &[UpstreamEntry]) -> (Vec<UpstreamEntry>, Vec<String>) {
     let mut starts: BTreeMap<&str, Option<u64>> = BTreeMap::new();
     let mut duplicates = BTreeSet::new();
--- a/lib/src/state/log_store.rs
+++ b/lib/src/state/log_store.rs
@@ -1,10 +1,9 @@
-//! The keeper's files: a write-ahead log and a snapshot under one data folder.
+//! The keeper's files: a write-ahead log and a snapshot in one data folder.
 //!
-//! One batch of entries is one record with one checksum and one sync, so a crash
-//! can only spoil the last record. A spoiled record with a good one after it is
-//! therefore damage, and is refused with its file and offset. The files of one
-//! generation belong together; a snapshot's rename is the moment a generation
-//! comes into force. See `docs/design/durability.md`.
+//! One batch of entries is one record with one checksum and one sync, so that a crash can only
+//! spoil the last record. A spoiled record that is followed by a good one is therefore damage, and
+//! is refused with its file and offset. Files of the same generation belong together; a generation
+//! takes effect when its snapshot is renamed. See `docs/design/durability.md`.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -16,46 +15,46 @@
 
 use super::ids::{Incarnation, KeeperId};
 
-/// The format of the folder that this program writes.
+/// The version of the folder's format that this program writes and accepts.
 pub const FORMAT_VERSION: u32 = 1;
 const RECORD_HEAD: usize = 8;
 const LARGEST_RECORD: usize = 256 << 20;
 
-/// What can go wrong with the files.
+/// An error of the store's files.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// The system refused an operation on a file.
+    /// The operating system reported an error for an operation on a file.
     #[snafu(display("{what} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation.
         what: &'static str,
-        /// On which file.
+        /// The file.
         path: PathBuf,
-        /// The system's word.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A record before the last does not match its checksum.
+    /// A record before the last one, or a snapshot, is damaged.
     #[snafu(display("{} is damaged at byte {offset}: {what}", path.display()))]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where the bad record starts.
+        /// The offset at which the damaged record starts.
         offset: u64,
-        /// What is wrong with it.
+        /// A description of the damage.
         what: String,
     },
-    /// Another process has the folder.
+    /// Another process holds the lock of the folder.
     #[snafu(display("{} is in use by another process", path.display()))]
     Locked {
         /// The folder.
         path: PathBuf,
     },
-    /// The folder belongs to another keeper or another format.
+    /// The folder belongs to another keeper or has another format.
     #[snafu(display("{}: {what}", path.display()))]
     Foreign {
         /// The folder.
         path: PathBuf,
-        /// What does not match.
+        /// A description of the mismatch.
         what: String,
     },
 }
@@ -63,71 +62,71 @@
 /// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place, from 1.
+    /// Its index in the log, from 1.
     pub index: u64,
-    /// The term in which a leader added it.
+    /// The term of the leader that appended it.
     pub term: u64,
-    /// What it holds.
+    /// The content.
     pub payload: EntryPayload,
 }
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
     /// An encoded command for the state machine.
     Command(Vec<u8>),
-    /// A new membership, in force as soon as it is in the log.
+    /// A new membership, which applies as soon as it is in the log.
     Membership(GroupMembership),
 }
 
 /// One member of the group of keepers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMember {
-    /// The life of its disk; another life does not count as this member.
+    /// The incarnation of its disk; a keeper with another one does not count as this member.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: std::net::SocketAddr,
-    /// Whether it votes; a learner only receives.
+    /// Whether it votes; a learner only receives entries.
     pub votes: bool,
 }
 
-/// The keepers of the group.
+/// The members of the group of keepers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMembership {
-    /// By number.
+    /// The members by keeper number.
     pub members: std::collections::BTreeMap<KeeperId, GroupMember>,
 }
 
-/// What Raft must not forget besides the log.
+/// The state besides the log that Raft must persist.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term seen.
+    /// The latest term that this keeper has seen.
     pub term: u64,
-    /// Whom this keeper voted for in it.
+    /// The keeper that this keeper voted for in that term.
     pub voted_for: Option<KeeperId>,
 }
 
-/// The state up to an entry, in place of the entries.
+/// The state of the state machine at an entry, which replaces the log up to that entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSnapshot {
-    /// The last entry that it covers.
+    /// The index of the last entry that it covers.
     pub index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: u64,
-    /// The membership at that entry.
+    /// The membership as of that entry.
     pub membership: GroupMembership,
-    /// The state machine's image.
+    /// The encoded state machine.
     pub image: Vec<u8>,
 }
 
-/// What one step must have on disk before its messages may leave.
+/// What has to be on disk before the messages of a step may be sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogBatch {
-    /// A changed hard state.
+    /// The hard state, if it changed.
     pub hard_state: Option<HardState>,
-    /// Entries from here on are replaced.
+    /// The index from which entries are replaced.
     pub truncate_from: Option<u64>,
-    /// New entries.
+    /// The new entries.
     pub entries: Vec<LogEntry>,
 }
 
@@ -138,18 +137,18 @@
     }
 }
 
-/// What a folder held when it was opened.
+/// The content of a folder when it was opened.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
-    /// Term and vote.
+    /// The term and vote.
     pub hard_state: HardState,
-    /// The snapshot; empty at index 0 when there is none.
+    /// The snapshot; an empty one at index 0 if there is none.
     pub snapshot: LogSnapshot,
     /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// Bytes of a torn last record that were cut.
+    /// The length of an incomplete last record that was removed, in bytes.
     pub torn_bytes: u64,
-    /// Whether the folder was empty: this disk has never been part of a group.
+    /// Whether the folder has no state, that is, this disk has never been part of a group.
     pub blank: bool,
 }
 
@@ -160,19 +159,19 @@
     incarnation: Incarnation,
 }
 
-/// An open data folder. Dropping it gives up the lock.
+/// An open data folder. Dropping it releases the lock.
 #[derive(Debug)]
 pub struct LogStore {
     folder: PathBuf,
     generation: u64,
     log: File,
     _lock: File,
-    /// The life of this disk.
+    /// The incarnation of this disk.
     pub incarnation: Incarnation,
 }
 
 impl LogStore {
-    /// Opens or creates the folder for `keeper`; `new_incarnation` is used for a new disk only.
+    /// Opens or creates the folder of `keeper`; `new_incarnation` is used only if the disk is new.
     pub fn open(
         folder: &Path,
         keeper: KeeperId,
@@ -202,8 +201,8 @@
         Ok((store, state))
     }
 
-    /// Appends a batch as one record and syncs it. An error leaves the store unusable: the
-    /// caller must stop rather than acknowledge.
+    /// Appends a batch as one record and syncs it. After an error the store can't be used any more:
+    /// the caller must stop rather than acknowledge the batch.
     pub fn append(&mut self, batch: &LogBatch) -> Result<(), StoreError> {
         let path = log_path(&self.folder, self.generation);
         let record = encode_record(batch);
@@ -212,7 +211,7 @@
         Ok(())
     }
 
-    /// Replaces everything up to the snapshot, keeping `entries` after it.
+    /// Replaces the log by a snapshot and the `entries` after it, as a new generation.
     pub fn install(
         &mut self,
         snapshot: &LogSnapshot,
@@ -295,7 +294,7 @@
     Ok(incarnation)
 }
 
-/// The newest generation in force: that of the newest snapshot, else 0 if a log is there.
+/// The current generation: that of the newest snapshot, or 0 if there is only a log.
 fn newest_generation(folder: &Path) -> Result<Option<u64>, StoreError> {
     let mut newest = None;
     let entries = fs::read_dir(folder).context(IoSnafu { what: "list", path: folder })?;
@@ -350,7 +349,8 @@
     }
 }
 
-/// Replays all good records and returns their length; a bad record before a good one is damage.
+/// Replays all good records and returns their total length; returns an error for a bad record that
+/// is followed by a good one.
 fn replay_log(path: &Path, bytes: &[u8], state: &mut StoredState) -> Result<usize, StoreError> {
     let mut at = 0;
     while at < bytes.len() {
--- a/lib/src/state/mod.rs
+++ b/lib/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The lowest layer: tables, the configuration, and files. No sockets, no clocks.
+//! The lowest layer: tables, the configuration and files. It uses no sockets and no clocks.
 
 pub mod body_end;
 pub mod chat_memory;
--- a/lib/src/state/packed_text.rs
+++ b/lib/src/state/packed_text.rs
@@ -1,10 +1,10 @@
-//! A text kept and sent compressed.
+//! A text that is stored and sent compressed.
 //!
-//! A configuration of 1,700 routes is some 400 KB and goes to every VM: at 92 of them it filled the
-//! leader's link of 100 Mbit/s for 3 s, in which heartbeats, the list of upstreams and the next
-//! change waited, and the leader lost its leadership. Packed it is a fifth of that or less. What is
-//! unpacked is what was packed, byte for byte; a text that was never packed (an older log holds
-//! such) is read as it stands.
+//! A configuration of 1,700 routes has some 400 KB and is sent to every VM. Uncompressed, sending
+//! it to 92 VMs filled the leader's link of 100 Mbit/s for 3 s, in which heartbeats, the list of
+//! upstreams and the next change were delayed, so that the leader lost its leadership. Compressed
+//! it is a fifth of that size or less. Decompression restores the text byte for byte. A text that
+//! was never compressed, as in older logs, is returned as it is.
 
 use std::io::{Read, Write};
 
@@ -13,12 +13,13 @@
 use flate2::Compression;
 use serde::{Deserialize, Serialize};
 
-/// The largest text, in bytes; more is no text of ours.
+/// The largest decompressed text, in bytes. It is above any document that is accepted, and bounds
+/// the memory that a damaged or forged text can claim.
 pub const LARGEST_TEXT: u64 = 16 << 20;
-/// The first byte of a packed text; no configuration begins with it.
+/// The first byte of a zlib stream; no configuration begins with it.
 const PACKED_MARK: u8 = 0x78;
 
-/// A text, packed.
+/// A compressed text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PackedText {
@@ -27,14 +28,15 @@
 }
 
 impl PackedText {
-    /// Packs a text.
+    /// Compresses a text.
     pub fn pack(text: &[u8]) -> PackedText {
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(text).expect("writing to memory doesn't fail");
         PackedText { bytes: encoder.finish().expect("writing to memory doesn't fail") }
     }
 
-    /// The text; an error when the bytes are damaged or unpack to more than [`LARGEST_TEXT`].
+    /// Decompresses the text; returns an error if the bytes are damaged or the text is larger than
+    /// [`LARGEST_TEXT`].
     pub fn unpack(&self) -> std::io::Result<Vec<u8>> {
         if self.bytes.first() != Some(&PACKED_MARK) {
             return Ok(self.bytes.clone());
@@ -47,17 +49,17 @@
         }
     }
 
-    /// Its bytes, to be sent or written apart.
+    /// The compressed bytes, for sending or storing.
     pub fn into_bytes(self) -> Vec<u8> {
         self.bytes
     }
 
-    /// A text that came or was read as bytes.
+    /// A compressed text from received or stored bytes.
     pub fn from_bytes(bytes: Vec<u8>) -> PackedText {
         PackedText { bytes }
     }
 
-    /// How many bytes it takes.
+    /// The compressed size, in bytes.
     pub fn packed_bytes(&self) -> usize {
         self.bytes.len()
     }
--- a/lib/src/state/prompt_part.rs
+++ b/lib/src/state/prompt_part.rs
@@ -1,16 +1,16 @@
-//! The parts of a prompt: what requests share with each other, and what an engine keeps.
+//! The parts of a prompt, which are the units that requests share and that engines cache.
 
-/// One part of a prompt; parts are shared between requests.
+/// One part of a prompt; several requests may have the same part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's name, the same for all who share it.
+    /// Identifies the part; equal in all requests that share it.
     pub id: u64,
-    /// Its length.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// The parts that other requests may share: all but the last, which belongs to the request
-/// itself or to its session.
+/// The parts that other requests may share: all but the last, which is specific to the request or
+/// its session. The only part of a prompt counts as shared.
 pub fn shared_parts(prompt: &[PromptPart]) -> &[PromptPart] {
     match prompt.len() {
         0 | 1 => prompt,
--- a/lib/src/state/quarantine.rs
+++ b/lib/src/state/quarantine.rs
@@ -1,40 +1,41 @@
-//! Requests that ended the upstreams that ran them, as the keepers hold them.
+//! Requests that ended the upstreams that ran them, as replicated by the keepers.
 //!
-//! Invariants: a row is set whole, so that the last command of the log holds and one that comes twice
-//! changes nothing; times are none of its matters, since keepers' clocks differ: the leader counts them.
-//! See `docs/design/quarantine.md`.
+//! Invariants: a row is always set as a whole, so that the last command of the log holds and a
+//! repeated command changes nothing. The table has no times, since the clocks of keepers differ;
+//! the leader keeps them. See `docs/design/quarantine.md`.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::{RequestMark, UpstreamKey};
 
-/// Rows that are kept, 40 bytes each in what VMs receive; the oldest goes first, one that isn't held
-/// before one that is.
+/// The most rows, which take 40 bytes each in what VMs receive. Beyond it the oldest row that is
+/// not quarantined is removed, or the oldest of all if every row is.
 pub const MOST_ROWS: usize = 128;
 
-/// One request, and what it did.
+/// One request and the upstreams that it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRow {
     /// The request.
     pub mark: RequestMark,
-    /// Upstreams that ended under it since it last ran well.
+    /// Upstreams that ended while they ran the request, since it last completed.
     pub ended: Vec<UpstreamKey>,
-    /// Whether it is sent nowhere. It is watched otherwise: VMs report when it ran well.
+    /// Whether the request is quarantined, that is, sent to no upstream. Otherwise it is watched:
+    /// VMs report when it completes.
     pub held: bool,
-    /// How often it was held so far.
+    /// How often the request has been quarantined.
     pub times: u32,
 }
 
 /// A command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineCommand {
-    /// This is a request's row.
+    /// Sets the row of a request.
     Set(QuarantineRow),
-    /// Nothing is known against a request any more.
+    /// Removes the row of a request.
     Clear(RequestMark),
 }
 
-/// All such requests.
+/// The rows of all quarantined and watched requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineTable {
     rows: Vec<QuarantineRow>,
@@ -47,27 +48,28 @@
         &self.rows
     }
 
-    /// A request's row.
+    /// The row of a request, if there is one.
     pub fn row(&self, mark: RequestMark) -> Option<&QuarantineRow> {
         self.rows.iter().find(|row| row.mark == mark)
     }
 
-    /// Whether a request is sent nowhere.
+    /// Whether a request is quarantined.
     pub fn is_held(&self, mark: RequestMark) -> bool {
         self.row(mark).is_some_and(|row| row.held)
     }
 
-    /// How many requests are sent nowhere.
+    /// The number of quarantined requests.
     pub fn held(&self) -> usize {
         self.rows.iter().filter(|row| row.held).count()
     }
 
-    /// How many commands changed it: the later of two states has more.
+    /// The number of commands that changed the table. Of two states, the one with more changes is
+    /// the later.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Takes a command; false when it changes nothing.
+    /// Applies a command; returns `false` if it changes nothing.
     pub fn take(&mut self, command: QuarantineCommand) -> bool {
         let (mark, fresh) = match command {
             QuarantineCommand::Set(row) => (row.mark, Some(row)),
@@ -86,12 +88,12 @@
         true
     }
 
-    /// The table, for a reader that holds `known` changes; `None` when that is all.
+    /// The table for a reader that has `known` changes; `None` if the reader is up to date.
     pub fn news(&self, known: u64) -> Option<QuarantineTable> {
         (self.changes != known).then(|| self.clone())
     }
 
-    /// Takes a later state; false when this one is as late.
+    /// Replaces the table by a later state; returns `false` if `other` isn't later.
     pub fn take_later(&mut self, other: QuarantineTable) -> bool {
         let later = other.changes > self.changes;
         if later {
--- a/lib/src/state/rendezvous.rs
+++ b/lib/src/state/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! It stays put for all but the entries that come or go, needs no shared table,
-//! and every router computes the same order from the same list.
+//! When a candidate is added or removed, only the subjects assigned to it move. No shared table is
+//! needed: every router computes the same order from the same list.
 
 /// Mixes a subject with a candidate into a score (the finalizer of splitmix64).
 pub fn rendezvous_score(subject: u64, candidate: u64) -> u64 {
@@ -18,8 +18,8 @@
 
 /// The `places` best candidates for `subject`, best first.
 ///
-/// One pass with a short insertion list: at 4,000 candidates a full sort would
-/// cost several times the aim for a whole decision.
+/// Uses one pass with a short insertion list: with 4,000 candidates, a full sort would take several
+/// times the time allowed for a whole decision.
 pub fn rendezvous_order(
     subject: u64,
     candidates: impl Iterator<Item = u64>,
--- a/lib/src/state/roster.rs
+++ b/lib/src/state/roster.rs
@@ -1,6 +1,6 @@
-//! The roster: which routers are in the system, and which of them is home to an engine.
+//! The roster: the routers of the system, from which the home router of each engine is computed.
 //!
-//! It is replicated by the keepers and rises by one epoch with each change.
+//! The keepers replicate it, and its epoch rises by one with each change.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 use super::ids::{Incarnation, RouterId, UpstreamKey};
 use super::rendezvous::rendezvous_first;
 
-/// One router's place in the roster.
+/// The session of a router in the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterSession {
-    /// The life of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where callers and peers reach it.
+    /// The address on which callers and peers reach it.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// It is draining: no caller is sent there, and it is home to nothing.
+    /// Whether it is draining, so that no caller is sent there and it is home to no engine.
     pub leaving: bool,
 }
 
-/// All routers, at one epoch.
+/// All routers at one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterRoster {
     /// Rises with each change of the roster.
@@ -33,14 +33,15 @@
 }
 
 impl RouterRoster {
-    /// The home of an upstream: one router for all who hold this epoch.
+    /// The home router of an upstream, which is the same at all routers with this epoch.
     pub fn home(&self, upstream: UpstreamKey) -> Option<RouterId> {
         let staying = self.routers.iter().filter(|(_, session)| !session.leaving);
         let numbers = staying.map(|(id, _)| id.0 as u64);
         rendezvous_first(upstream.0, numbers).map(|id| RouterId(id as u32))
     }
 
-    /// Adds a router or replaces its earlier life; returns the life that was lost by it.
+    /// Adds a router or replaces its earlier incarnation; returns the incarnation that was
+    /// replaced.
     pub fn join(&mut self, id: RouterId, session: RouterSession) -> Option<Incarnation> {
         if self.routers.get(&id) == Some(&session) {
             return None;
@@ -50,7 +51,7 @@
         before.map(|before| before.incarnation).filter(|life| *life != session.incarnation)
     }
 
-    /// Removes a life of a router; another life of the same router stays.
+    /// Removes an incarnation of a router; returns `false` if the router has another one.
     pub fn lapse(&mut self, id: RouterId, incarnation: Incarnation) -> bool {
         let current = self.routers.get(&id).is_some_and(|s| s.incarnation == incarnation);
         if current {
@@ -60,7 +61,7 @@
         current
     }
 
-    /// Marks a life of a router as leaving; there is no way back for that life.
+    /// Marks an incarnation of a router as leaving, which is final for that incarnation.
     pub fn leave(&mut self, id: RouterId, incarnation: Incarnation) -> bool {
         let Some(session) = self.routers.get_mut(&id) else { return false };
         if session.incarnation != incarnation || session.leaving {
--- a/lib/src/state/settings.rs
+++ b/lib/src/state/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of each daemon, read with every finding at once.
+//! The settings file of each daemon. All findings in a file are reported together.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,23 +9,23 @@
 use super::finding::{parse_document, Finding, FindingList, ObjectReader};
 use super::ids::{KeeperId, RouterId};
 
-/// Where a keeper is reached: one port number, used for TCP and for datagrams.
+/// The address of a keeper, used for both TCP and datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeeperAddress {
-    /// The keeper's number.
+    /// The number of the keeper.
     pub id: KeeperId,
-    /// Its address for HTTP and datagrams.
+    /// The address for HTTP and datagrams.
     pub address: SocketAddr,
 }
 
-/// What a router refuses beyond. Units are in the names.
+/// The limits of a router; requests beyond them are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterLimits {
-    /// Requests in flight at once; also the size of the worker pool.
+    /// The most requests in flight, which is also the size of the worker pool.
     pub in_flight: usize,
-    /// Bytes of a request's body.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of all headers of a request.
+    /// The largest total size of a request's headers, in bytes.
     pub header_bytes: usize,
     /// How long a connection may be silent, in milliseconds.
     pub read_timeout_ms: u64,
@@ -40,17 +40,17 @@
     pub id: RouterId,
     /// The availability zone of this VM.
     pub zone: String,
-    /// Where callers and peers connect; also the datagram port.
+    /// The address on which it listens for callers and peers, and for datagrams.
     pub address: SocketAddr,
     /// The keepers.
     pub keepers: Vec<KeeperAddress>,
-    /// The platform's list of VMs, an HTTP address, if it gives one.
+    /// The HTTP address of the platform's list of VMs, if the platform has one.
     pub vm_list: Option<SocketAddr>,
-    /// Where `cadence` counters go, if anywhere.
+    /// The address to which statsd counters are sent, if any.
     pub statsd: Option<SocketAddr>,
     /// The secret that authenticates messages between wingshed's own processes.
     pub fleet_key: String,
-    /// Limits.
+    /// The limits on requests.
     pub limits: RouterLimits,
 }
 
@@ -61,19 +61,20 @@
     pub id: KeeperId,
     /// The availability zone of this VM.
     pub zone: String,
-    /// Where it listens, TCP and datagrams.
+    /// The address on which it listens, for TCP and datagrams.
     pub address: SocketAddr,
-    /// Every keeper, this one included, that forms the first group.
+    /// All keepers of the first group, including this one.
     pub keepers: Vec<KeeperAddress>,
-    /// A keeper added later starts without a vote and waits to be brought in.
+    /// Whether the keeper is added to an existing group; it then starts without a vote until it is
+    /// promoted.
     pub join: bool,
-    /// The one folder under which all durable state lives.
+    /// The folder that holds all durable state.
     pub data_folder: PathBuf,
     /// The secret that authenticates messages between wingshed's own processes.
     pub fleet_key: String,
-    /// The weight store, an HTTP address, if orders load weights.
+    /// The HTTP address of the weight store, if orders load weights.
     pub weight_store: Option<SocketAddr>,
-    /// How many loads the weight store takes at once.
+    /// The most loads that the weight store runs at the same time.
     pub weight_loads: usize,
 }
 
@@ -144,7 +145,7 @@
     limits
 }
 
-/// Reads a router's settings; `Err` holds every finding.
+/// Reads a router's settings; returns all findings if they are invalid.
 pub fn read_router_settings(text: &str) -> Result<RouterSettings, Vec<Finding>> {
     let mut list = FindingList::default();
     let Some(value) = parse_document(text, &mut list) else { return Err(list.locate(text)) };
@@ -168,7 +169,7 @@
     finish(settings, list, text)
 }
 
-/// Reads a keeper's settings; `Err` holds every finding.
+/// Reads a keeper's settings; returns all findings if they are invalid.
 pub fn read_keeper_settings(text: &str) -> Result<KeeperSettings, Vec<Finding>> {
     let mut list = FindingList::default();
     let Some(value) = parse_document(text, &mut list) else { return Err(list.locate(text)) };
--- a/lib/src/state/vm_figures.rs
+++ b/lib/src/state/vm_figures.rs
@@ -1,37 +1,39 @@
-//! What a VM counts of the requests that it served: ends, and times to the first byte.
+//! The counters of the requests that a VM served: how they ended, and the time to the first byte.
 //!
-//! Everything here has a bound: workspaces beyond [`MOST_WORKSPACES`] share one histogram.
+//! The size is bounded: workspaces beyond [`MAX_WORKSPACES`] share one histogram.
 
 use std::collections::BTreeMap;
 
 use super::body_end::{BodyEnd, BodyFraming};
 
-/// Workspaces with a histogram of their own.
+/// The most workspaces that have a histogram of their own. More would enlarge the metrics that the
+/// VM publishes without bound.
 pub const MOST_WORKSPACES: usize = 32;
-/// The workspace of requests without a key, and of all beyond the bound.
+/// The name under which requests without a key and those of workspaces beyond the bound are
+/// counted.
 pub const OTHER_WORKSPACES: &str = "other";
-/// Upper ends of the histograms' buckets, in milliseconds.
+/// The upper bounds of the histograms' buckets, in milliseconds.
 pub const BUCKETS_MS: [u64; 10] = [25, 50, 100, 200, 300, 400, 600, 1000, 2000, 5000];
 
 /// How a request ended at this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// An upstream's success was passed on from its beginning; a stream may still be cut.
+    /// An upstream's success was forwarded from its beginning; a stream may still be cut later.
     Answered,
-    /// An upstream's own failure was passed on.
+    /// An upstream's own error was forwarded.
     UpstreamFailed,
-    /// Refused without a run; the answer says when to retry.
+    /// The request was refused without being run; the answer says when to retry.
     Refused,
-    /// Failed without a promise.
+    /// The request failed, and may have run.
     Failed,
-    /// Its time was over.
+    /// The deadline of the request passed.
     TimedOut,
-    /// No route, no key, or no proper request.
+    /// There was no route, no valid key, or the request was malformed.
     Denied,
 }
 
 impl RequestEnd {
-    /// All of them, in the order of the counters.
+    /// All ends, in the order of the counters.
     pub const ALL: [RequestEnd; 6] = [
         RequestEnd::Answered,
         RequestEnd::UpstreamFailed,
@@ -41,7 +43,7 @@
         RequestEnd::Denied,
     ];
 
-    /// Its name in figures and logs.
+    /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             RequestEnd::Answered => "answered",
@@ -54,10 +56,10 @@
     }
 }
 
-/// Times of one workspace.
+/// A histogram of the times of one workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DelayHistogram {
-    /// Values up to the end of each bucket, and the rest.
+    /// The number of values in each bucket, and of those above the last one.
     pub counts: [u64; BUCKETS_MS.len() + 1],
     /// The sum of all values, in milliseconds.
     pub sum_ms: u64,
@@ -70,58 +72,58 @@
         self.sum_ms += took_ms;
     }
 
-    /// How many values there are.
+    /// The number of values.
     pub fn count(&self) -> u64 {
         self.counts.iter().sum()
     }
 }
 
-/// The counters of one VM, since its start.
+/// The counters of a VM since its start.
 #[derive(Clone, Debug, Default)]
 pub struct VmFigures {
     ends: [u64; RequestEnd::ALL.len()],
     first_byte: BTreeMap<String, DelayHistogram>,
     body_ends: [[u64; BodyEnd::ALL.len()]; BodyFraming::ALL.len()],
-    /// Sends beyond the first of each request.
+    /// Requests sent to an upstream again, beyond the first time.
     pub repeats: u64,
-    /// Streams taken up at another upstream.
+    /// Streams that were resumed at another upstream.
     pub resumed: u64,
-    /// Streams that ended before their end.
+    /// Streams that were cut before they were complete.
     pub cut: u64,
-    /// Answers whose first byte came after their goal.
+    /// Answers whose first byte came later than the route's goal.
     pub late: u64,
-    /// Callers that left before they had the whole answer.
+    /// Callers that disconnected before they had the whole answer.
     pub left: u64,
-    /// Signs against upstreams.
+    /// Failure signs that passive health checks counted against upstreams.
     pub signs: u64,
-    /// Requests under which their upstream ended.
+    /// Requests whose upstream ended while it ran them.
     pub ended_under: u64,
-    /// Answers by which upstreams asked for rest.
+    /// Answers by which upstreams requested a back-off.
     pub rests_asked: u64,
 }
 
 impl VmFigures {
-    /// A request ended.
+    /// Counts a request that ended.
     pub fn note_end(&mut self, end: RequestEnd) {
         self.ends[end as usize] += 1;
     }
 
-    /// How many requests ended so.
+    /// The number of requests that ended this way.
     pub fn ended(&self, end: RequestEnd) -> u64 {
         self.ends[end as usize]
     }
 
-    /// A body that came piece by piece stopped where its framing ends.
+    /// Counts a streamed body that ended.
     pub fn note_body_end(&mut self, framing: BodyFraming, end: BodyEnd) {
         self.body_ends[framing as usize][end as usize] += 1;
     }
 
-    /// How many bodies with this framing stopped so.
+    /// The number of bodies with this framing that ended at this place.
     pub fn body_ends(&self, framing: BodyFraming, end: BodyEnd) -> u64 {
         self.body_ends[framing as usize][end as usize]
     }
 
-    /// An answer's first byte came.
+    /// Counts the time to the first byte of an answer, in milliseconds.
     pub fn note_first_byte(&mut self, workspace: Option<&str>, took_ms: u64) {
         let named = workspace.unwrap_or(OTHER_WORKSPACES);
         let room = self.first_byte.len() < MOST_WORKSPACES || self.first_byte.contains_key(named);
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Times to the first byte, by workspace.
+    /// The times to the first byte, by workspace.
     pub fn first_bytes(&self) -> impl Iterator<Item = (&str, &DelayHistogram)> {
         self.first_byte.iter().map(|(name, histogram)| (name.as_str(), histogram))
     }
--- a/lib/src/state/vm_settings.rs
+++ b/lib/src/state/vm_settings.rs
@@ -1,79 +1,80 @@
-//! What a VM of the fleet is given at its start, in this project's words.
+//! The settings of a VM at its start, independent of the platform's format.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Bounds in force on a deployment, in milliseconds unless said otherwise.
+/// The bounds that a deployment requires; times are in milliseconds unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetBounds {
-    /// A key that was taken away must be refused after this long.
+    /// The time after which a revoked key must be refused.
     pub revoke_ms: u64,
-    /// An upstream that leaves must get nothing after this long.
+    /// The time after which a leaving upstream must get no more requests.
     pub drain_ms: u64,
-    /// A change is in force everywhere after this long.
+    /// The time after which a change must be applied on all VMs.
     pub apply_ms: u64,
-    /// From SIGTERM to SIGKILL.
+    /// The time from SIGTERM to SIGKILL.
     pub grace_ms: u64,
-    /// Repeats allowed, as a share of requests.
+    /// The repeats allowed, as a share of the requests.
     pub repeat_ratio: f64,
-    /// Over which span repeats are counted.
+    /// The window over which repeats are counted.
     pub repeat_window_ms: u64,
-    /// Repeats allowed beside the share, for all VMs together.
+    /// The repeats allowed in addition to that share, for all VMs together.
     pub repeat_slack: f64,
-    /// The multiple of the mean load of a service that one engine may carry, beside three requests.
+    /// The load that one engine may carry, as a multiple of the mean load of its service plus three
+    /// requests.
     pub load_limit: f64,
-    /// Operators may repeat an order for this long.
+    /// How long operators may repeat an order that was not acknowledged.
     pub ack_ms: u64,
-    /// The part of a service's requests that an unsound version may get while it is rolled out.
+    /// The share of a service's requests that an unsound version may get while it is rolled out.
     pub expose_share: f64,
-    /// Requests that it may get beside those, from all VMs together.
+    /// The requests that it may get in addition to that share, from all VMs together.
     pub expose_slack: f64,
-    /// The longest that callers keep an answer about addresses, in seconds.
+    /// The longest time that callers cache an answer about addresses, in seconds.
     pub addresses_ttl_s: f64,
 }
 
-/// The platform's list of upstreams.
+/// The platform's list of upstreams, and how it may be read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListSource {
-    /// Where to ask.
+    /// The address from which the list is read.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all VMs together.
+    /// Calls per second that it accepts from all VMs together.
     pub calls_per_s: f64,
-    /// The list may show things so much later than they are, in milliseconds.
+    /// How much later than a change the list may show it, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// What one VM is given at its start.
+/// The settings that a VM gets at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VmSettings {
-    /// Its name, for logs.
+    /// The name of the VM, for logs.
     pub name: String,
-    /// Its address.
+    /// The IP address of the VM.
     pub ip: Ipv4Addr,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: String,
-    /// All availability zones, as far as given.
+    /// All availability zones, if given.
     pub zones: Vec<String>,
-    /// Where callers send requests.
+    /// The address on which callers send requests.
     pub front: Option<SocketAddr>,
-    /// Where the platform asks whether the VM is ready.
+    /// The address on which the platform checks whether the VM is ready.
     pub ready: Option<SocketAddr>,
-    /// Where operators call.
+    /// The address on which operators call.
     pub control: Option<SocketAddr>,
-    /// Where callers ask for addresses.
+    /// The address on which callers request router addresses.
     pub directory: Option<SocketAddr>,
-    /// The port on which VMs speak to each other, TCP and UDP, the same on each.
+    /// The port on which VMs exchange messages, by TCP and UDP; the same on each.
     pub peer_port: u16,
-    /// VMs to ask first; the list may be old.
+    /// VMs to contact first; the list may be outdated.
     pub seeds: Vec<Ipv4Addr>,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// The keeper's folder; a VM without one is no keeper.
+    /// The folder of the VM's keeper; `None` if the VM isn't a keeper.
     pub data_folder: Option<PathBuf>,
-    /// Keepers whose loss at once must be survived.
+    /// The number of keepers whose simultaneous loss must be survived.
     pub tolerated_losses: u32,
-    /// The bounds.
+    /// The bounds that the deployment requires.
     pub bounds: FleetBounds,
-    /// The list of upstreams.
+    /// The source of the list of upstreams.
     pub list: ListSource,
 }
--- a/lib/src/state/zero_runs.rs
+++ b/lib/src/state/zero_runs.rs
@@ -1,12 +1,14 @@
-//! Bytes most of which are zero, in short form.
+//! A compact encoding of bytes that are mostly zero.
 //!
-//! A leader sends each VM one byte for each upstream with each grant, though few of them have anything
-//! in flight. Here each byte that isn't zero comes with the number of zeros before it.
+//! With each grant, a leader sends to each VM one byte for each upstream, though few of them have
+//! requests in flight. The encoding consists of each non-zero byte with the number of zeros before
+//! it.
 
 /// The most zeros that one pair encodes.
 const LONGEST_RUN: usize = u8::MAX as usize;
 
-/// The bytes as pairs of a number of zeros and the byte after them. Zeros at the end are left out.
+/// Encodes bytes as pairs of a number of zeros and the byte after them; zeros at the end are
+/// omitted.
 pub fn pack_zeros(bytes: &[u8]) -> Vec<u8> {
     let mut packed = Vec::new();
     let mut zeros = 0;
@@ -21,7 +23,8 @@
     packed
 }
 
-/// The bytes of which [`pack_zeros`] made `packed`; `None` when they would be more than `length`.
+/// Decodes the output of [`pack_zeros`]; `None` if it is malformed or decodes to more than `length`
+/// bytes.
 pub fn unpack_zeros(packed: &[u8], length: usize) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(length);
     for pair in packed.chunks(2) {
--- a/lib/src/state/zone_order.rs
+++ b/lib/src/state/zone_order.rs
@@ -1,24 +1,25 @@
-//! Which availability zones operators have emptied of requests.
+//! The availability zones that operators have evacuated.
 //!
-//! Invariant: the orders of a zone are numbered without a gap, and an order is taken only if it
-//! carries the number after the last one. So an order that was on its way while another was taken
-//! changes nothing, however late it comes; its sender looks at what holds and decides anew.
-//! See `docs/design/zones.md`.
+//! Invariant: the orders of a zone are numbered without gaps, and an order is accepted only if its
+//! number follows the last one. An order sent while another was accepted therefore changes nothing,
+//! however late it arrives; its sender has to decide again on the current state. See
+//! `docs/design/zones.md`.
 
 use serde::{Deserialize, Serialize};
 
-/// The last order that a zone got.
+/// The last order for a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOrder {
     /// The zone's name.
     pub zone: String,
-    /// The order's place among those of the zone; the first is 1.
+    /// The number of the order among those of the zone; the first is 1.
     pub number: u64,
-    /// Whether nothing more is to be sent to the zone's upstreams; `false` takes the zone back.
+    /// Whether the zone is evacuated, so that nothing is sent to its upstreams; `false` returns it
+    /// to service.
     pub emptied: bool,
 }
 
-/// The last order of each zone that ever got one.
+/// The last order of each zone that has had one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOrders {
     rows: Vec<ZoneOrder>,
@@ -30,17 +31,18 @@
         &self.rows
     }
 
-    /// How many orders were taken, for all zones together: the later of two states has more.
+    /// The number of orders accepted for all zones together. Of two states, the one with more
+    /// orders is the later.
     pub fn taken(&self) -> u64 {
         self.rows.iter().map(|row| row.number).sum()
     }
 
-    /// The number of a zone's last order; 0 when it never got one.
+    /// The number of a zone's last order; 0 if it has had none.
     pub fn last_number(&self, zone: &str) -> u64 {
         self.row(zone).map_or(0, |row| row.number)
     }
 
-    /// Whether nothing may be sent to a zone's upstreams.
+    /// Whether a zone is evacuated.
     pub fn is_emptied(&self, zone: &str) -> bool {
         self.row(zone).is_some_and(|row| row.emptied)
     }
@@ -49,7 +51,8 @@
         self.rows.iter().find(|row| row.zone == zone)
     }
 
-    /// Takes an order; false when another was taken first.
+    /// Applies an order; returns `false` if its number doesn't follow, since another was accepted
+    /// first.
     pub fn take(&mut self, order: ZoneOrder) -> bool {
         if order.number != self.last_number(&order.zone) + 1 {
             return false;
@@ -59,12 +62,13 @@
         true
     }
 
-    /// The orders, for a reader that holds `known` of them; `None` when that is all.
+    /// The orders for a reader that has `known` of them; `None` if the reader is up to date.
     pub fn news(&self, known: u64) -> Option<ZoneOrders> {
         (self.taken() != known).then(|| self.clone())
     }
 
-    /// Takes a later state of all zones; returns the one before, when there was something to take.
+    /// Replaces the table by a later state; returns the state before, or `None` if `other` isn't
+    /// later.
     pub fn take_later(&mut self, other: ZoneOrders) -> Option<ZoneOrders> {
         (other.taken() > self.taken()).then(|| std::mem::replace(self, other))
     }
