--- a/lib/src/state/list_reading.rs
+++ b/lib/src/state/list_reading.rs
@@ -1,9 +1,10 @@
-//! One reading of the platform's list, before it becomes a state of it.
+//! One read of the platform's list, before it becomes a revision of the list.
 //!
-//! Entries may come from writers that we don't know, and one that can't be read must not cost the
-//! others. Invariants: what can't be read names no upstream to use; of two entries of one name the
-//! later born holds; an upstream that was known and is named still, but can't be read now, is neither
-//! gone nor used while others of its service are. See `docs/design/identity.md`.
+//! Entries may be written by unknown programs, and an entry that can't be parsed must not affect
+//! the others. Invariants: an unreadable entry adds no upstream to use; of two entries with one
+//! name the one that started later holds; a known upstream whose entry is unreadable now is kept,
+//! but not used as long as other upstreams of its service are available. See
+//! `docs/design/identity.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,24 +12,25 @@
 use super::finding::Finding;
 use super::upstream_list::{EntryDoubt, UpstreamEntry, UpstreamList};
 
-/// An entry that can't be read, and what is readable of the name in it.
+/// An entry that can't be parsed, with those fields that identify its upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadEntry {
-    /// What is wrong, with its place; the first thing, where there are several.
+    /// The first fault in the entry, with its location.
     pub finding: Finding,
-    /// The name, if that can be read.
-    pub life: Option<String>,
-    /// The birth, likewise.
-    pub born: Option<u64>,
-    /// The address, likewise.
+    /// The name, if it is readable.
+    pub name: Option<String>,
+    /// The start time, if it is readable.
+    pub started_ms: Option<u64>,
+    /// The address, if it is readable.
     pub address: Option<SocketAddr>,
 }
 
-/// Whom entries that can't be read name, and with which births: by name, or by address where they give
-/// no name. Found without a search: nothing bounds what other writers leave.
+/// The upstreams that unreadable entries may refer to, with their start times: by name, or by
+/// address for entries without a name. The maps avoid a search for each row, since the number of
+/// unreadable entries is unbounded.
 #[derive(Default)]
 struct UnreadNames<'a> {
-    by_life: BTreeMap<&'a str, Vec<Option<u64>>>,
+    by_name: BTreeMap<&'a str, Vec<Option<u64>>>,
     by_address: BTreeMap<SocketAddr, Vec<Option<u64>>>,
 }
 
@@ -36,9 +38,9 @@
     fn of(unread: &[UnreadEntry]) -> UnreadNames<'_> {
         let mut names = UnreadNames::default();
         for entry in unread {
-            match (&entry.life, entry.address) {
-                (Some(life), _) => names.by_life.entry(life).or_default().push(entry.born),
-                (None, Some(at)) => names.by_address.entry(at).or_default().push(entry.born),
+            match (&entry.name, entry.address) {
+                (Some(name), _) => names.by_name.entry(name).or_default().push(entry.started_ms),
+                (None, Some(at)) => names.by_address.entry(at).or_default().push(entry.started_ms),
                 (None, None) => {}
             }
         }
@@ -46,31 +48,31 @@
     }
 
     fn include(&self, row: &UpstreamEntry) -> bool {
-        let same = |born: &Option<u64>| born.is_none() || *born == row.born;
-        let by_life = self.by_life.get(row.life.as_str());
-        let births = by_life.or_else(|| self.by_address.get(&row.address));
-        births.is_some_and(|births| births.iter().any(same))
+        let same = |started_ms: &Option<u64>| started_ms.is_none() || *started_ms == row.started_ms;
+        let by_name = self.by_name.get(row.name.as_str());
+        let starts = by_name.or_else(|| self.by_address.get(&row.address));
+        starts.is_some_and(|starts| starts.iter().any(same))
     }
 }
 
-/// All pages of one reading.
+/// The content of all pages of one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListReading {
-    /// Entries that were read.
+    /// Entries that were parsed.
     pub rows: Vec<UpstreamEntry>,
-    /// Entries that were not.
+    /// Entries that could not be parsed.
     pub unread: Vec<UnreadEntry>,
-    /// What is odd about entries that were read, with its place.
+    /// Oddities of entries that were parsed, with their locations.
     pub findings: Vec<Finding>,
 }
 
-/// What a reading shows, in view of what was known.
+/// The result of a read, combined with the list known before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SettledReading {
-    /// The rows, one a name.
+pub struct ResolvedReading {
+    /// The rows, one for each name.
     pub rows: Vec<UpstreamEntry>,
-    /// Names that stood there with several births.
-    pub doubled: Vec<String>,
+    /// Names that were listed with several start times.
+    pub duplicates: Vec<String>,
 }
 
 impl ListReading {
@@ -85,29 +87,30 @@
         self.findings.append(&mut page.findings);
     }
 
-    /// What the reading shows. `None` when it has entries and none can be read: that is no news of
-    /// anyone, and what was known holds.
-    pub fn settle(&self, known: &UpstreamList) -> Option<SettledReading> {
+    /// Combines the read with the known list. Returns `None` if the read has entries but none that
+    /// can be parsed; the known list then stays in use.
+    pub fn resolve(&self, known: &UpstreamList) -> Option<ResolvedReading> {
         if self.rows.is_empty() && !self.unread.is_empty() {
             return None;
         }
-        let (mut rows, doubled) = later_born(&self.rows);
+        let (mut rows, duplicates) = latest_starts(&self.rows);
         let held = self.held(&rows, known);
         rows.extend(held);
-        Some(SettledReading { rows, doubled })
+        Some(ResolvedReading { rows, duplicates })
     }
 
-    /// Known upstreams that are named by entries which can't be read, and by no other. They stay as
-    /// they were known if their service has no other that takes work: refusing would serve no caller.
+    /// Known upstreams that only unreadable entries refer to. They keep taking work if their
+    /// service has no other upstream that does, since withholding them would leave its callers
+    /// unserved.
     fn held(&self, rows: &[UpstreamEntry], known: &UpstreamList) -> Vec<UpstreamEntry> {
         if self.unread.is_empty() {
             return Vec::new();
         }
-        let read: BTreeSet<&str> = rows.iter().map(|row| row.life.as_str()).collect();
+        let read: BTreeSet<&str> = rows.iter().map(|row| row.name.as_str()).collect();
         let served: BTreeSet<&str> =
             rows.iter().filter(|row| row.takes_work()).map(|row| row.service.as_str()).collect();
         let names = UnreadNames::of(&self.unread);
-        let named = |row: &&UpstreamEntry| !read.contains(row.life.as_str()) && names.include(row);
+        let named = |row: &&UpstreamEntry| !read.contains(row.name.as_str()) && names.include(row);
         let hold = |row: &UpstreamEntry| {
             let doubt = match row.doubt {
                 EntryDoubt::State => EntryDoubt::State,
@@ -120,17 +123,17 @@
     }
 }
 
-/// One row a name, the later born of several; and the names that had several births.
-fn later_born(rows: &[UpstreamEntry]) -> (Vec<UpstreamEntry>, Vec<String>) {
-    let mut births: BTreeMap<&str, Option<u64>> = BTreeMap::new();
-    let mut doubled = BTreeSet::new();
+/// The latest incarnation of each name, and the names that had several start times.
+fn latest_starts(rows: &[UpstreamEntry]) -> (Vec<UpstreamEntry>, Vec<String>) {
+    let mut starts: BTreeMap<&str, Option<u64>> = BTreeMap::new();
+    let mut duplicates = BTreeSet::new();
     for row in rows {
-        let born = births.entry(&row.life).or_insert(row.born);
-        if *born != row.born {
-            doubled.insert(row.life.clone());
+        let started_ms = starts.entry(&row.name).or_insert(row.started_ms);
+        if *started_ms != row.started_ms {
+            duplicates.insert(row.name.clone());
         }
-        *born = (*born).max(row.born);
+        *started_ms = (*started_ms).max(row.started_ms);
     }
-    let latest = rows.iter().filter(|row| births.get(row.life.as_str()) == Some(&row.born));
-    (latest.cloned().collect(), doubled.into_iter().collect())
+    let latest = rows.iter().filter(|row| starts.get(row.name.as_str()) == Some(&row.started_ms));
+    (latest.cloned().collect(), duplicates.into_iter().collect())
 }
