--- a/lib/src/coordination/raft.rs
+++ b/lib/src/coordination/raft.rs
@@ -1,9 +1,10 @@
 //! The keepers' consensus: Raft's published rules as a pure step function.
 //!
-//! [`RaftCore`] is fed events and the present time, and fills a [`RaftOutput`].
+//! [`RaftCore`] takes events and the current time, and fills a [`RaftOutput`].
 //! The caller must write and sync `output.batch` before it sends
 //! `output.messages`, and then call [`RaftCore::note_synced`]; only synced entries
-//! count towards a quorum. It knows no sockets, clocks, files or commands.
+//! count towards a quorum. The core does no I/O, reads no clock, and treats commands as
+//! opaque bytes.
 //! See `docs/design/consensus.md`.
 
 use std::collections::BTreeMap;
@@ -16,18 +17,26 @@
     EntryPayload, GroupMembership, HardState, LogEntry, LogSnapshot, StoredState,
 };
 
-/// Elections wait for no slower disk than this, in milliseconds.
+/// Upper bound on the sync time that election timeouts allow for, in milliseconds. Without it
+/// one very slow write would postpone elections without limit.
 const LONGEST_SYNC_MS: u64 = 5000;
 
+/// What the leader tracks about the log of one other member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FollowerProgress {
+    /// The index of the next entry to send.
     pub(super) next: u64,
+    /// The last entry that the member has confirmed to hold.
     pub(super) matched: u64,
+    /// The leader's send time of the latest message that the member has answered.
     pub(super) acked_sent_ms: u64,
+    /// The send time of entries or a snapshot piece that the member has not answered yet.
     pub(super) waiting_since: Option<u64>,
+    /// The offset of the next snapshot piece, while a snapshot is being sent.
     pub(super) snapshot_offset: Option<u64>,
 }
 
+/// A snapshot that the leader is sending, with the bytes received so far.
 #[derive(Debug, Default)]
 pub(super) struct IncomingSnapshot {
     pub(super) index: u64,
@@ -35,7 +44,7 @@
     pub(super) bytes: Vec<u8>,
 }
 
-/// One keeper's part in the consensus.
+/// The Raft state of one keeper.
 #[derive(Debug)]
 pub struct RaftCore {
     pub(super) id: KeeperId,
@@ -48,29 +57,38 @@
     pub(super) membership: GroupMembership,
     pub(super) membership_index: u64,
     pub(super) commit: u64,
+    /// The last entry that was put into [`RaftOutput::committed`].
     pub(super) handed_out: u64,
+    /// The last entry that is on this keeper's disk.
     pub(super) synced: u64,
+    /// When the last message of a leader arrived, or when this keeper started or became leader.
     pub(super) heard_ms: u64,
+    /// When this keeper starts an election unless a leader's message arrives first.
     pub(super) deadline_ms: u64,
+    /// When this leader last sent heartbeats.
     pub(super) beat_ms: u64,
     pub(super) votes: BTreeMap<KeeperId, bool>,
     pub(super) progress: BTreeMap<KeeperId, FollowerProgress>,
     pub(super) incoming: IncomingSnapshot,
+    /// The target of a leadership transfer, and when the transfer times out.
     pub(super) transfer: Option<(KeeperId, u64)>,
+    /// The first entry of this leader's term.
     pub(super) term_start: u64,
+    /// State of the random generator that spreads the election timeouts.
     pub(super) jitter: u64,
-    /// A leader was heard, or led here, since the start of this life.
+    /// Whether this keeper has followed a leader or led since the process started.
     pub(super) woken: bool,
-    /// How soon this life asks for a vote while it has heard no leader, in milliseconds.
+    /// The election timeout until the first leader is seen, in milliseconds.
     pub(super) wake_ms: u64,
-    /// How often this life has asked for a vote without hearing of a leader.
+    /// How many election timeouts were set before the first leader was seen.
     pub(super) wakes: u32,
-    /// How long the disk takes for a sync, in milliseconds.
+    /// The estimated time of a disk sync, in milliseconds.
     pub(super) sync_ms: u64,
 }
 
 impl RaftCore {
-    /// A keeper with what its disk held. `seed` spreads the election timers.
+    /// Creates a follower from the state read from its disk. `seed` spreads the election
+    /// timeouts.
     pub fn new(
         id: KeeperId,
         incarnation: Incarnation,
@@ -110,14 +128,14 @@
         core.read_membership();
         core.reset_deadline(now_ms);
         if core.voters() == [id] {
-            // No other keeper can lead, so there is none to wait for.
+            // A single voter needs no other vote, so it starts its election at once.
             core.deadline_ms = now_ms;
         }
         core
     }
 
-    /// Asks for a vote soon after the start instead of waiting as long as for a leader that
-    /// has fallen silent; see [`super::raft_message::WAKE_MS`].
+    /// Sets a shorter election timeout for the time before the first leader is seen; see
+    /// [`super::raft_message::WAKE_MS`].
     pub fn wake_soon(&mut self, wake_ms: u64, now_ms: u64) {
         self.wake_ms = wake_ms;
         self.wakes = 0;
@@ -126,92 +144,94 @@
         }
     }
 
-    /// Leaves time for slow disks in elections: a candidate's vote and the answers to it each wait
-    /// for a sync. `job_ms` is how long the last write took.
+    /// Extends election timeouts for slow disks: a candidate's vote and each granted vote are
+    /// sent only after a sync. `job_ms` is how long the last write took.
     pub fn allow_for_syncs(&mut self, job_ms: u64) {
         self.sync_ms = job_ms.max(self.sync_ms / 2).min(LONGEST_SYNC_MS);
     }
 
-    /// This keeper's role.
+    /// Returns this keeper's role.
     pub fn role(&self) -> RaftRole {
         self.role
     }
 
-    /// The leader, as far as this keeper knows.
+    /// Returns the leader of the current term, or `None` while this keeper has not seen one.
     pub fn leader(&self) -> Option<KeeperId> {
         self.leader
     }
 
-    /// The present term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// The last committed entry.
+    /// Returns the index of the last committed entry.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// The last entry of the log.
+    /// Returns the index of the last entry of the log.
     pub fn last_index(&self) -> u64 {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The first entry still in the log, for deciding when to take a snapshot.
+    /// Returns the index of the last entry that the snapshot covers; the log starts after it.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.index
     }
 
-    /// The group, as of the last entry of the log.
+    /// Returns the membership as of the last entry of the log, committed or not.
     pub fn membership(&self) -> &GroupMembership {
         &self.membership
     }
 
-    /// The entries after the snapshot.
+    /// Returns the log entries after the snapshot.
     pub fn entries(&self) -> &[LogEntry] {
         &self.entries
     }
 
-    /// The snapshot before the entries.
+    /// Returns the snapshot that precedes the log entries.
     pub fn snapshot(&self) -> &LogSnapshot {
         &self.snapshot
     }
 
-    /// The last entry that is on this keeper's disk.
+    /// Returns the index of the last entry that is on this keeper's disk.
     pub fn synced_index(&self) -> u64 {
         self.synced
     }
 
-    /// Whether everything committed was handed out for applying.
+    /// Returns whether every committed entry was handed out to be applied.
     pub fn has_applied_all(&self) -> bool {
         self.handed_out >= self.commit
     }
 
-    /// Gives up leadership at once, when this keeper's disk doesn't take what it must hold.
+    /// Gives up leadership at once, for a keeper whose disk fails to write the log.
     pub fn resign(&mut self, now_ms: u64) {
         self.step_down(now_ms);
     }
 
-    /// Term and vote.
+    /// Returns the current term and the vote cast in it.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// Whether this keeper leads, knows all that was committed before its term, and holds a
-    /// lease: only then may it answer from its own state.
+    /// Returns whether this keeper leads, has committed an entry of its own term, holds a lease
+    /// and transfers leadership to no other keeper. Only then may it answer reads from its own
+    /// state.
     pub fn has_lease(&self, now_ms: u64) -> bool {
         let fresh = self.lease_start_ms(now_ms).saturating_add(LEASE_MS) > now_ms;
         let current = self.commit >= self.term_start && self.transfer.is_none();
         self.role == RaftRole::Leader && fresh && current
     }
 
-    /// The age of a member's last answer, for status pages; `None` before the first.
+    /// Returns the milliseconds since the sending of the latest message that a member answered,
+    /// or `None` before the first answer.
     pub fn member_age_ms(&self, id: KeeperId, now_ms: u64) -> Option<u64> {
         let progress = self.progress.get(&id)?;
         (progress.acked_sent_ms > 0).then(|| now_ms.saturating_sub(progress.acked_sent_ms))
     }
 
-    /// The last entry that a member is known to hold.
+    /// Returns the last entry that a member is known to hold.
     pub fn member_match(&self, id: KeeperId) -> Option<u64> {
         match id == self.id {
             true => Some(self.synced),
@@ -219,7 +239,8 @@
         }
     }
 
-    /// Time passes: elections, heartbeats, the leader's own check that a quorum hears it.
+    /// Acts on timers: starts elections, sends heartbeats, and makes a leader step down that no
+    /// quorum answers any more.
     pub fn tick(&mut self, now_ms: u64, output: &mut RaftOutput) {
         match self.role {
             RaftRole::Leader => self.tick_leader(now_ms, output),
@@ -230,7 +251,8 @@
         }
     }
 
-    /// Adds a command to the log; its index and term show when it is committed.
+    /// Appends a payload to the log and returns the index and term of its entry. The payload is
+    /// committed if the entry committed at that index has that term.
     pub fn propose(
         &mut self,
         payload: EntryPayload,
@@ -248,7 +270,7 @@
         Ok(place)
     }
 
-    /// Sends what was proposed to followers that are ready for more.
+    /// Sends entries that were not sent yet to the members that have answered all earlier ones.
     pub fn flush(&mut self, now_ms: u64, output: &mut RaftOutput) {
         if self.role != RaftRole::Leader {
             return;
@@ -262,12 +284,12 @@
         }
     }
 
-    /// The batch of the last step is on disk.
+    /// Notes that the batches of all steps so far are on disk.
     pub fn note_synced(&mut self, output: &mut RaftOutput) {
         self.note_synced_to(self.last_index(), output);
     }
 
-    /// Everything up to an entry is on disk.
+    /// Notes that the log is on disk up to and including entry `index`.
     pub fn note_synced_to(&mut self, index: u64, output: &mut RaftOutput) {
         self.synced = self.synced.max(index.min(self.last_index()));
         if self.role == RaftRole::Leader {
@@ -276,7 +298,8 @@
         self.hand_out(output);
     }
 
-    /// Starts one change of membership.
+    /// Proposes a membership change and returns the index and term of its entry. Only one change
+    /// may be uncommitted at a time.
     pub fn change_member(
         &mut self,
         change: MemberChange,
@@ -293,7 +316,8 @@
         self.propose(EntryPayload::Membership(next), output)
     }
 
-    /// Hands leadership to a voter: the most caught up when `to` is `None`.
+    /// Starts a leadership transfer to voter `to`, or to the live voter with the longest log when
+    /// `to` is `None`. Returns the target.
     pub fn transfer(
         &mut self,
         to: Option<KeeperId>,
@@ -316,7 +340,8 @@
         Ok(target)
     }
 
-    /// The state machine's image up to an applied entry replaces the log before it.
+    /// Replaces the log up to the committed entry `index` by `image`, the state machine's
+    /// snapshot there.
     pub fn compact(&mut self, index: u64, image: Vec<u8>) -> Option<&LogSnapshot> {
         if index <= self.snapshot.index || index > self.commit {
             return None;
@@ -328,7 +353,7 @@
         Some(&self.snapshot)
     }
 
-    /// A message came in.
+    /// Handles a message from another keeper.
     pub fn receive(&mut self, message: RaftMessage, now_ms: u64, output: &mut RaftOutput) {
         if !self.hears(&message) {
             return;
@@ -385,11 +410,12 @@
         self.hand_out(output);
     }
 
-    /// Whether a message is taken at all.
+    /// Returns whether a message is processed at all.
     ///
-    /// What asks is heard from anyone: this keeper's own view of the group may be old, and the
-    /// asker alone counts. What answers is counted here, so it must come from the very life
-    /// that is a member: a disk that was lost must not count as what it once held.
+    /// Requests are accepted from any keeper: this keeper's membership may be outdated, and the
+    /// requester does the counting. Replies are counted here, so they must come from the
+    /// incarnation that is a member: a keeper that lost its disk must not count for the entries
+    /// that the disk held.
     pub(super) fn hears(&self, message: &RaftMessage) -> bool {
         if message.from == self.id {
             return false;
@@ -400,7 +426,8 @@
         !counted || member.is_some_and(|member| member.incarnation == message.incarnation)
     }
 
-    /// While a leader is heard, or leads here, no vote is granted to unseat it.
+    /// Returns whether a vote request is ignored because this keeper leads, or received a message
+    /// of a live leader within the election timeout. A request of a leadership transfer passes.
     pub(super) fn defends_leader(&self, message: &RaftMessage, now_ms: u64) -> bool {
         let RaftBody::Vote { transfer, .. } = message.body else { return false };
         let heard = self.leader.is_some() && now_ms < self.heard_ms + ELECTION_MS;
@@ -408,6 +435,7 @@
         !transfer && (heard || leads)
     }
 
+    /// Returns whether this incarnation of the keeper is a voter of the group.
     pub(super) fn may_vote(&self) -> bool {
         let own = self.membership.members.get(&self.id);
         own.is_some_and(|member| member.votes && member.incarnation == self.incarnation)
@@ -430,11 +458,14 @@
         self.voters().len() / 2 + 1
     }
 
+    /// Returns the term and index of the last entry, in the order in which logs are compared.
     pub(super) fn last_place(&self) -> (u64, u64) {
         let last = self.last_index();
         (self.term_at(last).unwrap_or(0), last)
     }
 
+    /// Returns the term of an entry, or `None` if it is neither in the log nor the last entry of
+    /// the snapshot.
     pub(super) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -443,6 +474,7 @@
         self.entries.get(at).map(|entry| entry.term)
     }
 
+    /// Returns the membership as of an entry.
     pub(super) fn membership_at(&self, index: u64) -> GroupMembership {
         let upto = self.entries.iter().rev().filter(|entry| entry.index <= index);
         let found = upto.filter_map(|entry| match &entry.payload {
@@ -453,6 +485,7 @@
         found.next().unwrap_or_else(|| self.snapshot.membership.clone())
     }
 
+    /// Recomputes the membership from the log, or from the snapshot if no entry changes it.
     pub(super) fn read_membership(&mut self) {
         let latest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             EntryPayload::Membership(membership) => Some((membership.clone(), entry.index)),
@@ -462,8 +495,9 @@
         (self.membership, self.membership_index) = latest.unwrap_or_else(stored);
     }
 
+    /// Puts newly committed entries into the output.
     pub(super) fn hand_out(&mut self, output: &mut RaftOutput) {
-        // Only synced entries are handed out, so that what is applied is also on this disk.
+        // Only synced entries are handed out, so that every applied entry is on this disk too.
         let until = self.commit.min(self.synced);
         while self.handed_out < until {
             let at = (self.handed_out - self.snapshot.index) as usize;
@@ -473,6 +507,7 @@
         }
     }
 
+    /// Queues a message with the given term, which may differ from this keeper's in a pre-vote.
     pub(super) fn send_at(&self, to: KeeperId, term: u64, body: RaftBody, output: &mut RaftOutput) {
         let message = RaftMessage { from: self.id, incarnation: self.incarnation, term, body };
         output.messages.push((to, message));
--- a/lib/src/coordination/raft_election.rs
+++ b/lib/src/coordination/raft_election.rs
@@ -1,14 +1,15 @@
-//! The consensus: elections.
+//! Raft elections: timeouts, pre-votes, votes, and taking or giving up leadership.
 
 use super::raft::{FollowerProgress, RaftCore};
 use super::raft_message::{RaftBody, RaftOutput, RaftRole, ELECTION_MS};
 use crate::state::ids::KeeperId;
 use crate::state::log_store::{EntryPayload, HardState, LogEntry};
 
-/// The candidate's own and that of the voter.
+/// Disk syncs that an election waits for: the candidate's own and the voter's.
 const SYNCS_A_VOTE: u64 = 2;
 
 impl RaftCore {
+    /// Sets the next election timeout.
     pub(super) fn reset_deadline(&mut self, now_ms: u64) {
         self.jitter ^= self.jitter << 13;
         self.jitter ^= self.jitter >> 7;
@@ -18,21 +19,23 @@
             self.deadline_ms = now_ms + patience_ms + self.jitter % patience_ms;
             return;
         }
-        // Keepers that return together take turns by their place in the group: when one of three
-        // disks is lost, two that vote for themselves cost a whole round. No chance is added: with
-        // it two turns could fall on one tick.
+        // Keepers that restart together time out in the order of their ids: when one of three
+        // disks is lost, the other two lose a whole round if both vote for themselves. No random
+        // part is added, because two keepers could then time out in the same tick.
         let turn = self.voters().iter().position(|id| *id == self.id).unwrap_or(0) as u64;
         let pause = (self.wake_ms << self.wakes.min(8)).min(ELECTION_MS);
         self.wakes += 1;
         self.deadline_ms = now_ms + pause * (turn + 1);
     }
 
+    /// Enters a later term as a follower without a vote.
     pub(super) fn enter_term(&mut self, term: u64, now_ms: u64, output: &mut RaftOutput) {
         self.hard_state = HardState { term, voted_for: None };
         output.batch.hard_state = Some(self.hard_state);
         self.step_down(now_ms);
     }
 
+    /// Becomes a follower without a leader, in the same term.
     pub(super) fn step_down(&mut self, now_ms: u64) {
         if self.role == RaftRole::Leader {
             self.reset_deadline(now_ms);
@@ -43,6 +46,7 @@
         self.votes.clear();
     }
 
+    /// Becomes a follower of `leader`, from which a message arrived now.
     pub(super) fn follow(&mut self, leader: KeeperId, now_ms: u64) {
         self.role = RaftRole::Follower;
         self.leader = Some(leader);
@@ -51,6 +55,8 @@
         self.reset_deadline(now_ms);
     }
 
+    /// Starts a pre-vote (`pre`) or an election; `transfer` marks an election that the leader
+    /// requested.
     pub(super) fn campaign(
         &mut self,
         pre: bool,
@@ -78,6 +84,7 @@
         self.check_election(now_ms, output);
     }
 
+    /// Answers a vote request whose sender has the log position `last_place` (term, index).
     pub(super) fn answer_vote(
         &mut self,
         from: KeeperId,
@@ -89,19 +96,20 @@
     ) {
         let fresh = term > self.term()
             || (term == self.term() && self.hard_state.voted_for.is_none_or(|id| id == from));
-        // Every keeper answers, whatever its own log says of the group: the candidate counts
-        // only members of the group that it knows, by their lives.
+        // Every keeper answers, even one that is no voter by its own log: the candidate counts
+        // only voters of its own membership, each by its incarnation.
         let granted = fresh && last_place >= self.last_place();
         if granted && !pre {
             self.hard_state = HardState { term, voted_for: Some(from) };
             output.batch.hard_state = Some(self.hard_state);
             self.reset_deadline(now_ms);
         }
-        // A granted pre-vote is for the asker's coming term; a refusal gives our own.
+        // A granted reply carries the requested term; a refusal carries this keeper's term.
         let reply_term = if granted { term } else { self.term() };
         self.send_at(from, reply_term, RaftBody::VoteReply { pre, granted }, output);
     }
 
+    /// Counts a granted vote if it belongs to the election under way.
     pub(super) fn count_vote(
         &mut self,
         from: KeeperId,
@@ -122,6 +130,7 @@
         }
     }
 
+    /// Moves on to the next stage of the election once a quorum has granted its vote.
     pub(super) fn check_election(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let counted = self.votes.keys().filter(|id| self.votes_in_group(**id)).count();
         if counted < self.quorum() {
@@ -134,6 +143,7 @@
         }
     }
 
+    /// Becomes leader and appends an empty entry, which commits the entries of earlier terms.
     pub(super) fn lead(&mut self, now_ms: u64, output: &mut RaftOutput) {
         self.role = RaftRole::Leader;
         self.leader = Some(self.id);
--- a/lib/src/coordination/raft_follower.rs
+++ b/lib/src/coordination/raft_follower.rs
@@ -1,4 +1,4 @@
-//! The consensus: what a follower takes from its leader.
+//! Raft followers: entries and snapshots that the leader sends.
 
 use super::raft::{IncomingSnapshot, RaftCore};
 use super::raft_message::{RaftBody, RaftOutput};
@@ -6,7 +6,8 @@
 use crate::state::log_store::{LogEntry, LogSnapshot};
 
 impl RaftCore {
-    /// Takes entries that fit; `Err` gives the index at which the leader should go on.
+    /// Appends entries that continue this log and returns the last index known to match. `Err`
+    /// holds the index of the last entry that may match, after which the leader should continue.
     pub(super) fn take_entries(
         &mut self,
         prev_index: u64,
@@ -16,7 +17,7 @@
     ) -> Result<u64, u64> {
         let last = prev_index + entries.len() as u64;
         if prev_index < self.snapshot.index {
-            // What the snapshot covers is committed, so it matches.
+            // Entries that the snapshot covers are committed, so they match.
             let skip = (self.snapshot.index - prev_index) as usize;
             let rest: Vec<LogEntry> = entries.into_iter().skip(skip).collect();
             if rest.is_empty() {
@@ -43,7 +44,8 @@
         Ok(last)
     }
 
-    /// The last entry before the term that stands at `index`: skips a whole term at once.
+    /// Returns the last entry before the term of entry `index`, so that the leader skips a
+    /// conflicting term in one round trip.
     pub(super) fn before_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut at = index;
@@ -53,6 +55,7 @@
         at
     }
 
+    /// Removes the entries from `from` on, which conflict with the leader's log.
     pub(super) fn truncate(&mut self, from: u64, output: &mut RaftOutput) {
         self.entries.retain(|entry| entry.index < from);
         output.batch.entries.retain(|entry| entry.index < from);
@@ -62,6 +65,8 @@
         self.read_membership();
     }
 
+    /// Adds a piece of a snapshot and installs the snapshot once it is complete. `place` holds
+    /// the piece's offset, the total length and the leader's send time.
     pub(super) fn take_piece(
         &mut self,
         from: KeeperId,
@@ -93,8 +98,10 @@
         self.reply(from, true, self.snapshot.index, sent_ms, 0, output);
     }
 
+    /// Replaces the log up to the snapshot's last entry by the snapshot.
     pub(super) fn install(&mut self, snapshot: LogSnapshot, output: &mut RaftOutput) {
-        // Entries that follow on the snapshot stay; anything else is not known to match.
+        // Entries after the snapshot stay if the log contains its last entry; otherwise they may
+        // conflict with the leader's log.
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             self.entries.retain(|entry| entry.index > snapshot.index);
         } else {
@@ -112,6 +119,7 @@
         output.install = Some(snapshot);
     }
 
+    /// Queues a reply to an append or to a piece of a snapshot.
     pub(super) fn reply(
         &self,
         to: KeeperId,
--- a/lib/src/coordination/raft_leader.rs
+++ b/lib/src/coordination/raft_leader.rs
@@ -1,4 +1,4 @@
-//! The consensus: what a leader does.
+//! Raft leaders: replication, commits, leases, transfers and membership changes.
 
 use super::raft::{FollowerProgress, RaftCore};
 use super::raft_message::*;
@@ -6,6 +6,7 @@
 use crate::state::log_store::{EntryPayload, GroupMember, GroupMembership, LogEntry};
 
 impl RaftCore {
+    /// Sends heartbeats, and steps down when no quorum answers or a transfer timed out.
     pub(super) fn tick_leader(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let lost = self.lease_start_ms(now_ms).max(self.heard_ms) + 2 * ELECTION_MS <= now_ms;
         if lost {
@@ -13,8 +14,8 @@
             return;
         }
         if self.transfer.is_some_and(|(_, until)| now_ms >= until) {
-            // The target may still act on a late word to stand, which overrides the followers'
-            // protection of this leader's lease. So the lease must end with this leadership.
+            // A delayed `StandNow` may still make the target start an election, which followers
+            // grant in spite of this leader's lease. So this keeper must give up its lease.
             self.step_down(now_ms);
             return;
         }
@@ -27,7 +28,8 @@
         }
     }
 
-    /// The latest time at which a quorum, this keeper included, surely heard this leader.
+    /// Returns the start of the lease: the latest time such that a quorum, this keeper included,
+    /// has answered a message that this leader sent at that time or later.
     pub(super) fn lease_start_ms(&self, now_ms: u64) -> u64 {
         let mut heard: Vec<u64> = Vec::new();
         for id in self.voters() {
@@ -40,6 +42,7 @@
         heard.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
+    /// Appends an entry to the log and the output; a membership takes effect at once.
     pub(super) fn push_entry(&mut self, entry: LogEntry, output: &mut RaftOutput) {
         if let EntryPayload::Membership(membership) = &entry.payload {
             let before = std::mem::replace(&mut self.membership, membership.clone());
@@ -50,7 +53,8 @@
         self.entries.push(entry);
     }
 
-    /// What an earlier life of a member held says nothing of its new one.
+    /// Drops the progress of removed members and of members with a new incarnation, whose log may
+    /// lack what the earlier incarnation confirmed.
     pub(super) fn renew_progress(&mut self, before: &GroupMembership, next: u64) {
         let members = &self.membership.members;
         let same_life = |id: &KeeperId| {
@@ -64,6 +68,7 @@
         }
     }
 
+    /// Sends a member its next entries, a heartbeat, or the next piece of the snapshot.
     pub(super) fn send_append(&mut self, to: KeeperId, now_ms: u64, output: &mut RaftOutput) {
         let last_index = self.last_index();
         let progress = self.progress.entry(to).or_default();
@@ -73,7 +78,8 @@
             return;
         }
         progress.snapshot_offset = None;
-        // Until an answer comes, heartbeats go on empty, so that a slow follower is not flooded.
+        // While entries are unanswered, heartbeats carry none, so that a slow follower is not
+        // flooded. After an election timeout they are sent again.
         let waited = progress.waiting_since.is_some_and(|since| now_ms < since + ELECTION_MS);
         let from = (next - self.snapshot.index - 1) as usize;
         let mut bytes = 0;
@@ -99,6 +105,7 @@
         self.send_at(to, self.term(), body, output);
     }
 
+    /// Sends a member the next piece of the snapshot.
     pub(super) fn send_piece(&mut self, to: KeeperId, now_ms: u64, output: &mut RaftOutput) {
         let total = self.snapshot.image.len();
         let progress = self.progress.entry(to).or_default();
@@ -118,6 +125,8 @@
         self.send_at(to, self.term(), body, output);
     }
 
+    /// Updates a member's progress from its reply (matched, index, echoed send time, snapshot
+    /// offset) and sends it what follows.
     pub(super) fn take_reply(
         &mut self,
         from: KeeperId,
@@ -151,6 +160,7 @@
         self.push_transfer(output);
     }
 
+    /// Requests an election from the target of a transfer once it has the whole log.
     pub(super) fn push_transfer(&mut self, output: &mut RaftOutput) {
         let Some((target, _)) = self.transfer else { return };
         let caught_up = self.member_match(target) == Some(self.last_index());
@@ -159,18 +169,20 @@
         }
     }
 
+    /// Commits what a quorum of voters has on disk.
     pub(super) fn advance_commit(&mut self) {
         let voters = self.voters();
         let mut held: Vec<u64> =
             voters.iter().map(|id| self.member_match(*id).unwrap_or(0)).collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
         let quorum = held.get(self.quorum() - 1).copied().unwrap_or(0);
-        // Only entries of the own term are committed by counting (Raft, section 5.4.2).
+        // Only entries of the leader's own term are committed by counting (Raft, section 5.4.2).
         if quorum > self.commit && self.term_at(quorum) == Some(self.term()) {
             self.commit = quorum;
         }
     }
 
+    /// Returns the membership after a change, or why the change is refused.
     pub(super) fn changed_membership(
         &self,
         change: &MemberChange,
@@ -180,7 +192,8 @@
         match change {
             MemberChange::AddLearner(id, incarnation, address) => {
                 let known = next.members.get(id);
-                // A voter that lost its disk must be removed first, so that it never counts twice.
+                // A voter that lost its disk must be removed before it joins again, so that its
+                // lost entries and votes no longer count.
                 if known.is_some_and(|member| member.votes) {
                     return Err(RaftRefusal::NoSuchMember);
                 }
@@ -197,7 +210,7 @@
                 }
                 member.votes = true;
             }
-            // A removed leader could be the only one with the entry that removes it.
+            // A leader that removes itself could be the only member that has that entry.
             MemberChange::Remove(id) if *id == self.id => return Err(RaftRefusal::Leads),
             MemberChange::Remove(id) => {
                 if next.members.remove(id).is_none() {
@@ -228,6 +241,7 @@
     }
 }
 
+/// Estimates the size of an entry in a message, in bytes.
 fn payload_bytes(entry: &LogEntry) -> usize {
     match &entry.payload {
         EntryPayload::Command(bytes) => bytes.len() + 16,
--- a/lib/src/coordination/raft_message.rs
+++ b/lib/src/coordination/raft_message.rs
@@ -1,4 +1,4 @@
-//! What keepers say to each other, and what the consensus asks of its caller.
+//! Messages between keepers, and the output of a step of the consensus.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,25 +7,30 @@
 
 /// How often a leader sends heartbeats, in milliseconds.
 pub const HEARTBEAT_MS: u64 = 100;
-/// A follower that hears nothing for this long, and up to twice as long, asks for a vote.
+/// The minimum election timeout, in milliseconds. A follower that receives nothing from a leader
+/// for this long, or up to twice as long by chance, starts an election.
 pub const ELECTION_MS: u64 = 500;
-/// A fleet's keeper that heard no leader since its start asks this soon, and up to twice as
-/// late; then twice as long each time, so that slow keepers don't ask across each other.
+/// The first election timeout of a fleet's keeper that has seen no leader since its start, in
+/// milliseconds, multiplied by the keeper's position among the voters. It doubles with each
+/// attempt, so that slow keepers do not disturb each other's elections.
 ///
-/// After all keepers were killed together none leads, and callers wait; where a leader
-/// does live, it is defended against the question. See `docs/design/platform.md`.
+/// After all keepers were killed together none leads, and callers wait, so a new leader should
+/// be elected soon. Where a leader lives, its followers ignore the vote requests. See
+/// `docs/design/platform.md`.
 pub const WAKE_MS: u64 = 50;
-/// A leader's lease lasts this long from the sending of a heartbeat that a quorum answered.
+/// The duration of a leader's lease in milliseconds, from the sending of a heartbeat that a
+/// quorum answered.
 ///
-/// Shorter than [`ELECTION_MS`] by a fifth, which allows for clocks that run apart.
+/// It is shorter than [`ELECTION_MS`] by a fifth, which allows for clocks of different speeds.
 pub const LEASE_MS: u64 = ELECTION_MS * 4 / 5;
-/// At most this many entries travel in one message.
+/// The maximum number of entries in one message.
 pub const ENTRIES_PER_MESSAGE: usize = 512;
-/// At most about this many bytes of entries travel in one message.
+/// The approximate maximum size of the entries in one message, in bytes. An entry that alone is
+/// larger is sent by itself.
 pub const BYTES_PER_MESSAGE: usize = 1 << 20;
-/// A snapshot travels in pieces of this size.
+/// The maximum size of a piece of a snapshot, in bytes.
 pub const SNAPSHOT_PIECE: usize = 256 << 10;
-/// A learner this close to the end of the log counts as caught up.
+/// The number of entries by which a learner's log may be behind the leader's when it is promoted.
 pub const CAUGHT_UP_GAP: u64 = 64;
 
 /// A message between keepers.
@@ -33,55 +38,57 @@
 pub struct RaftMessage {
     /// The sender.
     pub from: KeeperId,
-    /// The life of the sender's disk; another life than the group knows is not heard.
+    /// The incarnation of the sender's disk. Replies of an incarnation that is no member are
+    /// ignored.
     pub incarnation: Incarnation,
     /// The sender's term, or for a pre-vote the term that it would enter.
     pub term: u64,
-    /// What it says.
+    /// The content.
     pub body: RaftBody,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RaftBody {
-    /// Would you vote for me? Or, after enough said so: vote for me.
+    /// A request for a pre-vote or, after a quorum granted that, for a vote.
     Vote {
-        /// Only asking; no term is entered.
+        /// Whether this is a pre-vote, which changes no term.
         pre: bool,
-        /// The leader itself asked the sender to stand.
+        /// Whether the leader requested this election for a leadership transfer.
         transfer: bool,
-        /// The sender's last entry.
+        /// The index of the sender's last entry.
         last_index: u64,
-        /// Its term.
+        /// The term of that entry.
         last_term: u64,
     },
-    /// The answer to either.
+    /// The reply to a request for a pre-vote or a vote.
     VoteReply {
-        /// To a pre-vote.
+        /// Whether the request was for a pre-vote.
         pre: bool,
-        /// Yes or no.
+        /// Whether it is granted.
         granted: bool,
     },
-    /// Entries, or none: a heartbeat.
+    /// Entries to append; without entries a heartbeat.
     Append {
-        /// The entry before the first.
+        /// The index of the entry before the first.
         prev_index: u64,
-        /// Its term.
+        /// The term of that entry.
         prev_term: u64,
         /// The entries.
         entries: Vec<LogEntry>,
-        /// What is committed.
+        /// The index of the last committed entry.
         commit: u64,
-        /// The leader's clock at sending, echoed by the answer; the leader's lease rests on it.
+        /// The leader's clock at sending, which the reply echoes. The leader's lease is computed
+        /// from it.
         sent_ms: u64,
     },
-    /// The answer to entries or to a piece of a snapshot.
+    /// The reply to entries or to a piece of a snapshot.
     AppendReply {
-        /// Whether they fitted.
+        /// Whether the logs match up to `index`.
         matched: bool,
-        /// The last entry known to match; when they did not fit, where to go on.
+        /// The last entry known to match, or else the last one that may match.
         index: u64,
-        /// Echoed.
+        /// The leader's clock at sending, echoed.
         sent_ms: u64,
         /// Bytes of the snapshot received so far.
         snapshot_offset: u64,
@@ -92,73 +99,75 @@
         index: u64,
         /// That entry's term.
         last_term: u64,
-        /// Its membership.
+        /// The snapshot's membership.
         membership: GroupMembership,
-        /// Where this piece starts.
+        /// Where this piece starts in the snapshot's image, in bytes.
         offset: u64,
-        /// The whole length.
+        /// The length of the whole image in bytes.
         total: u64,
-        /// The piece.
+        /// The bytes of this piece.
         bytes: Vec<u8>,
-        /// As in an append.
+        /// The leader's clock at sending, as in [`RaftBody::Append`].
         sent_ms: u64,
     },
-    /// Stand for election at once.
+    /// A leader's request to start an election at once, for a leadership transfer.
     StandNow,
 }
 
 /// The roles of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RaftRole {
-    /// Follows a leader, or waits for one.
+    /// The keeper follows a leader, or waits for one.
     Follower,
-    /// Asks whether an election could be won.
+    /// The keeper requests pre-votes to find out whether it could win an election.
     PreCandidate,
-    /// Stands for election.
+    /// The keeper requests votes.
     Candidate,
-    /// Leads.
+    /// The keeper leads the group.
     Leader,
 }
 
 /// Why a proposal or a change of membership is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RaftRefusal {
-    /// Another keeper leads, perhaps this one.
+    /// This keeper does not lead; holds the leader if it is known.
     NotLeader(Option<KeeperId>),
-    /// A change of membership is still under way.
+    /// An earlier membership change, or the first entry of the leader's term, is not committed
+    /// yet.
     ChangePending,
     /// The change would leave fewer live voters than a quorum.
     WouldLoseQuorum,
-    /// The learner is not caught up.
+    /// The learner's log is too far behind, or the learner does not answer.
     NotCaughtUp,
-    /// There is no such member, or it is there already.
+    /// There is no such member, no live voter to transfer leadership to, or the keeper to add is
+    /// a voter already.
     NoSuchMember,
-    /// Leadership is being handed over.
+    /// A leadership transfer is under way.
     HandingOver,
-    /// The member leads; it must hand over first.
+    /// The member to remove leads; it must transfer leadership first.
     Leads,
 }
 
-/// One change of membership; never more than one at a time.
+/// A change of one member. At most one change is uncommitted at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// Adds a keeper that only receives.
+    /// Adds a keeper that receives the log but has no vote.
     AddLearner(KeeperId, Incarnation, std::net::SocketAddr),
-    /// Gives a learner its vote.
+    /// Makes a learner a voter.
     Promote(KeeperId),
     /// Removes a member.
     Remove(KeeperId),
 }
 
-/// What a step asks of its caller.
+/// What the caller has to do after a step: install, write and sync, send, apply.
 #[derive(Debug, Default)]
 pub struct RaftOutput {
-    /// To write and sync first.
+    /// Log changes, to be written and synced before the messages are sent.
     pub batch: LogBatch,
-    /// A snapshot received whole: install it before anything else.
+    /// A completely received snapshot, to be installed before anything else.
     pub install: Option<LogSnapshot>,
-    /// To send after that.
+    /// Messages and their receivers, to be sent after the batch is synced.
     pub messages: Vec<(KeeperId, RaftMessage)>,
-    /// Newly committed entries, in order, to apply after that.
+    /// Newly committed entries, to be applied in order.
     pub committed: Vec<LogEntry>,
 }
