--- a/lib/src/coordination/raft.rs
+++ b/lib/src/coordination/raft.rs
@@ -19,7 +19,7 @@
 
 /// Upper bound on the sync time that election timeouts allow for, in milliseconds. Without it
 /// one very slow write would postpone elections without limit.
-const LONGEST_SYNC_MS: u64 = 5000;
+const MAX_SYNC_MS: u64 = 5000;
 
 /// What the leader tracks about the log of one other member.
 #[derive(Clone, Debug, Default)]
@@ -58,15 +58,15 @@
     pub(super) membership_index: u64,
     pub(super) commit: u64,
     /// The last entry that was put into [`RaftOutput::committed`].
-    pub(super) handed_out: u64,
+    pub(super) last_handed_out: u64,
     /// The last entry that is on this keeper's disk.
     pub(super) synced: u64,
     /// When the last message of a leader arrived, or when this keeper started or became leader.
-    pub(super) heard_ms: u64,
+    pub(super) last_contact_ms: u64,
     /// When this keeper starts an election unless a leader's message arrives first.
     pub(super) deadline_ms: u64,
     /// When this leader last sent heartbeats.
-    pub(super) beat_ms: u64,
+    pub(super) last_heartbeat_ms: u64,
     pub(super) votes: BTreeMap<KeeperId, bool>,
     pub(super) progress: BTreeMap<KeeperId, FollowerProgress>,
     pub(super) incoming: IncomingSnapshot,
@@ -77,11 +77,11 @@
     /// State of the random generator that spreads the election timeouts.
     pub(super) jitter: u64,
     /// Whether this keeper has followed a leader or led since the process started.
-    pub(super) woken: bool,
+    pub(super) seen_leader: bool,
     /// The election timeout until the first leader is seen, in milliseconds.
-    pub(super) wake_ms: u64,
+    pub(super) startup_timeout_ms: u64,
     /// How many election timeouts were set before the first leader was seen.
-    pub(super) wakes: u32,
+    pub(super) startup_attempts: u32,
     /// The estimated time of a disk sync, in milliseconds.
     pub(super) sync_ms: u64,
 }
@@ -109,23 +109,23 @@
             snapshot: stored.snapshot,
             entries: stored.entries,
             commit,
-            handed_out: commit,
+            last_handed_out: commit,
             synced: last,
-            heard_ms: now_ms,
+            last_contact_ms: now_ms,
             deadline_ms: 0,
-            beat_ms: 0,
+            last_heartbeat_ms: 0,
             votes: BTreeMap::new(),
             progress: BTreeMap::new(),
             incoming: IncomingSnapshot::default(),
             transfer: None,
             term_start: 0,
             jitter: seed | 1,
-            woken: false,
-            wake_ms: ELECTION_MS,
-            wakes: 0,
+            seen_leader: false,
+            startup_timeout_ms: ELECTION_MS,
+            startup_attempts: 0,
             sync_ms: 0,
         };
-        core.read_membership();
+        core.reload_membership();
         core.reset_deadline(now_ms);
         if core.voters() == [id] {
             // A single voter needs no other vote, so it starts its election at once.
@@ -135,19 +135,19 @@
     }
 
     /// Sets a shorter election timeout for the time before the first leader is seen; see
-    /// [`super::raft_message::WAKE_MS`].
-    pub fn wake_soon(&mut self, wake_ms: u64, now_ms: u64) {
-        self.wake_ms = wake_ms;
-        self.wakes = 0;
-        if !self.woken && self.deadline_ms > now_ms {
+    /// [`super::raft_message::STARTUP_ELECTION_MS`].
+    pub fn set_startup_timeout(&mut self, startup_timeout_ms: u64, now_ms: u64) {
+        self.startup_timeout_ms = startup_timeout_ms;
+        self.startup_attempts = 0;
+        if !self.seen_leader && self.deadline_ms > now_ms {
             self.reset_deadline(now_ms);
         }
     }
 
     /// Extends election timeouts for slow disks: a candidate's vote and each granted vote are
     /// sent only after a sync. `job_ms` is how long the last write took.
-    pub fn allow_for_syncs(&mut self, job_ms: u64) {
-        self.sync_ms = job_ms.max(self.sync_ms / 2).min(LONGEST_SYNC_MS);
+    pub fn note_sync_time(&mut self, job_ms: u64) {
+        self.sync_ms = job_ms.max(self.sync_ms / 2).min(MAX_SYNC_MS);
     }
 
     /// Returns this keeper's role.
@@ -202,7 +202,7 @@
 
     /// Returns whether every committed entry was handed out to be applied.
     pub fn has_applied_all(&self) -> bool {
-        self.handed_out >= self.commit
+        self.last_handed_out >= self.commit
     }
 
     /// Gives up leadership at once, for a keeper whose disk fails to write the log.
@@ -266,7 +266,7 @@
         }
         let entry = LogEntry { index: self.last_index() + 1, term: self.term(), payload };
         let place = (entry.index, entry.term);
-        self.push_entry(entry, output);
+        self.append_entry(entry, output);
         Ok(place)
     }
 
@@ -295,7 +295,7 @@
         if self.role == RaftRole::Leader {
             self.advance_commit();
         }
-        self.hand_out(output);
+        self.hand_out_committed(output);
     }
 
     /// Proposes a membership change and returns the index and term of its entry. Only one change
@@ -355,10 +355,10 @@
 
     /// Handles a message from another keeper.
     pub fn receive(&mut self, message: RaftMessage, now_ms: u64, output: &mut RaftOutput) {
-        if !self.hears(&message) {
+        if !self.accepts(&message) {
             return;
         }
-        if self.defends_leader(&message, now_ms) {
+        if self.protects_leader(&message, now_ms) {
             return;
         }
         let pre_vote = matches!(
@@ -371,23 +371,23 @@
         let (from, term) = (message.from, message.term);
         match message.body {
             RaftBody::Vote { pre, last_index, last_term, .. } => {
-                self.answer_vote(from, term, pre, (last_term, last_index), now_ms, output);
+                self.handle_vote_request(from, term, pre, (last_term, last_index), now_ms, output);
             }
             RaftBody::VoteReply { pre, granted } => {
-                self.count_vote(from, term, pre, granted, now_ms, output);
+                self.handle_vote_reply(from, term, pre, granted, now_ms, output);
             }
             RaftBody::AppendReply { matched, index, sent_ms, snapshot_offset } => {
                 if term == self.term() && self.role == RaftRole::Leader {
                     let reply = (matched, index, sent_ms, snapshot_offset);
-                    self.take_reply(from, reply, now_ms, output);
+                    self.handle_append_reply(from, reply, now_ms, output);
                 }
             }
             RaftBody::Append { .. } | RaftBody::Piece { .. } if term < self.term() => {
                 self.reply(from, false, self.last_index(), 0, 0, output);
             }
             RaftBody::Append { prev_index, prev_term, entries, commit, sent_ms } => {
-                self.follow(from, now_ms);
-                let matched = self.take_entries(prev_index, prev_term, entries, output);
+                self.become_follower(from, now_ms);
+                let matched = self.append_entries(prev_index, prev_term, entries, output);
                 match matched {
                     Ok(index) => {
                         self.commit = self.commit.max(commit.min(index));
@@ -397,9 +397,9 @@
                 }
             }
             RaftBody::Piece { index, last_term, membership, offset, total, bytes, sent_ms } => {
-                self.follow(from, now_ms);
+                self.become_follower(from, now_ms);
                 let head = LogSnapshot { index, term: last_term, membership, image: Vec::new() };
-                self.take_piece(from, head, (offset, total, sent_ms), bytes, output);
+                self.take_snapshot_piece(from, head, (offset, total, sent_ms), bytes, output);
             }
             RaftBody::StandNow => {
                 if term == self.term() && self.may_vote() {
@@ -407,7 +407,7 @@
                 }
             }
         }
-        self.hand_out(output);
+        self.hand_out_committed(output);
     }
 
     /// Returns whether a message is processed at all.
@@ -416,7 +416,7 @@
     /// requester does the counting. Replies are counted here, so they must come from the
     /// incarnation that is a member: a keeper that lost its disk must not count for the entries
     /// that the disk held.
-    pub(super) fn hears(&self, message: &RaftMessage) -> bool {
+    pub(super) fn accepts(&self, message: &RaftMessage) -> bool {
         if message.from == self.id {
             return false;
         }
@@ -428,11 +428,11 @@
 
     /// Returns whether a vote request is ignored because this keeper leads, or received a message
     /// of a live leader within the election timeout. A request of a leadership transfer passes.
-    pub(super) fn defends_leader(&self, message: &RaftMessage, now_ms: u64) -> bool {
+    pub(super) fn protects_leader(&self, message: &RaftMessage, now_ms: u64) -> bool {
         let RaftBody::Vote { transfer, .. } = message.body else { return false };
-        let heard = self.leader.is_some() && now_ms < self.heard_ms + ELECTION_MS;
+        let received = self.leader.is_some() && now_ms < self.last_contact_ms + ELECTION_MS;
         let leads = self.role == RaftRole::Leader;
-        !transfer && (heard || leads)
+        !transfer && (received || leads)
     }
 
     /// Returns whether this incarnation of the keeper is a voter of the group.
@@ -459,7 +459,7 @@
     }
 
     /// Returns the term and index of the last entry, in the order in which logs are compared.
-    pub(super) fn last_place(&self) -> (u64, u64) {
+    pub(super) fn last_position(&self) -> (u64, u64) {
         let last = self.last_index();
         (self.term_at(last).unwrap_or(0), last)
     }
@@ -486,7 +486,7 @@
     }
 
     /// Recomputes the membership from the log, or from the snapshot if no entry changes it.
-    pub(super) fn read_membership(&mut self) {
+    pub(super) fn reload_membership(&mut self) {
         let latest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             EntryPayload::Membership(membership) => Some((membership.clone(), entry.index)),
             EntryPayload::Command(_) => None,
@@ -496,14 +496,14 @@
     }
 
     /// Puts newly committed entries into the output.
-    pub(super) fn hand_out(&mut self, output: &mut RaftOutput) {
+    pub(super) fn hand_out_committed(&mut self, output: &mut RaftOutput) {
         // Only synced entries are handed out, so that every applied entry is on this disk too.
         let until = self.commit.min(self.synced);
-        while self.handed_out < until {
-            let at = (self.handed_out - self.snapshot.index) as usize;
+        while self.last_handed_out < until {
+            let at = (self.last_handed_out - self.snapshot.index) as usize;
             let Some(entry) = self.entries.get(at) else { break };
             output.committed.push(entry.clone());
-            self.handed_out += 1;
+            self.last_handed_out += 1;
         }
     }
 
--- a/lib/src/coordination/raft_election.rs
+++ b/lib/src/coordination/raft_election.rs
@@ -6,7 +6,7 @@
 use crate::state::log_store::{EntryPayload, HardState, LogEntry};
 
 /// Disk syncs that an election waits for: the candidate's own and the voter's.
-const SYNCS_A_VOTE: u64 = 2;
+const SYNCS_PER_ELECTION: u64 = 2;
 
 impl RaftCore {
     /// Sets the next election timeout.
@@ -14,17 +14,17 @@
         self.jitter ^= self.jitter << 13;
         self.jitter ^= self.jitter >> 7;
         self.jitter ^= self.jitter << 17;
-        if self.woken || self.wake_ms >= ELECTION_MS {
-            let patience_ms = ELECTION_MS + SYNCS_A_VOTE * self.sync_ms;
-            self.deadline_ms = now_ms + patience_ms + self.jitter % patience_ms;
+        if self.seen_leader || self.startup_timeout_ms >= ELECTION_MS {
+            let timeout_ms = ELECTION_MS + SYNCS_PER_ELECTION * self.sync_ms;
+            self.deadline_ms = now_ms + timeout_ms + self.jitter % timeout_ms;
             return;
         }
         // Keepers that restart together time out in the order of their ids: when one of three
         // disks is lost, the other two lose a whole round if both vote for themselves. No random
         // part is added, because two keepers could then time out in the same tick.
         let turn = self.voters().iter().position(|id| *id == self.id).unwrap_or(0) as u64;
-        let pause = (self.wake_ms << self.wakes.min(8)).min(ELECTION_MS);
-        self.wakes += 1;
+        let pause = (self.startup_timeout_ms << self.startup_attempts.min(8)).min(ELECTION_MS);
+        self.startup_attempts += 1;
         self.deadline_ms = now_ms + pause * (turn + 1);
     }
 
@@ -47,11 +47,11 @@
     }
 
     /// Becomes a follower of `leader`, from which a message arrived now.
-    pub(super) fn follow(&mut self, leader: KeeperId, now_ms: u64) {
+    pub(super) fn become_follower(&mut self, leader: KeeperId, now_ms: u64) {
         self.role = RaftRole::Follower;
         self.leader = Some(leader);
-        self.woken = true;
-        self.heard_ms = now_ms;
+        self.seen_leader = true;
+        self.last_contact_ms = now_ms;
         self.reset_deadline(now_ms);
     }
 
@@ -76,7 +76,7 @@
             self.hard_state = HardState { term, voted_for: Some(self.id) };
             output.batch.hard_state = Some(self.hard_state);
         }
-        let (last_term, last_index) = self.last_place();
+        let (last_term, last_index) = self.last_position();
         for id in self.others().into_iter().filter(|id| self.votes_in_group(*id)) {
             let body = RaftBody::Vote { pre, transfer, last_index, last_term };
             self.send_at(id, term, body, output);
@@ -84,13 +84,13 @@
         self.check_election(now_ms, output);
     }
 
-    /// Answers a vote request whose sender has the log position `last_place` (term, index).
-    pub(super) fn answer_vote(
+    /// Answers a vote request whose sender has the log position `last_position` (term, index).
+    pub(super) fn handle_vote_request(
         &mut self,
         from: KeeperId,
         term: u64,
         pre: bool,
-        last_place: (u64, u64),
+        last_position: (u64, u64),
         now_ms: u64,
         output: &mut RaftOutput,
     ) {
@@ -98,7 +98,7 @@
             || (term == self.term() && self.hard_state.voted_for.is_none_or(|id| id == from));
         // Every keeper answers, even one that is no voter by its own log: the candidate counts
         // only voters of its own membership, each by its incarnation.
-        let granted = fresh && last_place >= self.last_place();
+        let granted = fresh && last_position >= self.last_position();
         if granted && !pre {
             self.hard_state = HardState { term, voted_for: Some(from) };
             output.batch.hard_state = Some(self.hard_state);
@@ -110,7 +110,7 @@
     }
 
     /// Counts a granted vote if it belongs to the election under way.
-    pub(super) fn count_vote(
+    pub(super) fn handle_vote_reply(
         &mut self,
         from: KeeperId,
         term: u64,
@@ -138,19 +138,19 @@
         }
         match self.role {
             RaftRole::PreCandidate => self.campaign(false, false, now_ms, output),
-            RaftRole::Candidate => self.lead(now_ms, output),
+            RaftRole::Candidate => self.become_leader(now_ms, output),
             _ => {}
         }
     }
 
     /// Becomes leader and appends an empty entry, which commits the entries of earlier terms.
-    pub(super) fn lead(&mut self, now_ms: u64, output: &mut RaftOutput) {
+    pub(super) fn become_leader(&mut self, now_ms: u64, output: &mut RaftOutput) {
         self.role = RaftRole::Leader;
         self.leader = Some(self.id);
-        self.woken = true;
+        self.seen_leader = true;
         self.transfer = None;
-        self.beat_ms = now_ms;
-        self.heard_ms = now_ms;
+        self.last_heartbeat_ms = now_ms;
+        self.last_contact_ms = now_ms;
         self.progress.clear();
         let next = self.last_index() + 1;
         for id in self.others() {
@@ -160,7 +160,7 @@
         self.term_start = next;
         let entry =
             LogEntry { index: next, term: self.term(), payload: EntryPayload::Command(Vec::new()) };
-        self.push_entry(entry, output);
+        self.append_entry(entry, output);
         for id in self.others() {
             self.send_append(id, now_ms, output);
         }
--- a/lib/src/coordination/raft_follower.rs
+++ b/lib/src/coordination/raft_follower.rs
@@ -8,7 +8,7 @@
 impl RaftCore {
     /// Appends entries that continue this log and returns the last index known to match. `Err`
     /// holds the index of the last entry that may match, after which the leader should continue.
-    pub(super) fn take_entries(
+    pub(super) fn append_entries(
         &mut self,
         prev_index: u64,
         prev_term: u64,
@@ -24,13 +24,13 @@
                 return Ok(last.min(self.snapshot.index));
             }
             let (index, term) = (self.snapshot.index, self.snapshot.term);
-            return self.take_entries(index, term, rest, output);
+            return self.append_entries(index, term, rest, output);
         }
         if prev_index > self.last_index() {
             return Err(self.last_index());
         }
         if self.term_at(prev_index) != Some(prev_term) {
-            return Err(self.before_term(prev_index));
+            return Err(self.last_before_term(prev_index));
         }
         for entry in entries {
             if self.term_at(entry.index) == Some(entry.term) {
@@ -39,14 +39,14 @@
             if entry.index <= self.last_index() {
                 self.truncate(entry.index, output);
             }
-            self.push_entry(entry, output);
+            self.append_entry(entry, output);
         }
         Ok(last)
     }
 
     /// Returns the last entry before the term of entry `index`, so that the leader skips a
     /// conflicting term in one round trip.
-    pub(super) fn before_term(&self, index: u64) -> u64 {
+    pub(super) fn last_before_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut at = index;
         while at > self.snapshot.index && self.term_at(at) == term {
@@ -62,12 +62,12 @@
         let earliest = output.batch.truncate_from.map_or(from, |other| other.min(from));
         output.batch.truncate_from = Some(earliest);
         self.synced = self.synced.min(from - 1);
-        self.read_membership();
+        self.reload_membership();
     }
 
     /// Adds a piece of a snapshot and installs the snapshot once it is complete. `place` holds
     /// the piece's offset, the total length and the leader's send time.
-    pub(super) fn take_piece(
+    pub(super) fn take_snapshot_piece(
         &mut self,
         from: KeeperId,
         head: LogSnapshot,
@@ -108,13 +108,13 @@
             self.entries.clear();
         }
         self.commit = snapshot.index;
-        self.handed_out = snapshot.index;
+        self.last_handed_out = snapshot.index;
         self.synced = self
             .synced
             .max(snapshot.index)
             .min(self.entries.last().map_or(snapshot.index, |entry| entry.index));
         self.snapshot = snapshot.clone();
-        self.read_membership();
+        self.reload_membership();
         output.batch.entries.retain(|entry| entry.index > snapshot.index);
         output.install = Some(snapshot);
     }
--- a/lib/src/coordination/raft_leader.rs
+++ b/lib/src/coordination/raft_leader.rs
@@ -8,7 +8,8 @@
 impl RaftCore {
     /// Sends heartbeats, and steps down when no quorum answers or a transfer timed out.
     pub(super) fn tick_leader(&mut self, now_ms: u64, output: &mut RaftOutput) {
-        let lost = self.lease_start_ms(now_ms).max(self.heard_ms) + 2 * ELECTION_MS <= now_ms;
+        let lost =
+            self.lease_start_ms(now_ms).max(self.last_contact_ms) + 2 * ELECTION_MS <= now_ms;
         if lost {
             self.step_down(now_ms);
             return;
@@ -19,10 +20,10 @@
             self.step_down(now_ms);
             return;
         }
-        if now_ms < self.beat_ms + HEARTBEAT_MS {
+        if now_ms < self.last_heartbeat_ms + HEARTBEAT_MS {
             return;
         }
-        self.beat_ms = now_ms;
+        self.last_heartbeat_ms = now_ms;
         for id in self.others() {
             self.send_append(id, now_ms, output);
         }
@@ -31,23 +32,23 @@
     /// Returns the start of the lease: the latest time such that a quorum, this keeper included,
     /// has answered a message that this leader sent at that time or later.
     pub(super) fn lease_start_ms(&self, now_ms: u64) -> u64 {
-        let mut heard: Vec<u64> = Vec::new();
+        let mut acked_ms: Vec<u64> = Vec::new();
         for id in self.voters() {
-            heard.push(match id == self.id {
+            acked_ms.push(match id == self.id {
                 true => now_ms,
                 false => self.progress.get(&id).map_or(0, |progress| progress.acked_sent_ms),
             });
         }
-        heard.sort_unstable_by(|a, b| b.cmp(a));
-        heard.get(self.quorum() - 1).copied().unwrap_or(0)
+        acked_ms.sort_unstable_by(|a, b| b.cmp(a));
+        acked_ms.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
     /// Appends an entry to the log and the output; a membership takes effect at once.
-    pub(super) fn push_entry(&mut self, entry: LogEntry, output: &mut RaftOutput) {
+    pub(super) fn append_entry(&mut self, entry: LogEntry, output: &mut RaftOutput) {
         if let EntryPayload::Membership(membership) = &entry.payload {
             let before = std::mem::replace(&mut self.membership, membership.clone());
             self.membership_index = entry.index;
-            self.renew_progress(&before, entry.index);
+            self.reset_changed_progress(&before, entry.index);
         }
         output.batch.entries.push(entry.clone());
         self.entries.push(entry);
@@ -55,7 +56,7 @@
 
     /// Drops the progress of removed members and of members with a new incarnation, whose log may
     /// lack what the earlier incarnation confirmed.
-    pub(super) fn renew_progress(&mut self, before: &GroupMembership, next: u64) {
+    pub(super) fn reset_changed_progress(&mut self, before: &GroupMembership, next: u64) {
         let members = &self.membership.members;
         let same_life = |id: &KeeperId| {
             let (old, new) = (before.members.get(id), members.get(id));
@@ -74,7 +75,7 @@
         let progress = self.progress.entry(to).or_default();
         let next = progress.next.clamp(1, last_index + 1);
         if next <= self.snapshot.index {
-            self.send_piece(to, now_ms, output);
+            self.send_snapshot_piece(to, now_ms, output);
             return;
         }
         progress.snapshot_offset = None;
@@ -106,13 +107,18 @@
     }
 
     /// Sends a member the next piece of the snapshot.
-    pub(super) fn send_piece(&mut self, to: KeeperId, now_ms: u64, output: &mut RaftOutput) {
+    pub(super) fn send_snapshot_piece(
+        &mut self,
+        to: KeeperId,
+        now_ms: u64,
+        output: &mut RaftOutput,
+    ) {
         let total = self.snapshot.image.len();
         let progress = self.progress.entry(to).or_default();
         let offset = (progress.snapshot_offset.unwrap_or(0) as usize).min(total);
         progress.snapshot_offset = Some(offset as u64);
         progress.waiting_since = Some(now_ms);
-        let end = (offset + SNAPSHOT_PIECE).min(total);
+        let end = (offset + SNAPSHOT_PIECE_BYTES).min(total);
         let body = RaftBody::Piece {
             index: self.snapshot.index,
             last_term: self.snapshot.term,
@@ -127,7 +133,7 @@
 
     /// Updates a member's progress from its reply (matched, index, echoed send time, snapshot
     /// offset) and sends it what follows.
-    pub(super) fn take_reply(
+    pub(super) fn handle_append_reply(
         &mut self,
         from: KeeperId,
         reply: (bool, u64, u64, u64),
--- a/lib/src/coordination/raft_message.rs
+++ b/lib/src/coordination/raft_message.rs
@@ -17,7 +17,7 @@
 /// After all keepers were killed together none leads, and callers wait, so a new leader should
 /// be elected soon. Where a leader lives, its followers ignore the vote requests. See
 /// `docs/design/platform.md`.
-pub const WAKE_MS: u64 = 50;
+pub const STARTUP_ELECTION_MS: u64 = 50;
 /// The duration of a leader's lease in milliseconds, from the sending of a heartbeat that a
 /// quorum answered.
 ///
@@ -29,7 +29,7 @@
 /// larger is sent by itself.
 pub const BYTES_PER_MESSAGE: usize = 1 << 20;
 /// The maximum size of a piece of a snapshot, in bytes.
-pub const SNAPSHOT_PIECE: usize = 256 << 10;
+pub const SNAPSHOT_PIECE_BYTES: usize = 256 << 10;
 /// The number of entries by which a learner's log may be behind the leader's when it is promoted.
 pub const CAUGHT_UP_GAP: u64 = 64;
 
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -247,7 +247,7 @@
             Some(DiskReport::Done) => {
                 self.syncs += 1;
                 let outcome = self.durable.note_written(now_ms);
-                self.durable.core.allow_for_syncs(self.durable.last_job_ms());
+                self.durable.core.note_sync_time(self.durable.last_job_ms());
                 self.carry_out(outcome)
             }
             Some(DiskReport::Failed(text)) => Err(LoopFailure::Disk { text }),
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -14,7 +14,7 @@
 use crate::coordination::durable_core::{DurableCore, DurableOutcome};
 use crate::coordination::group_plan::{next_change, voters_wanted};
 use crate::coordination::raft::RaftCore;
-use crate::coordination::raft_message::{RaftMessage, RaftOutput, RaftRole, WAKE_MS};
+use crate::coordination::raft_message::{RaftMessage, RaftOutput, RaftRole, STARTUP_ELECTION_MS};
 use crate::coordination::vm_roster::VmRoster;
 use crate::state::fleet_record::{FleetCommand, FleetRecord, HeldDocument, RecordChange, SeatRow};
 use crate::state::ids::{Incarnation, KeeperId};
@@ -118,7 +118,7 @@
             "starts from its disk",
         );
         let mut core = RaftCore::new(identity.id, incarnation, stored, identity.seed, now_ms);
-        core.wake_soon(WAKE_MS, now_ms);
+        core.set_startup_timeout(STARTUP_ELECTION_MS, now_ms);
         let mut durable = DurableCore::new(core);
         if let Some(job) = first_job {
             durable.queue(job);
--- a/lib/tests/test_durable_core.rs
+++ b/lib/tests/test_durable_core.rs
@@ -110,7 +110,7 @@
         }
         let outcome = keeper.durable.note_written(now_ms);
         let job_ms = keeper.durable.last_job_ms();
-        keeper.durable.core.allow_for_syncs(job_ms);
+        keeper.durable.core.note_sync_time(job_ms);
         self.take(id, outcome);
     }
 
