--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -1,7 +1,7 @@
-//! What one VM reports to the leader of upstreams that ended under a request.
+//! A VM's queue of reports to the leader about upstreams that crashed while they ran a request.
 //!
-//! Invariant: a crash is reported until the leader of the present term says that it heard it, and again to
-//! the next leader: datagrams are lost, and what a leader counted is lost with it.
+//! Invariant: a crash is reported until the leader of the current term has confirmed it, and again to
+//! the next leader, because datagrams may be lost, and a leader's counts are lost with it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -9,59 +9,60 @@
 
 use crate::state::ids::{RequestMark, UpstreamKey};
 
-/// A crash is reported to new leaders for this long, in milliseconds; shorter than any hold, so that none is
-/// counted again after one.
+/// How long a crash is reported to new leaders, in milliseconds. This is shorter than any quarantine, so
+/// that no crash is counted again after one.
 pub const CRASH_KEEP_MS: u64 = 300_000;
-/// Crashes that a VM keeps, 40 bytes each. An engine with 64 places that ends is 64 at most.
+/// The maximum number of crashes that a VM keeps, 40 bytes each. An engine with 64 slots adds at most 64
+/// when it crashes.
 const MOST_KEPT: usize = 256;
-/// Crashes reported with one renewal, 25 bytes each; the rest waits for the next.
+/// The maximum number of crashes in one renewal, 25 bytes each. The others follow with later renewals.
 pub const CRASHES_PER_RENEWAL: usize = 32;
 
-/// A crash as a VM saw it; see [`CrashNote`].
+/// A crash as a VM observed it, before it gets its number; see [`CrashNote`].
 #[derive(Clone, Copy, Debug)]
 pub struct SeenCrash {
     /// The request.
     pub mark: RequestMark,
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Whether the VM knew the request as watched when it sent it.
+    /// Whether the request was watched on this VM when it was sent.
     pub watched: bool,
-    /// How long it had been there, in milliseconds.
+    /// How long the request had run on the upstream, in milliseconds.
     pub ran_ms: u64,
 }
 
-/// An upstream ended under a request.
+/// A report that an upstream crashed while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNote {
-    /// The VM's number for it; the first is 1.
+    /// The VM's number for this report; the first is 1.
     pub number: u64,
     /// The request.
     pub mark: RequestMark,
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Whether the VM knew the request as watched when it sent it.
+    /// Whether the request was watched on this VM when it was sent.
     pub watched: bool,
-    /// How long it had been there when the upstream ended, in milliseconds.
+    /// How long the request had run on the upstream when that crashed, in milliseconds.
     pub ran_ms: u64,
 }
 
-/// What a VM reports with a renewal.
+/// The crashes and completions that a VM reports with a renewal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Upstreams that ended.
+    /// Crashes of upstreams.
     pub ended: Vec<CrashNote>,
-    /// Watched requests that ran well.
+    /// Watched requests that completed.
     pub well: Vec<RequestMark>,
 }
 
 impl CrashReport {
-    /// The number of the last crash reported; 0 for none.
+    /// Returns the number of the last crash in this report, or 0 if there is none.
     pub fn last(&self) -> u64 {
         self.ended.last().map_or(0, |note| note.number)
     }
 }
 
-/// What a VM has to report.
+/// The crashes and completions that a VM has to report.
 #[derive(Clone, Debug, Default)]
 pub struct CrashOutbox {
     notes: VecDeque<(u64, CrashNote)>,
@@ -72,7 +73,7 @@
 }
 
 impl CrashOutbox {
-    /// An upstream ended under a request.
+    /// Queues a crash of an upstream.
     pub fn note_ended(&mut self, seen: SeenCrash, now_ms: u64) {
         self.numbered += 1;
         let SeenCrash { mark, upstream, watched, ran_ms } = seen;
@@ -83,12 +84,13 @@
         }
     }
 
-    /// A watched request ran well. Reported once: it is noted again when it runs well again.
+    /// Queues the completion of a watched request. It is reported once and not repeated after a loss:
+    /// the next completion of the request is queued again.
     pub fn note_well(&mut self, mark: RequestMark) {
         self.well.insert(mark);
     }
 
-    /// What the next renewal reports.
+    /// Returns the report for the next renewal.
     pub fn take(&mut self, now_ms: u64) -> CrashReport {
         self.notes.retain(|(at_ms, _)| at_ms + CRASH_KEEP_MS > now_ms);
         let unheard = self.notes.iter().map(|(_, note)| *note);
@@ -99,8 +101,9 @@
         }
     }
 
-    /// The leader of `term` heard all up to this number. A new leader heard nothing yet, whatever it
-    /// answers: the renewal held only what its predecessor hadn't heard.
+    /// Notes that the leader of `term` confirmed all crashes up to `number`. The first confirmation of a
+    /// new leader counts as 0, because that renewal held only crashes that its predecessor had not
+    /// confirmed.
     pub fn confirm(&mut self, term: u64, number: u64) {
         if term > self.term {
             (self.term, self.heard) = (term, 0);
--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -1,15 +1,18 @@
-//! Which requests end the upstreams that run them, as the leader counts over all VMs.
+//! The leader's detection of requests that crash the upstreams that run them, over all VMs.
 //!
-//! An upstream that ends takes everything with it that it ran, and one request of those may be the
-//! cause. It gives itself away by coming again: another upstream ends under it, and another. So upstreams
-//! are counted by request; a request that runs well is cleared. Many callers may ask for one thing at
-//! once, and a rack may take several upstreams with it that ran it: so a request is held only when an
-//! upstream ended under a send that was made after all VMs were to watch how the request fares, and
-//! none has reported that it ran well. Long streams that many ask for run on each upstream that ends, and end
-//! with none of them: so an upstream is charged to one request only, to the one that had run for less time
-//! in the mean when upstreams ended, since what ends them does so soon. Invariants: what is to be recorded
-//! is proposed until it is; what a new leader doesn't know VMs report again. See
-//! `docs/design/quarantine.md`.
+//! A crashing upstream takes down all its running requests, and one of those may be the cause. Such a
+//! request is found by its repetition: each further upstream that runs it crashes too. So crashed
+//! upstreams are counted per request, and a request that completes is cleared.
+//!
+//! Many callers may send the same request at once, and a failing rack may take down several upstreams
+//! that run it. So a request is quarantined only if an upstream crashed under a send that was made
+//! while the request was watched by all VMs, and no VM reported that it completed. A long stream that
+//! many callers request may run on every upstream that crashes without being the cause. So each
+//! crashed upstream is attributed to one request only: the one with the shortest mean run time at the
+//! crashes, since a harmful request crashes its upstream soon.
+//!
+//! Invariants: a change is proposed until it is recorded; a new leader receives the reports from the
+//! VMs again. See `docs/design/quarantine.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,69 +21,83 @@
 use crate::state::ids::{RequestMark, UpstreamKey};
 use crate::state::quarantine::{QuarantineCommand, QuarantineRow, QuarantineTable, MOST_ROWS};
 
-/// So many upstreams that ended under a request hold it. With 2, a request that was caught twice beside
-/// another one, and came again, would be held; each further one costs all that runs on one more upstream.
+/// The number of crashed upstreams at which a request is quarantined. With 2, a request that ran twice
+/// beside a harmful one and was sent again would be quarantined; each further crash costs everything
+/// that runs on one more upstream.
 pub const MOST_ENDED: usize = 3;
-/// From so many on a request is watched: all VMs know it, and report when it runs well.
+/// The number of crashed upstreams from which a request is watched: every VM receives its mark, and
+/// reports when it completes.
 const WATCHED_ENDED: usize = 2;
-/// What VMs saw run well is waited for before a request is held for the first time: as long as they
-/// need to report it, and this much more, in milliseconds, for runs that are about to end.
+/// Added to the time that VMs need to report, in milliseconds, to form the wait before a request is
+/// quarantined for the first time. Runs of the request that are about to complete can clear it then.
 const SETTLE_MORE_MS: u64 = 100;
-/// More requests than this at once are not at fault: the upstreams are. The rest is sent on.
+/// The maximum number of requests in quarantine. If more crash their upstreams, the fault lies with the
+/// upstreams; further requests are sent as usual.
 pub const MOST_HELD: usize = 16;
-/// How long a request is held first, in milliseconds. One that nothing has changed for ends another
-/// upstream when it is let go; one that was held wrongly is refused for as long.
+/// The duration of a request's first quarantine, in milliseconds. A harmful request crashes another
+/// upstream after its release if its cause was not fixed; a harmless one is refused for this long.
 pub const FIRST_HELD_MS: u64 = 600_000;
-/// So much longer each further time: at most three upstreams more end in 12 hours, a fourth after 4 days.
+/// The factor by which each further quarantine of a request is longer. With it a request crashes at
+/// most three more upstreams in 12 hours, and a fourth after 4 days.
 const HELD_FACTOR: u64 = 8;
-/// The most times that this counts, so that the time has an end (28 days).
+/// How many times the factor is applied at most, which bounds a quarantine to 28 days.
 const MOST_FACTORS: u32 = 4;
-/// A count, or a watched request, is forgotten after this long without news, in milliseconds.
+/// How long a count, or a watched request, is kept without a further crash, in milliseconds.
 pub const COUNT_KEEP_MS: u64 = 600_000;
-/// Requests that are counted, some 100 bytes each. An upstream that ends brings as many as it ran.
+/// The maximum number of requests that are counted, about 100 bytes each. A crashing upstream adds as
+/// many as it ran.
 const MOST_COUNTED: usize = 4096;
-/// What was proposed and isn't recorded is proposed again after this long, in milliseconds.
+/// The time after which a proposed command that is not recorded yet is proposed again, in
+/// milliseconds.
 const PROPOSE_AGAIN_MS: u64 = 500;
-/// Commands that are proposed at once, some 60 bytes each.
+/// The maximum number of commands that are proposed at once, about 60 bytes each.
 const MOST_PROPOSED: usize = 16;
 
+/// The crashes counted for one request.
 #[derive(Clone, Debug, Default)]
 struct CrashCount {
+    /// The upstreams that crashed while they ran the request.
     ended: Vec<UpstreamKey>,
-    /// How long it had run on those, in milliseconds, summed over the ones that VMs reported.
+    /// The sum of the request's run times at the reported crashes, in milliseconds.
     ran_ms: u64,
+    /// The number of crashes in `ran_ms`; `ended` may also hold recorded ones.
     reports: u64,
     last_ms: u64,
-    /// Whether one of them ended under a send that was made when the request was watched.
+    /// Whether an upstream crashed under a send that was made while the request was watched.
     confirmed: bool,
-    /// Since when it is known to be at fault, unless it ran well meanwhile.
+    /// When enough upstreams had crashed, one of them in a confirmed way.
     proven_ms: Option<u64>,
+    /// Whether the request completed since its last crash.
     well: bool,
 }
 
-/// What a leader counts.
+/// The leader's crash counts and its proposals to record them.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     term: u64,
     counts: BTreeMap<RequestMark, CrashCount>,
-    /// Since when this leader knows of a row in this state, by how often it was held.
+    /// Since when this leader has had a recorded row in its state, by the request, whether it is held,
+    /// and how many times it was held.
     rows_since_ms: BTreeMap<(RequestMark, bool, u32), u64>,
-    /// What was proposed last for a request, and when: the next one of another kind doesn't wait.
+    /// The last command proposed for each request, and when. A different command for the same request
+    /// is proposed without delay.
     proposed: BTreeMap<RequestMark, (QuarantineCommand, u64)>,
 }
 
-/// How long it is waited for what `vms` VMs saw run well, in milliseconds.
+/// Returns how long to wait for reports that a request completed in a fleet of `vms` VMs, in
+/// milliseconds.
 pub fn settle_ms(vms: usize) -> u64 {
     overloaded_renew_ms(vms) + SETTLE_MORE_MS
 }
 
-/// How long a request is held that is held for the `times`th time, in milliseconds.
+/// Returns the duration of a request's `times`th quarantine, in milliseconds.
 pub fn held_ms(times: u32) -> u64 {
     FIRST_HELD_MS * HELD_FACTOR.pow(times.saturating_sub(1).min(MOST_FACTORS))
 }
 
 impl CrashTable {
-    /// Takes what a VM reported to the leader of `term`; `recorded` is what is recorded.
+    /// Counts the crashes and completions that a VM reported to the leader of `term`. `recorded` is the
+    /// replicated quarantine table.
     pub fn take(
         &mut self,
         term: u64,
@@ -100,13 +117,14 @@
         }
     }
 
-    /// What another leader counted VMs report again.
+    /// Clears the counts when a new term begins, since VMs report their crashes again to its leader.
     fn begin_term(&mut self, term: u64) {
         if term != self.term {
             *self = CrashTable { term, ..CrashTable::default() };
         }
     }
 
+    /// Counts a crash, from zero if the request has completed since its last one.
     fn note_ended(&mut self, note: &CrashNote, recorded: &QuarantineTable, now_ms: u64) {
         let Some(count) = self.count(note.mark, recorded, now_ms) else { return };
         if count.well {
@@ -124,7 +142,8 @@
         }
     }
 
-    /// What is counted of a request, from what is recorded on; `None` when too many are counted.
+    /// Returns the count of a request, which starts with the recorded crashes. If too many
+    /// requests are counted, a new count replaces the one whose last crash is the oldest.
     fn count(
         &mut self,
         mark: RequestMark,
@@ -146,7 +165,7 @@
         }))
     }
 
-    /// What is to be recorded now, as the leader of `term` over so many VMs.
+    /// Returns the commands that the leader of `term` in a fleet of `vms` VMs should propose now.
     pub fn wanted(
         &mut self,
         term: u64,
@@ -180,7 +199,8 @@
         wanted
     }
 
-    /// The requests that enough upstreams are charged to, and that are not held yet.
+    /// Returns the requests to which enough crashed upstreams are attributed and which are not
+    /// quarantined yet.
     fn at_fault(&self, recorded: &QuarantineTable, settled_ms: u64) -> BTreeSet<RequestMark> {
         let held = recorded.rows().iter().filter(|row| row.held);
         let counted = |row: &QuarantineRow| self.counts.get(&row.mark).map(|count| &count.ended);
@@ -189,7 +209,7 @@
             .collect();
         let suspect = |(mark, count): &(&RequestMark, &CrashCount)| match recorded.row(**mark) {
             Some(row) if row.held => false,
-            // One that was held before has had all the time to run well.
+            // A request that was quarantined before needs no further wait for completions.
             Some(row) if row.times > 0 => count.proven_ms.is_some(),
             _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
         };
@@ -206,7 +226,8 @@
         at_fault
     }
 
-    /// Drops what would hold too many requests, or push a row out that would be wanted again.
+    /// Drops commands that would quarantine too many requests, or that would evict a row which would
+    /// then be proposed again.
     fn keep_to_room(&self, wanted: &mut Vec<QuarantineCommand>, recorded: &QuarantineTable) {
         let under_way = self.proposed.iter().filter(|(mark, (command, _))| {
             is_hold(command) && !recorded.is_held(**mark) && !wanted.contains(command)
@@ -223,8 +244,9 @@
         });
     }
 
-    /// Rows that have stood for long enough, by this leader's own clock: a new one begins anew, so that
-    /// a hold gets longer by a change of leaders and never shorter.
+    /// Returns commands that release or remove rows whose time is over by this leader's clock. A new
+    /// leader measures from its first sight of a row, so a change of leaders may extend a quarantine
+    /// but never shortens it.
     fn lapsed(&mut self, recorded: &QuarantineTable, now_ms: u64) -> Vec<QuarantineCommand> {
         let state = |row: &QuarantineRow| (row.mark, row.held, row.times);
         let rows = recorded.rows();
@@ -234,7 +256,7 @@
             let since_ms = *self.rows_since_ms.entry(state(row)).or_insert(now_ms);
             let keep_ms = match row.held {
                 true => held_ms(row.times),
-                // One that was held is remembered for as long again.
+                // A request that was quarantined stays watched for as long again.
                 false => COUNT_KEEP_MS.max(held_ms(row.times) * u64::from(row.times.min(1))),
             };
             if now_ms < since_ms + keep_ms {
@@ -251,6 +273,7 @@
 }
 
 impl CrashCount {
+    /// Returns the command that should record this count, if any.
     fn wants(
         &self,
         mark: RequestMark,
@@ -277,17 +300,20 @@
 }
 
 impl QuarantineRow {
-    /// The row once it has been held for long enough: one more upstream holds it again.
+    /// Returns the row after the end of its quarantine. It keeps so many crashes that one more starts
+    /// the next quarantine.
     fn let_go(&self) -> QuarantineRow {
         let ended = self.ended.iter().take(WATCHED_ENDED).copied().collect();
         QuarantineRow { ended, held: false, ..self.clone() }
     }
 }
 
+/// Returns whether a command puts a request into quarantine.
 fn is_hold(command: &QuarantineCommand) -> bool {
     matches!(command, QuarantineCommand::Set(row) if row.held)
 }
 
+/// Returns the mark of the request that a command is about.
 fn marked(command: &QuarantineCommand) -> RequestMark {
     match command {
         QuarantineCommand::Set(row) => row.mark,
--- a/lib/src/coordination/durable_core.rs
+++ b/lib/src/coordination/durable_core.rs
@@ -1,13 +1,14 @@
-//! The consensus over a disk that takes its time.
+//! The consensus with asynchronous disk writes.
 //!
-//! [`RaftCore`] expects that what it hands out is on disk before its messages leave. A sync may
-//! take seconds, and a keeper that waited for it would be taken for dead. So writes are jobs for a
-//! thread, and the core goes on meanwhile: heartbeats, empty replies and questions leave at once,
-//! and only messages that claim something is on disk wait until it is.
+//! [`RaftCore`] requires that its output is on disk before its messages are sent. A sync may
+//! take seconds, and a keeper that blocked on it would be considered dead. So writes are jobs for
+//! a disk thread, and the core continues meanwhile: heartbeats, replies that acknowledge nothing
+//! new and pre-votes are sent at once, and only messages that imply that something is on disk are
+//! delayed until it is.
 //!
-//! Invariants: one job runs at a time, in order; a vote and an acknowledged entry leave only after
-//! the job that holds them; a job's end counts for all that was queued before it began, so that a
-//! disk slower than the proposals still gets on.
+//! Invariants: jobs run one at a time, in order; a vote or an acknowledgement of entries is sent
+//! only after the job that writes it; the end of a job covers everything that was queued before
+//! the job began, so that a disk slower than the proposals still makes progress.
 
 use super::raft::RaftCore;
 use super::raft_message::{RaftBody, RaftMessage, RaftOutput};
@@ -15,53 +16,58 @@
 use crate::state::kept_list::KeptList;
 use crate::state::log_store::{HardState, LogBatch, LogEntry, LogSnapshot, StoredState};
 
-/// What a disk thread is asked to do.
+/// A job for the disk thread.
 #[derive(Debug)]
 pub enum DiskJob {
-    /// Append and sync.
+    /// Append a batch to the log and sync it.
     Append(LogBatch),
-    /// Write everything anew.
+    /// Replace the whole log by a snapshot, the term and vote, and the entries after the snapshot.
     Install(Box<LogSnapshot>, HardState, Vec<LogEntry>),
-    /// Keep the list of upstreams for the next start; no part of the consensus.
+    /// Save the list of upstreams for the next start. It is not part of the consensus.
     KeepList(KeptList),
 }
 
-/// A core and what its disk has yet to write.
+/// A consensus core with its pending disk jobs and the messages that depend on them.
 pub struct DurableCore {
-    /// The consensus. Output of an act on it goes to [`DurableCore::settle`].
+    /// The consensus core. The output of direct calls must be passed to
+    /// [`DurableCore::settle`].
     pub core: RaftCore,
     running: Option<RunningJob>,
     last_job_ms: u64,
     waiting: Vec<DiskJob>,
+    /// When a job failed, if the log has not been rewritten since.
     failed_ms: Option<u64>,
+    /// Messages that may be sent after the last waiting job.
     held_back: Vec<(KeeperId, RaftMessage)>,
 }
 
-/// The job that the disk works on.
+/// The job that the disk thread is running.
 #[derive(Debug, Default)]
 struct RunningJob {
     since_ms: u64,
-    /// The last entry that is on disk with its end, if no earlier job waits.
+    /// The last log entry that is on disk once this job ends. `None` if further jobs waited when
+    /// it began, or if a later job replaces the log.
     last_index: Option<u64>,
-    /// Messages that may leave with its end.
+    /// Messages that may be sent once this job ends.
     held_back: Vec<(KeeperId, RaftMessage)>,
 }
 
-/// What is to be done after a step, in this order.
+/// What the caller has to do after a step, in the order of the fields.
 #[derive(Debug, Default)]
 pub struct DurableOutcome {
-    /// A snapshot that a leader sent: the state machine starts anew from it.
+    /// A snapshot from a leader, from which the state machine is restored.
     pub installed: Option<LogSnapshot>,
-    /// To hand to the disk thread, which reports its end.
+    /// A job for the disk thread, whose end is reported to [`DurableCore::note_written`] or
+    /// [`DurableCore::note_failed`].
     pub job: Option<DiskJob>,
-    /// To send.
+    /// Messages to send, with their receivers.
     pub messages: Vec<(KeeperId, RaftMessage)>,
-    /// To apply.
+    /// Committed entries to apply.
     pub committed: Vec<LogEntry>,
 }
 
 impl DurableCore {
-    /// A core over its disk.
+    /// Wraps a core without pending jobs.
     pub fn new(core: RaftCore) -> DurableCore {
         DurableCore {
             core,
@@ -73,27 +79,27 @@
         }
     }
 
-    /// Whether everything is on disk.
+    /// Returns whether no disk job runs or waits.
     pub fn is_idle(&self) -> bool {
         self.running.is_none() && self.waiting.is_empty()
     }
 
-    /// Whether the disk has worked on one job for `patience_ms`.
+    /// Returns whether the running job has taken at least `patience_ms`.
     pub fn is_stuck(&self, patience_ms: u64, now_ms: u64) -> bool {
         self.running.as_ref().is_some_and(|job| now_ms >= job.since_ms + patience_ms)
     }
 
-    /// How long the last job took, in milliseconds.
+    /// Returns how long the last completed job took, in milliseconds.
     pub fn last_job_ms(&self) -> u64 {
         self.last_job_ms
     }
 
-    /// When a job failed, until all is written anew.
+    /// Returns when a job failed, or `None` if the log has been rewritten since.
     pub fn failed_ms(&self) -> Option<u64> {
         self.failed_ms
     }
 
-    /// Acts on the core.
+    /// Calls the core and processes its output.
     pub fn step(
         &mut self,
         now_ms: u64,
@@ -104,7 +110,8 @@
         self.settle(output, now_ms)
     }
 
-    /// Takes what one or more acts on the core gave.
+    /// Processes the output of one or more calls of the core: queues the writes, and holds back
+    /// the messages that must follow them.
     pub fn settle(&mut self, mut output: RaftOutput, now_ms: u64) -> DurableOutcome {
         let mut outcome = DurableOutcome::default();
         if let Some(snapshot) = output.install.take() {
@@ -125,7 +132,7 @@
         outcome
     }
 
-    /// The running job is on disk.
+    /// Notes that the running job is on disk, and releases the messages that waited for it.
     pub fn note_written(&mut self, now_ms: u64) -> DurableOutcome {
         let Some(ended) = self.running.take() else { return DurableOutcome::default() };
         self.last_job_ms = now_ms.saturating_sub(ended.since_ms);
@@ -140,7 +147,7 @@
         DurableOutcome { messages, ..outcome }
     }
 
-    /// The running job failed: nothing is written until [`DurableCore::rewrite`].
+    /// Notes that the running job failed. Nothing is written until [`DurableCore::rewrite`].
     pub fn note_failed(&mut self, now_ms: u64) {
         let mut held_back = self.running.take().unwrap_or_default().held_back;
         held_back.append(&mut self.held_back);
@@ -149,7 +156,7 @@
         self.waiting.clear();
     }
 
-    /// Writes everything anew after a failure.
+    /// Rewrites the whole log after a failure. Returns the job to run.
     pub fn rewrite(&mut self, now_ms: u64) -> Option<DiskJob> {
         self.failed_ms = None;
         self.waiting.clear();
@@ -157,7 +164,7 @@
         self.next_job(now_ms)
     }
 
-    /// Makes a blank keeper a member of the first group, which starts from `snapshot`.
+    /// Makes a keeper with an empty disk a member of a new group, which starts from `snapshot`.
     pub fn start_group(
         &mut self,
         snapshot: LogSnapshot,
@@ -165,14 +172,15 @@
         now_ms: u64,
     ) -> Option<DiskJob> {
         let (id, incarnation) = (self.core.id, self.core.incarnation);
-        // It may have voted already, for one that formed the group before it.
+        // The vote is kept: this keeper may have voted for a member that formed the group earlier.
         let hard_state = self.core.hard_state();
         let stored = StoredState { snapshot, hard_state, ..StoredState::default() };
         self.core = RaftCore::new(id, incarnation, stored, seed, now_ms);
         self.rewrite(now_ms)
     }
 
-    /// Replaces the log up to `index` by the state machine's image, unless the disk is busy.
+    /// Replaces the log up to `index` by the state machine's image. Does nothing while disk jobs
+    /// run or wait.
     pub fn compact(&mut self, index: u64, image: Vec<u8>, now_ms: u64) -> Option<DiskJob> {
         if !self.is_idle() {
             return None;
@@ -182,10 +190,10 @@
         self.next_job(now_ms)
     }
 
-    /// Queues what the disk must hold before anything else, such as the first group.
+    /// Queues a job. Consecutive appends are merged into one.
     pub fn queue(&mut self, job: DiskJob) {
         if self.failed_ms.is_some() {
-            // Everything is written anew anyway.
+            // `rewrite` will write the whole state.
             return;
         }
         self.forget_replaced(&job);
@@ -195,7 +203,7 @@
         }
     }
 
-    /// Starts the next job if none runs.
+    /// Starts the next waiting job if none runs, and returns it.
     pub fn next_job(&mut self, now_ms: u64) -> Option<DiskJob> {
         if self.running.is_some() || self.waiting.is_empty() {
             return None;
@@ -210,7 +218,8 @@
         Some(job)
     }
 
-    /// What a newer job truncates or replaces doesn't count as written by the running one.
+    /// Excludes the entries that a new job truncates or replaces from those that the end of the
+    /// running job marks as synced.
     fn forget_replaced(&mut self, job: &DiskJob) {
         let Some(running) = &mut self.running else { return };
         running.last_index = match job {
@@ -228,7 +237,8 @@
         self.queue(DiskJob::Install(Box::new(snapshot), self.core.hard_state(), entries));
     }
 
-    /// Replies claim what is on disk, so they wait for it; so does a vote for itself.
+    /// Returns whether a message must wait for the disk: a granted vote, a vote request (which
+    /// implies the candidate's vote for itself), or an acknowledgement of unsynced entries.
     fn must_wait(&self, message: &RaftMessage) -> bool {
         let claims = match &message.body {
             RaftBody::VoteReply { pre, granted } => !pre && *granted,
@@ -242,6 +252,7 @@
     }
 }
 
+/// Appends `batch` to an earlier batch that is not written yet.
 fn merge_batch(before: &mut LogBatch, batch: LogBatch) {
     if batch.hard_state.is_some() {
         before.hard_state = batch.hard_state;
--- a/lib/src/coordination/silence.rs
+++ b/lib/src/coordination/silence.rs
@@ -1,11 +1,12 @@
-//! Upstreams that are silent: found by few VMs, known to all.
+//! Failure detection for unresponsive upstreams.
 //!
-//! A machine without power, or behind a cut, says nothing: a VM that connects to it, or waits for it on
-//! an open connection, learns that only by waiting. A VM that waited longer than connecting takes
-//! there doubts the upstream and reports to the leader; the leader tries by itself, and calls the upstream
-//! dark when two VMs, itself included, cannot reach it and no VM is answered by it any more. It tries
-//! again and again, and takes the name back as soon as it reaches it or others are answered. A failure
-//! detector by counts, after two ways that were weighed: see `docs/design/silence.md`.
+//! A machine without power, or behind a network partition, sends nothing: a VM that connects to it, or
+//! waits for an answer on an open connection, only detects that by a timeout. A VM that waited longer
+//! than connections usually take suspects the upstream and reports that to the leader. The leader
+//! probes the upstream itself, and declares it unresponsive when two VMs, itself included, cannot reach
+//! it and no VM gets answers from it any more. It keeps probing, and withdraws the declaration as soon
+//! as it reaches the upstream or other VMs get answers. The detector works by counts; the alternatives
+//! are in `docs/design/silence.md`.
 
 use std::collections::BTreeMap;
 
@@ -14,26 +15,29 @@
 
 use crate::state::ids::UpstreamKey;
 
-/// A doubt counts for this long, in milliseconds: a VM that goes on meeting silence doubts again.
+/// How long one VM's suspicion of an upstream counts, in milliseconds. A VM that still gets no answer
+/// reports it again.
 const DOUBT_KEEP_MS: u64 = 1500;
-/// VMs that must fail to reach an upstream, the leader included.
+/// How many VMs, the leader included, must fail to reach an upstream before it is declared
+/// unresponsive.
 const DOUBTERS: usize = 2;
-/// The leader tries an upstream again after this long, in milliseconds; a connection that no process
-/// answers costs a packet.
+/// The pause between two probes of one upstream by the leader, in milliseconds. A connection attempt
+/// that is not answered costs one packet.
 const TRY_AGAIN_MS: u64 = 300;
-/// A report of answered sends counts half after this long, in milliseconds: reports are
-/// up to 300 ms old, and one that has just gone dark has answered some a moment ago.
+/// The half-life of reported successful requests, in milliseconds. Reports are up to 300 ms old, and an
+/// upstream that has just become unresponsive answered some requests shortly before.
 const HEARD_HALF_LIFE_MS: f64 = 150.0;
-/// Of the sends reported to go well so many, weighted by age, outweigh one VM's doubt.
+/// The number of successful requests, weighted by age, that outweighs the suspicion of one VM.
 const HEARD_A_DOUBT: f64 = 1.0;
 
-/// Names a set of dark upstreams. Worked out, not measured: with a thousand of them dark, 300 VMs that were
-/// sent all of them with each answer would fill a leader's link of 100 Mbit/s by three quarters.
+/// The revision of a set of unresponsive upstreams: a hash of its members. It lets the leader send the
+/// set only to VMs that hold another one: by calculation, 1000 unresponsive upstreams sent to 300 VMs
+/// with each answer would fill three quarters of the leader's link of 100 Mbit/s.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DarkMark(u64);
 
 impl DarkMark {
-    /// The mark of a set, in order; that of the empty one is the default.
+    /// Returns the revision of a sorted set; the revision of the empty set is the default.
     pub fn of(dark: &[UpstreamKey]) -> DarkMark {
         if dark.is_empty() {
             return DarkMark::default();
@@ -44,7 +48,7 @@
     }
 }
 
-/// How long to wait for a connection, as learned from those that came up.
+/// An adaptive connect timeout, estimated from the connections that were established.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectPatience {
     mean_ms: f64,
@@ -52,17 +56,19 @@
     seen: u32,
 }
 
-/// Connections seen before what was learned is trusted.
+/// The number of observed connections before the estimate is used.
 const LEAST_SEEN: u32 = 8;
-/// The shortest and the longest wait, in milliseconds. A lost packet is sent again after a second, so
-/// that waiting for it gains nothing; a full link of our own shows in all connections.
+/// The shortest and the longest connect timeout, in milliseconds. The kernel sends a lost packet again
+/// only after a second, so waiting longer gains nothing. A congested link of this VM slows all
+/// connections, so the estimate follows it.
 pub const PATIENCE_MS: (f64, f64) = (120.0, 400.0);
-/// How fast it is learned, by connection, and how many deviations above the mean are waited for.
+/// The weight of each new connection in the moving averages of time and deviation.
 const PATIENCE_WEIGHT: f64 = 0.1;
+/// The number of mean deviations above the mean time that the timeout allows.
 const PATIENCE_DEVIATIONS: f64 = 6.0;
 
 impl ConnectPatience {
-    /// A connection came up after this long.
+    /// Adds a connection that was established after `took_ms`.
     pub fn note(&mut self, took_ms: f64) {
         self.seen = self.seen.saturating_add(1);
         let off = took_ms - self.mean_ms;
@@ -70,7 +76,7 @@
         self.deviation_ms += PATIENCE_WEIGHT * (off.abs() - self.deviation_ms);
     }
 
-    /// How long the next one is waited for, in milliseconds.
+    /// Returns the timeout for the next connection, in milliseconds.
     pub fn wait_ms(&self) -> u64 {
         let (least, most) = PATIENCE_MS;
         match self.seen < LEAST_SEEN {
@@ -83,20 +89,23 @@
     }
 }
 
+/// What the leader has of one suspected upstream.
 #[derive(Clone, Debug, Default)]
 struct SilenceRow {
-    /// Who doubts, and when they last did.
+    /// The VMs that suspect the upstream, and when each last reported it.
     doubters: BTreeMap<u32, u64>,
-    /// Sends that went well since by others' reports, weighted by age.
+    /// Successful requests that VMs reported, weighted by age as of `heard_ms`.
     heard: f64,
     heard_ms: u64,
-    /// When the leader last tried, and whether it is at it.
+    /// When the leader's last probe ended.
     tried_ms: Option<u64>,
+    /// Whether the leader is probing the upstream now.
     trying: bool,
     dark: bool,
 }
 
 impl SilenceRow {
+    /// Drops expired suspicions and discounts the successes by their age.
     fn age(&mut self, now_ms: u64) {
         self.doubters.retain(|_, at_ms| *at_ms + DOUBT_KEEP_MS > now_ms);
         let age_ms = now_ms.saturating_sub(self.heard_ms) as f64;
@@ -104,6 +113,7 @@
         self.heard_ms = now_ms;
     }
 
+    /// Decides anew whether the upstream is unresponsive.
     fn decide(&mut self, now_ms: u64) {
         self.age(now_ms);
         let doubters = self.doubters.len();
@@ -112,7 +122,7 @@
     }
 }
 
-/// What a leader knows of silent upstreams.
+/// The leader's table of suspected and unresponsive upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceTable {
     term: u64,
@@ -120,7 +130,7 @@
 }
 
 impl SilenceTable {
-    /// VM `vm` doubts an upstream, as reported to the leader of `term`.
+    /// Notes that VM `vm` reported to the leader of `term` that it suspects an upstream.
     pub fn doubt(&mut self, term: u64, upstream: UpstreamKey, vm: u32, now_ms: u64) {
         self.begin_term(term);
         let row = self.rows.entry(upstream).or_default();
@@ -128,7 +138,7 @@
         row.decide(now_ms);
     }
 
-    /// Some sends to an upstream went well, as a VM reports.
+    /// Notes that a VM reported a number of successful requests to an upstream.
     pub fn heard(&mut self, upstream: UpstreamKey, sends: u16, now_ms: u64) {
         if let Some(row) = self.rows.get_mut(&upstream) {
             row.age(now_ms);
@@ -137,7 +147,7 @@
         }
     }
 
-    /// The upstreams that the leader should try now; it is at them from now on.
+    /// Returns the upstreams that the leader should probe now, and notes that their probes run.
     pub fn due(&mut self, now_ms: u64) -> Vec<UpstreamKey> {
         let due = |row: &SilenceRow| {
             !row.trying && row.tried_ms.is_none_or(|tried_ms| tried_ms + TRY_AGAIN_MS <= now_ms)
@@ -150,14 +160,15 @@
         .collect()
     }
 
-    /// The leader, which is VM `leader`, has tried.
+    /// Notes the result of a probe by the leader, which is VM `leader`.
     pub fn tried(&mut self, upstream: UpstreamKey, leader: u32, reached: bool, now_ms: u64) {
         let Some(row) = self.rows.get_mut(&upstream) else { return };
         (row.trying, row.tried_ms) = (false, Some(now_ms));
         match reached {
             true => drop(self.rows.remove(&upstream)),
             false => {
-                // While the leader can't reach it, those that leave it alone have no more to report.
+                // VMs send nothing to an unresponsive upstream and so report no new failures. Their
+                // suspicions are renewed while the leader cannot reach it either.
                 if row.dark {
                     row.doubters.values_mut().for_each(|at_ms| *at_ms = now_ms);
                 }
@@ -170,7 +181,8 @@
         }
     }
 
-    /// The leader didn't try: the upstream wants rest from it. Others' doubts stand for as long as they do.
+    /// Notes that the leader skipped a probe because the upstream requested a pause from it. The
+    /// suspicions of other VMs expire as usual.
     pub fn left_alone(&mut self, upstream: UpstreamKey, now_ms: u64) {
         let Some(row) = self.rows.get_mut(&upstream) else { return };
         (row.trying, row.tried_ms) = (false, Some(now_ms));
@@ -180,13 +192,13 @@
         }
     }
 
-    /// The upstreams that are dark, in order.
+    /// Returns the unresponsive upstreams, sorted.
     pub fn dark(&self) -> Vec<UpstreamKey> {
         let dark = self.rows.iter().filter(|(_, row)| row.dark);
         dark.map(|(upstream, _)| *upstream).collect()
     }
 
-    /// Forgets upstreams that are not `known` any more.
+    /// Removes upstreams that are not `known` any more.
     pub fn sweep(&mut self, known: impl Fn(UpstreamKey) -> bool) {
         self.rows.retain(|upstream, _| known(*upstream));
     }
@@ -198,36 +210,40 @@
     }
 }
 
-/// What one VM knows of silent upstreams: by itself, and as the leader published it.
+/// The unresponsive upstreams as one VM sees them: its own failed attempts and the leader's
+/// published set.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceView {
     published: Vec<UpstreamKey>,
     published_ms: u64,
     own_ms: BTreeMap<UpstreamKey, u64>,
-    /// Doubts to report to the leader.
+    /// Suspected upstreams that are not reported to the leader yet.
     doubts: Vec<UpstreamKey>,
     tried_ms: BTreeMap<UpstreamKey, u64>,
 }
 
-/// What the leader published holds for this long, in milliseconds: it repeats it every 300.
+/// How long a set that the leader published is valid, in milliseconds. The leader confirms it every
+/// 300 ms.
 const PUBLISHED_KEEP_MS: u64 = 1000;
-/// What this VM found by itself holds for this long, in milliseconds.
+/// How long a failed attempt of this VM marks an upstream as unresponsive, in milliseconds.
 const OWN_KEEP_MS: u64 = 1000;
-/// A VM tries an upstream from which an answer is waited for at most this often, in milliseconds.
+/// The shortest time between two probes by one VM of an upstream from which it awaits an answer, in
+/// milliseconds.
 const OWN_TRY_MS: u64 = 500;
 
 impl SilenceView {
-    /// Which dark upstreams the leader published last.
+    /// Returns the revision of the set that the leader published last.
     pub fn mark(&self) -> DarkMark {
         DarkMark::of(&self.published)
     }
 
-    /// The leader confirms that what it published last still holds.
+    /// Notes that the leader confirmed the set that it published last.
     pub fn confirm(&mut self, now_ms: u64) {
         self.published_ms = now_ms;
     }
 
-    /// The leader published which upstreams are dark; true when others are than before.
+    /// Takes the set of unresponsive upstreams that the leader published. Returns whether it differs
+    /// from the previous one.
     pub fn take(&mut self, dark: Vec<UpstreamKey>, now_ms: u64) -> bool {
         self.published_ms = now_ms;
         let other = self.published != dark;
@@ -235,7 +251,7 @@
         other
     }
 
-    /// This VM could not reach an upstream.
+    /// Notes that this VM could not reach an upstream.
     pub fn doubt(&mut self, upstream: UpstreamKey, now_ms: u64) {
         self.own_ms.insert(upstream, now_ms);
         if !self.doubts.contains(&upstream) {
@@ -243,18 +259,18 @@
         }
     }
 
-    /// This VM has reached an upstream.
+    /// Notes that this VM reached an upstream.
     pub fn reached(&mut self, upstream: UpstreamKey) {
         self.own_ms.remove(&upstream);
         self.doubts.retain(|doubted| *doubted != upstream);
     }
 
-    /// The doubts to report.
+    /// Returns the suspected upstreams to report to the leader, and clears them.
     pub fn take_doubts(&mut self) -> Vec<UpstreamKey> {
         std::mem::take(&mut self.doubts)
     }
 
-    /// What the leader published, while that holds.
+    /// Returns the set that the leader published, or nothing once it is no longer valid.
     pub fn published(&self, now_ms: u64) -> &[UpstreamKey] {
         match self.published_ms + PUBLISHED_KEEP_MS > now_ms {
             true => &self.published,
@@ -262,18 +278,19 @@
         }
     }
 
-    /// The upstreams that are dark, as far as this VM knows; some of them twice.
+    /// Returns the upstreams that are unresponsive by the leader's set or this VM's own attempts. An
+    /// upstream may occur twice.
     pub fn dark(&self, now_ms: u64) -> impl Iterator<Item = UpstreamKey> + '_ {
         let own = self.own_ms.iter().filter(move |(_, at_ms)| **at_ms + OWN_KEEP_MS > now_ms);
         self.published(now_ms).iter().copied().chain(own.map(|(key, _)| *key))
     }
 
-    /// Whether an upstream is dark, as far as this VM knows.
+    /// Returns whether an upstream is unresponsive as far as this VM can determine.
     pub fn is_dark(&self, upstream: UpstreamKey, now_ms: u64) -> bool {
         self.dark(now_ms).any(|dark| dark == upstream)
     }
 
-    /// Whether to try now if an upstream that doesn't answer can be reached; notes that it is.
+    /// Returns whether to probe an upstream that does not answer now, and notes that it is probed.
     pub fn begin_try(&mut self, upstream: UpstreamKey, now_ms: u64) -> bool {
         let tried = self.tried_ms.get(&upstream);
         let again = tried.is_none_or(|tried_ms| tried_ms + OWN_TRY_MS <= now_ms);
@@ -283,7 +300,7 @@
         again
     }
 
-    /// Forgets upstreams that are not `known` any more.
+    /// Removes upstreams that are not `known` any more.
     pub fn sweep(&mut self, known: impl Fn(UpstreamKey) -> bool) {
         self.own_ms.retain(|upstream, _| known(*upstream));
         self.tried_ms.retain(|upstream, _| known(*upstream));
