--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -11,7 +11,7 @@
 use crate::coordination::holder_news::{HolderMark, HolderNote};
 use crate::coordination::raft_message::RaftMessage;
 use crate::coordination::rollout_watch::RolloutNote;
-use crate::coordination::silence::DarkMark;
+use crate::coordination::silence::UnresponsiveRevision;
 use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
 use crate::coordination::vm_roster::{RosterMark, RosterNews, RosterRow};
 use crate::state::document_change::DocumentChange;
@@ -298,7 +298,7 @@
     /// Upstreams that it could not reach.
     pub doubts: Vec<UpstreamKey>,
     /// Names the dark upstreams that it received last; see `silence`.
-    pub dark: DarkMark,
+    pub dark: UnresponsiveRevision,
     /// How many changes of roll-outs it knows of.
     pub rollout_changes: u64,
     /// This life of its process; a later one has another number.
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -229,7 +229,7 @@
         let fresh = view.heard_ms + FAILING_KEEP_MS > now_ms;
         let failing = view.failing.iter().copied().filter(|_| fresh);
         let aside = outliers.known().filter(|key| outliers.is_aside(*key, now_ms));
-        for key in failing.chain(silence.view.dark(now_ms)).chain(aside) {
+        for key in failing.chain(silence.view.unresponsive(now_ms)).chain(aside) {
             candidates.change(key, |candidate| candidate.aside = true);
         }
         candidates.remove_all(outliers.known().filter(|key| outliers.is_gone(*key)));
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -110,7 +110,7 @@
         let (holders, holders_heard) = (desk.outbox.take(), desk.heard);
         let (doubts, dark) = {
             let view = &mut self.silence.borrow_mut().view;
-            (view.take_doubts(), view.mark())
+            (view.take_suspicions(), view.revision())
         };
         let (quarantine_changes, crashes) = {
             let mut desk = self.quarantine.borrow_mut();
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -125,7 +125,7 @@
         now_ms: u64,
     ) -> Vec<UpstreamKey> {
         for note in notes.iter().filter(|note| note.well > 0) {
-            self.silence.borrow_mut().table.heard(note.upstream, note.well, now_ms);
+            self.silence.borrow_mut().table.note_successes(note.upstream, note.well, now_ms);
         }
         if !names_failing(self.view.borrow().vms) {
             return Vec::new();
@@ -263,7 +263,7 @@
         }
         let own_reports = self.health.borrow_mut().outbox.take();
         let failing = self.take_health_reports(keeper.term(), &own_reports, now_ms);
-        let doubts = self.silence.borrow_mut().view.take_doubts();
+        let doubts = self.silence.borrow_mut().view.take_suspicions();
         self.take_doubts(keeper.term(), self.id, &doubts);
         let (life, notes) = (self.rollouts.borrow().life(), self.rollout_notes());
         self.take_rollout_notes(keeper.term(), self.id, life, notes);
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -26,7 +26,7 @@
 use tokio::time::{timeout, Instant};
 
 use super::vm_sockets::{is_silent, seems_silent, set_stream};
-use crate::coordination::silence::ConnectPatience;
+use crate::coordination::silence::ConnectTimeout;
 use crate::coordination::upstream_notice::{ApproachPurpose, NoticeTable};
 use crate::state::connect_count::{ConnectCause, ConnectCount};
 use crate::state::ids::UpstreamKey;
@@ -125,7 +125,7 @@
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
     upstreams: Rc<RefCell<HashMap<UpstreamKey, UpstreamConnections>>>,
-    patience: Rc<Cell<ConnectPatience>>,
+    patience: Rc<Cell<ConnectTimeout>>,
     opened: Rc<RefCell<ConnectCount>>,
     notices: Rc<RefCell<NoticeTable>>,
 }
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -334,7 +334,7 @@
         for (key, entry) in upstreams.taking(service) {
             let able = !entry.cold
                 && !zones.watch.is_emptied(&entry.zone)
-                && !silence.view.is_dark(key, now_ms);
+                && !silence.view.is_unresponsive(key, now_ms);
             match entry.version == target {
                 true => standing.able += usize::from(able),
                 false => standing.others += 1,
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -14,7 +14,7 @@
 
 use super::vm_node::VmNode;
 use super::vm_pool::{ConnectFault, UpstreamApproach};
-use crate::coordination::silence::DarkMark;
+use crate::coordination::silence::UnresponsiveRevision;
 use crate::coordination::upstream_notice::ApproachPurpose;
 use crate::coordination::vm_roster::overloaded_renew_ms;
 use crate::protocol::vm_wire::{VmDatagram, VmId};
@@ -73,7 +73,7 @@
 
     /// Whether an upstream is dark, as far as this VM knows.
     pub(super) fn is_dark(&self, upstream: UpstreamKey) -> bool {
-        self.silence.borrow().view.is_dark(upstream, self.now_ms())
+        self.silence.borrow().view.is_unresponsive(upstream, self.now_ms())
     }
 
     /// A connection to an upstream came up, or didn't.
@@ -85,7 +85,7 @@
             Some(ConnectFault::NoAnswer) => {
                 {
                     let mut desk = self.silence.borrow_mut();
-                    desk.view.doubt(upstream, now_ms);
+                    desk.view.suspect(upstream, now_ms);
                     // No more renewals than a leader takes; worked out, not shown: a day of 300 VMs with a
                     // zone lost gave 2.6 MB a second at the leader with 60 ms between them and 2.5 with this.
                     let vms = self.view.borrow().roster.rows.len();
@@ -101,7 +101,7 @@
     }
 
     fn try_upstream(self: &Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
-        if self.silence.borrow_mut().view.begin_try(upstream, self.now_ms()) {
+        if self.silence.borrow_mut().view.begin_probe(upstream, self.now_ms()) {
             let node = self.clone();
             spawn_local(async move { node.connect_only(upstream, address).await });
         }
@@ -137,7 +137,7 @@
         let now_ms = self.now_ms();
         let mut desk = self.silence.borrow_mut();
         for upstream in doubts {
-            desk.table.doubt(term, *upstream, from, now_ms);
+            desk.table.suspect(term, *upstream, from, now_ms);
         }
     }
 
@@ -150,7 +150,7 @@
                 Some(keeper) if keeper.may_vouch(now_ms) => keeper.term(),
                 _ => continue,
             };
-            let due = self.silence.borrow_mut().table.due(now_ms);
+            let due = self.silence.borrow_mut().table.due_probes(now_ms);
             for upstream in due {
                 let address = self.upstreams.borrow().entries.get(&upstream).map(|row| row.address);
                 if let Some(address) = address {
@@ -166,18 +166,18 @@
         let now_ms = self.now_ms();
         let table = &mut self.silence.borrow_mut().table;
         match fault {
-            Some(ConnectFault::Unwanted) => table.left_alone(upstream, now_ms),
+            Some(ConnectFault::Unwanted) => table.note_probe_skipped(upstream, now_ms),
             // A machine that refuses connections can be reached.
             None | Some(ConnectFault::NobodyListens) => {
-                table.tried(upstream, self.id, true, now_ms);
+                table.note_probe(upstream, self.id, true, now_ms);
             }
-            Some(ConnectFault::NoAnswer) => table.tried(upstream, self.id, false, now_ms),
+            Some(ConnectFault::NoAnswer) => table.note_probe(upstream, self.id, false, now_ms),
         }
     }
 
     /// Publishes to all VMs which upstreams are dark, if others are than before.
     fn publish_dark(&self, term: u64) {
-        let dark = self.silence.borrow().table.dark();
+        let dark = self.silence.borrow().table.unresponsive();
         let before = std::mem::replace(&mut self.silence.borrow_mut().published, dark.clone());
         self.take_dark(dark.clone());
         if before == dark {
@@ -197,9 +197,9 @@
     }
 
     /// What a leader answers to a VM that received the dark upstreams `known`.
-    pub(super) fn dark_news(&self, known: DarkMark) -> Option<Vec<UpstreamKey>> {
-        let dark = self.silence.borrow().table.dark();
-        (DarkMark::of(&dark) != known).then_some(dark)
+    pub(super) fn dark_news(&self, known: UnresponsiveRevision) -> Option<Vec<UpstreamKey>> {
+        let dark = self.silence.borrow().table.unresponsive();
+        (UnresponsiveRevision::of(&dark) != known).then_some(dark)
     }
 
     /// The leader published which upstreams are dark.
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -218,7 +218,7 @@
 
     view.take(vec![entry("i", Some(1)).key()], 1000);
 
-    assert!(!view.is_dark(entry("i", Some(2)).key(), 1001));
+    assert!(!view.is_unresponsive(entry("i", Some(2)).key(), 1001));
 }
 
 #[test]
--- a/lib/tests/test_notices.rs
+++ b/lib/tests/test_notices.rs
@@ -232,16 +232,16 @@
 #[test]
 fn a_leader_that_is_asked_for_rest_calls_nobody_reached() {
     let mut table = SilenceTable::default();
-    table.doubt(1, KEY, 10, 0);
-    table.doubt(1, KEY, 11, 10);
-    assert_eq!(table.due(20), [KEY]);
+    table.suspect(1, KEY, 10, 0);
+    table.suspect(1, KEY, 11, 10);
+    assert_eq!(table.due_probes(20), [KEY]);
 
-    table.left_alone(KEY, 30);
-    let early = table.dark();
-    table.left_alone(KEY, 5000);
+    table.note_probe_skipped(KEY, 30);
+    let early = table.unresponsive();
+    table.note_probe_skipped(KEY, 5000);
 
     assert_eq!(early, [KEY], "two VMs doubt it");
-    assert_eq!(table.dark(), [], "nobody doubts it any more");
+    assert_eq!(table.unresponsive(), [], "nobody doubts it any more");
 }
 
 fn run_local(test: impl std::future::Future<Output = ()>) {
--- a/lib/tests/test_silence.rs
+++ b/lib/tests/test_silence.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::silence::{
-    ConnectPatience, DarkMark, SilenceTable, SilenceView, PATIENCE_MS,
+    ConnectTimeout, SilenceTable, SilenceView, UnresponsiveRevision, CONNECT_TIMEOUT_BOUNDS_MS,
 };
 use wingshed_lib::state::ids::UpstreamKey;
 
@@ -13,127 +13,134 @@
 /// A table in which VM 2 doubts the engine at `now_ms`.
 fn doubted(now_ms: u64) -> SilenceTable {
     let mut table = SilenceTable::default();
-    table.doubt(TERM, ENGINE, 2, now_ms);
+    table.suspect(TERM, ENGINE, 2, now_ms);
     table
 }
 
 #[test]
 fn a_doubt_that_the_leader_shares_makes_an_upstream_dark_and_one_connection_takes_it_back() {
     let mut table = doubted(1000);
-    assert!(table.dark().is_empty(), "one VM may be the one that is cut off");
-    assert_eq!(table.due(1000), [ENGINE]);
-    assert!(table.due(1010).is_empty(), "it is being tried");
-
-    table.tried(ENGINE, LEADER, false, 1120);
-    assert_eq!(table.dark(), [ENGINE]);
-    assert!(table.due(1200).is_empty(), "it was tried a moment ago");
-    assert_eq!(table.due(1420), [ENGINE]);
-    table.tried(ENGINE, LEADER, true, 1425);
-    assert!(table.dark().is_empty());
-    assert!(table.due(9000).is_empty(), "nobody doubts it any more");
+    assert!(table.unresponsive().is_empty(), "one VM may be the one that is cut off");
+    assert_eq!(table.due_probes(1000), [ENGINE]);
+    assert!(table.due_probes(1010).is_empty(), "it is being tried");
+
+    table.note_probe(ENGINE, LEADER, false, 1120);
+    assert_eq!(table.unresponsive(), [ENGINE]);
+    assert!(table.due_probes(1200).is_empty(), "it was tried a moment ago");
+    assert_eq!(table.due_probes(1420), [ENGINE]);
+    table.note_probe(ENGINE, LEADER, true, 1425);
+    assert!(table.unresponsive().is_empty());
+    assert!(table.due_probes(9000).is_empty(), "nobody doubts it any more");
 }
 
 #[test]
 fn a_dark_upstream_stays_dark_while_it_cannot_be_reached_though_nobody_sends_to_it() {
     let mut table = doubted(1000);
-    table.due(1000);
-    table.tried(ENGINE, LEADER, false, 1120);
+    table.due_probes(1000);
+    table.note_probe(ENGINE, LEADER, false, 1120);
 
     for round in 1..100 {
         let now_ms = 1120 + 450 * round;
-        assert_eq!(table.due(now_ms), [ENGINE]);
-        table.tried(ENGINE, LEADER, false, now_ms + 120);
-        assert_eq!(table.dark(), [ENGINE], "round {round}");
+        assert_eq!(table.due_probes(now_ms), [ENGINE]);
+        table.note_probe(ENGINE, LEADER, false, now_ms + 120);
+        assert_eq!(table.unresponsive(), [ENGINE], "round {round}");
     }
 }
 
 #[test]
 fn one_that_answers_others_is_not_dark() {
     let mut table = doubted(1000);
-    table.due(1000);
-    table.tried(ENGINE, LEADER, false, 1120);
-    table.heard(ENGINE, 4, 1300);
-    assert!(table.dark().is_empty(), "the leader and one VM are cut off from it, others are not");
+    table.due_probes(1000);
+    table.note_probe(ENGINE, LEADER, false, 1120);
+    table.note_successes(ENGINE, 4, 1300);
+    assert!(
+        table.unresponsive().is_empty(),
+        "the leader and one VM are cut off from it, others are not"
+    );
 
     let mut table = doubted(1000);
-    table.heard(ENGINE, 1, 1050);
-    table.due(1100);
-    table.tried(ENGINE, LEADER, false, 1400);
-    assert_eq!(table.dark(), [ENGINE], "it answered somebody just before it went dark");
+    table.note_successes(ENGINE, 1, 1050);
+    table.due_probes(1100);
+    table.note_probe(ENGINE, LEADER, false, 1400);
+    assert_eq!(table.unresponsive(), [ENGINE], "it answered somebody just before it went dark");
 }
 
 #[test]
 fn a_doubt_that_nobody_shares_is_forgotten() {
     let mut alone = SilenceTable::default();
-    alone.doubt(TERM, ENGINE, LEADER, 1000);
-    alone.due(1000);
-    alone.tried(ENGINE, LEADER, false, 1120);
-    assert!(alone.dark().is_empty(), "the leader alone");
-    assert!(alone.due(5000).is_empty());
+    alone.suspect(TERM, ENGINE, LEADER, 1000);
+    alone.due_probes(1000);
+    alone.note_probe(ENGINE, LEADER, false, 1120);
+    assert!(alone.unresponsive().is_empty(), "the leader alone");
+    assert!(alone.due_probes(5000).is_empty());
 
     let mut reached = doubted(1000);
-    reached.due(1000);
-    reached.tried(ENGINE, LEADER, true, 1010);
-    assert!(reached.dark().is_empty() && reached.due(5000).is_empty());
+    reached.due_probes(1000);
+    reached.note_probe(ENGINE, LEADER, true, 1010);
+    assert!(reached.unresponsive().is_empty() && reached.due_probes(5000).is_empty());
 }
 
 #[test]
 fn a_new_leader_goes_by_what_it_is_told_itself() {
     let mut table = doubted(1000);
-    table.due(1000);
-    table.tried(ENGINE, LEADER, false, 1120);
-    assert_eq!(table.dark(), [ENGINE]);
+    table.due_probes(1000);
+    table.note_probe(ENGINE, LEADER, false, 1120);
+    assert_eq!(table.unresponsive(), [ENGINE]);
 
-    table.doubt(TERM + 1, UpstreamKey(8), 5, 1200);
-    assert!(table.dark().is_empty());
+    table.suspect(TERM + 1, UpstreamKey(8), 5, 1200);
+    assert!(table.unresponsive().is_empty());
 }
 
 #[test]
 fn a_vm_goes_by_what_it_is_told_and_what_it_met_while_that_is_fresh() {
     let mut view = SilenceView::default();
     view.take(vec![ENGINE], 1000);
-    assert!(view.is_dark(ENGINE, 1500));
-    assert!(!view.is_dark(ENGINE, 2100), "its leader is silent, too");
+    assert!(view.is_unresponsive(ENGINE, 1500));
+    assert!(!view.is_unresponsive(ENGINE, 2100), "its leader is silent, too");
 
     view.take(Vec::new(), 3000);
-    view.doubt(ENGINE, 3000);
-    view.doubt(ENGINE, 3010);
-    assert!(view.is_dark(ENGINE, 3100));
-    assert_eq!(view.take_doubts(), [ENGINE], "told once");
-    assert!(view.take_doubts().is_empty());
+    view.suspect(ENGINE, 3000);
+    view.suspect(ENGINE, 3010);
+    assert!(view.is_unresponsive(ENGINE, 3100));
+    assert_eq!(view.take_suspicions(), [ENGINE], "told once");
+    assert!(view.take_suspicions().is_empty());
     view.reached(ENGINE);
-    assert!(!view.is_dark(ENGINE, 3100));
+    assert!(!view.is_unresponsive(ENGINE, 3100));
 }
 
 #[test]
 fn what_was_told_is_not_told_again_and_holds_on() {
     let mut view = SilenceView::default();
-    assert_eq!(view.mark(), DarkMark::of(&[]), "nothing is known, nothing is dark");
+    assert_eq!(view.revision(), UnresponsiveRevision::of(&[]), "nothing is known, nothing is dark");
     view.take(vec![ENGINE, UpstreamKey(9)], 1000);
-    assert_eq!(view.mark(), DarkMark::of(&[ENGINE, UpstreamKey(9)]));
-    assert_ne!(view.mark(), DarkMark::of(&[ENGINE]));
+    assert_eq!(view.revision(), UnresponsiveRevision::of(&[ENGINE, UpstreamKey(9)]));
+    assert_ne!(view.revision(), UnresponsiveRevision::of(&[ENGINE]));
 
     view.confirm(1900);
-    assert!(view.is_dark(ENGINE, 2800));
+    assert!(view.is_unresponsive(ENGINE, 2800));
     view.take(Vec::new(), 2900);
-    assert!(!view.is_dark(ENGINE, 2900));
+    assert!(!view.is_unresponsive(ENGINE, 2900));
 }
 
 #[test]
 fn an_upstream_that_owes_an_answer_is_tried_now_and_then() {
     let mut view = SilenceView::default();
-    let tries = (0..2000).step_by(10).filter(|now_ms| view.begin_try(ENGINE, 5000 + now_ms));
+    let tries = (0..2000).step_by(10).filter(|now_ms| view.begin_probe(ENGINE, 5000 + now_ms));
     assert_eq!(tries.count(), 4);
 }
 
 #[test]
 fn patience_follows_what_connecting_takes() {
-    let mut patience = ConnectPatience::default();
-    assert_eq!(patience.wait_ms(), PATIENCE_MS.1 as u64, "nothing is known yet");
+    let mut patience = ConnectTimeout::default();
+    assert_eq!(patience.wait_ms(), CONNECT_TIMEOUT_BOUNDS_MS.1 as u64, "nothing is known yet");
     (0..50).for_each(|_| patience.note(2.0));
-    assert_eq!(patience.wait_ms(), PATIENCE_MS.0 as u64);
+    assert_eq!(patience.wait_ms(), CONNECT_TIMEOUT_BOUNDS_MS.0 as u64);
     (0..50).for_each(|at| patience.note(200.0 + f64::from(at % 7) * 30.0));
-    assert_eq!(patience.wait_ms(), PATIENCE_MS.1 as u64, "a full link slows all connections");
+    assert_eq!(
+        patience.wait_ms(),
+        CONNECT_TIMEOUT_BOUNDS_MS.1 as u64,
+        "a full link slows all connections"
+    );
 }
 
 /// A fleet of `vms` VMs that send to one engine, which is dark from 1,000 to 3,000 ms; gives when all
@@ -144,22 +151,22 @@
     let mut tries: Vec<(u64, bool)> = Vec::new();
     let (mut first, mut last) = (None, None);
     for now_ms in (0..6000).step_by(10) {
-        let told = !table.dark().is_empty();
+        let told = !table.unresponsive().is_empty();
         let sends = (now_ms * 31 + seed) % 1000 < sends_a_second * 10;
         if sends && !told {
             let vm = 2 + (now_ms / 10 * 17 + seed) as u32 % vms;
             match dark_at(now_ms) {
-                true => table.doubt(TERM, ENGINE, vm, now_ms + 120),
-                false => table.heard(ENGINE, 1, now_ms),
+                true => table.suspect(TERM, ENGINE, vm, now_ms + 120),
+                false => table.note_successes(ENGINE, 1, now_ms),
             }
         }
-        tries.extend(table.due(now_ms).iter().map(|_| (now_ms + 120, !dark_at(now_ms))));
+        tries.extend(table.due_probes(now_ms).iter().map(|_| (now_ms + 120, !dark_at(now_ms))));
         let (due, later) = tries.into_iter().partition(|(due_ms, _)| *due_ms <= now_ms);
         tries = later;
         for (_, reached) in due as Vec<(u64, bool)> {
-            table.tried(ENGINE, LEADER, reached, now_ms);
+            table.note_probe(ENGINE, LEADER, reached, now_ms);
         }
-        if !table.dark().is_empty() {
+        if !table.unresponsive().is_empty() {
             first.get_or_insert(now_ms);
             last = Some(now_ms);
         }
