--- a/lib/src/coordination/directory.rs
+++ b/lib/src/coordination/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses a caller should use.
+//! The choice of the router addresses that a caller should use.
 
 use std::net::SocketAddr;
 
@@ -9,39 +9,39 @@
 use crate::state::rendezvous::rendezvous_score;
 use crate::state::roster::RouterRoster;
 
-/// How long a caller may keep an answer, in seconds.
+/// How long a caller may cache the answer for an existing chat, in seconds.
 pub const KEEP_S: u64 = 30;
-/// How many addresses an answer holds.
+/// The maximum number of addresses in an answer.
 pub const MOST_ADDRESSES: usize = 4;
 
-/// The answer to a caller's question.
+/// The answer to a caller's request for addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressAnswer {
-    /// Routers, the best first.
+    /// The addresses of routers, the best first.
     pub addresses: Vec<SocketAddr>,
-    /// How long to keep it, in seconds.
+    /// How long the caller may cache the answer, in seconds.
     pub keep_seconds: u64,
 }
 
-/// How long a caller may keep an answer for a chat that does not exist yet, in seconds: it
-/// names homes of engines that are light now.
+/// How long a caller may cache an answer for a chat that does not exist yet, in seconds. It is
+/// short, because the answer names the home routers of engines that are lightly loaded now.
 pub const KEEP_FRESH_S: u64 = 2;
 
-/// What a caller asks for.
+/// A caller's request for addresses.
 #[derive(Clone, Copy, Debug)]
 pub struct AddressQuestion<'a> {
     /// The chat, if it exists already.
     pub chat: Option<ChatKey>,
-    /// The answering router's zone, taken for the caller's.
+    /// The answering router's zone, which is assumed to be the caller's.
     pub zone: &'a str,
-    /// Turns the order among equals, so that callers do not all meet at one router.
+    /// Varies the order among equally good routers, so that callers do not all use the same one.
     pub spread: u64,
-    /// Light engines of the fleet, as the answering router knows them.
+    /// Lightly loaded engines of the fleet, as far as the answering router has reports of them.
     pub hints: &'a [EngineHint],
 }
 
-/// The chat's home first, or for a fresh chat the home of a light engine; then routers of the
-/// caller's zone, then the rest; never a leaving one.
+/// Returns addresses of routers that are not leaving: first the chat's home, or for a new chat the
+/// home of a lightly loaded engine, then routers of the caller's zone, then others.
 pub fn addresses(
     roster: &RouterRoster,
     view: Option<&FleetView>,
@@ -65,14 +65,15 @@
     }
 }
 
-/// One of the light engines' homes, another for each question.
+/// Returns the home of one of the lightly loaded engines, chosen by `question.spread`.
 pub fn light_home(view: &FleetView, question: &AddressQuestion<'_>) -> Option<RouterId> {
     let mut homes = question.hints.iter().filter_map(|hint| view.engines.get(&hint.engine));
     let count = question.hints.len().max(1) as u64;
     homes.nth((question.spread % count) as usize).copied()
 }
 
-/// The peers to pass a request to, home excluded, nearest first.
+/// Returns the other routers that are not leaving, to which a request may be passed, those of the
+/// same zone first.
 pub fn peers(roster: &RouterRoster, own: RouterId, zone: &str) -> Vec<(RouterId, SocketAddr)> {
     let mut peers: Vec<_> =
         roster.routers.iter().filter(|(id, s)| **id != own && !s.leaving).collect();
--- a/lib/src/coordination/group_plan.rs
+++ b/lib/src/coordination/group_plan.rs
@@ -1,10 +1,10 @@
-//! Which change of membership a leader should make next, if any.
+//! The leader's choice of the next membership change of the keepers' group.
 //!
-//! The group holds as many voters as survive the losses that a deployment bears.
-//! A wiped disk is a new member under its old address: its earlier life is removed
-//! first, so that it never counts twice. A voter that stays silent is replaced only
-//! while a caught-up successor is there; until then it stays, because removing it
-//! would make the group smaller and not safer. See `docs/design/platform.md`.
+//! The group has enough voters to survive the number of losses that a deployment tolerates.
+//! A keeper whose disk was wiped is a new member at its old address: its earlier incarnation
+//! is removed first, so that it never counts twice. A voter that stops answering is replaced
+//! only once a caught-up learner can succeed it; until then it stays, because removing it
+//! would make the group smaller but not safer. See `docs/design/platform.md`.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,22 +13,25 @@
 use super::raft_message::{MemberChange, ELECTION_MS};
 use crate::state::ids::{Incarnation, KeeperId};
 
-/// A voter that was not heard for this long is replaced when there is a successor.
+/// The time without an answer after which a voter is replaced if there is a successor, in
+/// milliseconds.
 ///
-/// Longer than a restart of a process, shorter than the platform's `catchUpS` of 4 s.
+/// It is longer than the restart of a process, and shorter than the platform's `catchUpS` of 4 s.
 pub const SILENT_VOTER_MS: u64 = 1500;
-/// A learner that was not heard for this long is dropped.
+/// The time without an answer after which a learner is removed, in milliseconds.
 pub const SILENT_LEARNER_MS: u64 = 10_000;
 
-/// What a leader knows of VMs with a disk: the life of the disk and the zone.
+/// The VMs with a disk that report to the leader, with the incarnation of the disk and the hash of
+/// the zone's name.
 pub type KnownKeepers = BTreeMap<KeeperId, (Incarnation, u64)>;
 
-/// The voters that a group should have.
+/// Returns how many voters a group needs to tolerate a number of lost keepers.
 pub fn voters_wanted(tolerated_losses: u32) -> usize {
     (2 * tolerated_losses as usize + 1).max(3)
 }
 
-/// The next change, given who was heard lately.
+/// Returns the membership change that the leader should propose next, if any. `own` is the leader,
+/// `known` the keepers that report to it, and `wanted` the number of voters that the group needs.
 pub fn next_change(
     core: &RaftCore,
     own: KeeperId,
--- a/lib/src/coordination/leader_contact.rs
+++ b/lib/src/coordination/leader_contact.rs
@@ -1,32 +1,34 @@
-//! How fresh a VM's knowledge of the newest version is.
+//! The age of a VM's confirmation that its configuration version is the newest.
 //!
-//! A grant proves that at the time its renewal was sent nothing newer than the granted
-//! version had been acknowledged. It counts once that version is in force here. See
+//! A grant proves that no version newer than the granted one had been acknowledged when its
+//! renewal was sent. It counts once the granted version is in force on this VM. See
 //! `docs/design/platform.md`.
 
-/// Kept between the age at which keys are no longer served and the bound, for a request on
-/// its way to an upstream, in milliseconds.
+/// The margin between the age at which a VM refuses requests with keys and the bound on revoking a
+/// key, in milliseconds. It covers requests that are on their way to an upstream.
 pub const REVOKE_MARGIN_MS: u64 = 400;
 
-/// The same between the age at which a VM that knows of a newer version stops serving by the older
-/// one, and the bound on a change's being in force everywhere.
+/// The margin between the age at which a VM that has been notified of a newer version stops serving
+/// by the older one, and the bound on putting a change in force everywhere, in milliseconds.
 pub const APPLY_MARGIN_MS: u64 = 300;
 
-/// A version that is new is sent by the leader at once; a VM that still lacks it after this long
-/// asks for the whole, in milliseconds. Asking at the first grant that names it brought every
-/// document twice and more often, 35 MB each time at 92 VMs.
+/// The time after which a VM that still lacks a new version requests the whole document, in
+/// milliseconds. The leader sends a new version at once. Requests at the first grant that names it
+/// transferred every document at least twice, 35 MB each time at 92 VMs.
 pub const DOCUMENT_WAIT_MS: u64 = 300;
-/// A whole document is asked for again after this long, in milliseconds: one of the largest takes
-/// a third of it on a link of 10 Mbit/s.
+/// The pause between two requests for a whole document, in milliseconds. One of the largest
+/// documents takes a third of it on a link of 10 Mbit/s.
 pub const ASK_AGAIN_MS: u64 = 600;
-/// The same while there is none, which is when nothing can be served: after a common restart the
-/// keeper that was asked may not know yet what is committed.
+/// The pause between two requests while a VM has no document and so cannot serve, in milliseconds.
+/// After a common restart the keeper that received the request may not have learned the commit
+/// index yet.
 pub const ASK_FIRST_MS: u64 = 150;
 
-/// One VM's contact with a leader.
+/// The configuration versions that the leader confirmed to one VM, and when.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderContact {
     confirmed_ms: u64,
+    /// The send time of the latest renewal that granted a version not in force here, and the version.
     pending: Option<(u64, u64)>,
     applied: u64,
     behind_since_ms: Option<u64>,
@@ -34,7 +36,8 @@
 }
 
 impl LeaderContact {
-    /// A grant came: at `sent_ms` of this VM's clock, `version` was the newest.
+    /// Notes a grant: `version` was the newest at `sent_ms` of this VM's clock, when the renewal was
+    /// sent.
     pub fn note_grant(&mut self, sent_ms: u64, version: u64) {
         if version <= self.applied {
             self.confirmed_ms = self.confirmed_ms.max(sent_ms);
@@ -43,8 +46,9 @@
         }
     }
 
-    /// Whether to ask for the newest document now, having heard of `version`: at once while there
-    /// is none here, else when it was not sent in time; and again after a while.
+    /// Returns whether to request the newest document now, given that `version` exists: at once while
+    /// this VM has no document, otherwise if the leader did not send it in time. Requests are
+    /// repeated after a pause.
     pub fn wants_document(&mut self, version: u64, now_ms: u64) -> bool {
         if version <= self.applied {
             (self.behind_since_ms, self.asked_ms) = (None, None);
@@ -60,7 +64,7 @@
         lacks && !asked
     }
 
-    /// A version is in force here.
+    /// Notes that a version is in force on this VM.
     pub fn note_applied(&mut self, version: u64) {
         if version > self.applied {
             (self.behind_since_ms, self.asked_ms) = (None, None);
@@ -74,30 +78,30 @@
         }
     }
 
-    /// The version in force here; 0 for none.
+    /// Returns the version in force on this VM, or 0 if there is none.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The latest time at which the version in force was surely the newest.
+    /// Returns the latest time at which the version in force is known to have been the newest.
     pub fn confirmed_ms(&self) -> u64 {
         self.confirmed_ms
     }
 
-    /// The age of that, in milliseconds.
+    /// Returns the time since [`LeaderContact::confirmed_ms`], in milliseconds.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.confirmed_ms)
     }
 
-    /// Whether a newer version is known that should be in force everywhere by now, and isn't here.
-    /// Such a VM must not serve: with its link full one served by a version that had been replaced
-    /// 3.2 s before, where 3 s were allowed.
+    /// Returns whether this VM lacks a newer version that should be in force everywhere by now. Such a
+    /// VM must not serve: one with a congested link served by a version that had been replaced 3.2 s
+    /// before, where 3 s were allowed.
     pub fn is_behind(&self, apply_ms: u64, now_ms: u64) -> bool {
         self.pending.is_some() && self.age_ms(now_ms) + APPLY_MARGIN_MS >= apply_ms
     }
 
-    /// Whether a request with a key may still be sent on: a key taken away must be refused
-    /// `revoke_ms` after the acknowledgement.
+    /// Returns whether a request with a key may still be forwarded: a revoked key must be refused
+    /// `revoke_ms` after the revocation was acknowledged.
     pub fn may_serve_keys(&self, revoke_ms: u64, now_ms: u64) -> bool {
         self.confirmed_ms > 0 && self.age_ms(now_ms) + REVOKE_MARGIN_MS < revoke_ms
     }
--- a/lib/src/coordination/leaving.rs
+++ b/lib/src/coordination/leaving.rs
@@ -1,8 +1,8 @@
-//! Which lives of which VMs are leaving.
+//! The incarnations of upstreams that are leaving.
 //!
-//! Leaving is sticky for a life: the first VM to know publishes it, and no list
-//! that lags can take it back. Only a new life of the same upstream opens it again.
-//! See `docs/design/leaving.md`.
+//! Leaving is permanent for an incarnation: the first router that learns of it publishes it,
+//! and an outdated list cannot revert it. Only a new incarnation of the same upstream can
+//! receive requests again. See `docs/design/leaving.md`.
 
 use std::collections::HashMap;
 
@@ -10,16 +10,16 @@
 
 use crate::state::ids::{Incarnation, UpstreamKey};
 
-/// One life that is leaving, as routers send it to each other.
+/// A leaving incarnation of an upstream, as routers send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeavingMark {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// The life that leaves.
+    /// The incarnation that leaves.
     pub incarnation: Incarnation,
 }
 
-/// All leaving lives that one router knows.
+/// All leaving incarnations that one router has been notified of.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingTable {
     leaving: HashMap<UpstreamKey, Incarnation>,
@@ -27,7 +27,7 @@
 }
 
 impl LeavingTable {
-    /// Notes a leaving life; true when it is news, which should be sent to the others.
+    /// Notes a leaving incarnation. Returns true if it is new and should be sent to the other routers.
     pub fn note_leaving(&mut self, mark: LeavingMark) -> bool {
         let known = self.leaving.get(&mark.upstream).copied();
         if known.is_some_and(|known| known >= mark.incarnation) {
@@ -37,24 +37,24 @@
         true
     }
 
-    /// Notes the life that an upstream reported.
+    /// Notes the incarnation that an upstream reported.
     pub fn note_life(&mut self, upstream: UpstreamKey, incarnation: Incarnation) {
         let life = self.lives.entry(upstream).or_insert(incarnation);
         *life = (*life).max(incarnation);
     }
 
-    /// The latest known life of an upstream.
+    /// Returns the latest known incarnation of an upstream.
     pub fn life(&self, upstream: UpstreamKey) -> Incarnation {
         self.lives.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Whether the upstream's latest known life is leaving.
+    /// Returns whether the latest known incarnation of an upstream is leaving.
     pub fn is_leaving(&self, upstream: UpstreamKey) -> bool {
         let leaving = self.leaving.get(&upstream);
         leaving.is_some_and(|leaving| *leaving >= self.life(upstream))
     }
 
-    /// All marks, as sent to a router that asks.
+    /// Returns all leaving incarnations, to be sent to a router that requests them.
     pub fn marks(&self) -> Vec<LeavingMark> {
         let marks = self.leaving.iter();
         marks
--- a/lib/src/coordination/line_budget.rs
+++ b/lib/src/coordination/line_budget.rs
@@ -1,31 +1,32 @@
-//! How many lines of log a process writes: bounded in all, and repeats of one cause folded.
+//! Rate limits for the log of a process: per place in the code and in total.
 //!
-//! A line that isn't written is counted, and the count is written with the next one that is. See
+//! Lines that are not written are counted, and the counts are written with the next line. See
 //! `docs/operators/platform.md`.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Lines a second of one place in the code, beyond which they are folded; many are repeats.
+/// The maximum number of lines per second of one place in the code. Further lines, which are mostly
+/// repeats, are folded into a count.
 pub const LINES_A_PLACE: u32 = 20;
-/// Lines a second of the whole process. At 300 bytes each they are 30 KB a second.
+/// The maximum number of lines per second of the whole process. At 300 bytes each they are 30 KB a second.
 pub const LINES_IN_ALL: u32 = 100;
-/// Counts begin anew after this long, in milliseconds.
+/// The length of the interval in which lines are counted, in milliseconds.
 const SPAN_MS: u64 = 1000;
 
 /// What to do with a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineVerdict {
-    /// Write it, and before it that so many lines were not written.
+    /// Write the line, preceded by the counts of lines that were not written.
     Write {
-        /// Lines of the same place that were folded.
+        /// The number of folded lines of the same place.
         folded: u32,
-        /// Lines of all places that were dropped.
+        /// The number of dropped lines of all places.
         dropped: u32,
     },
-    /// It repeats what was just said.
+    /// Count the line as a repeat, because its place has reached its limit.
     Fold,
-    /// The process has written too much.
+    /// Count the line as dropped, because the process has reached its limit.
     Drop,
 }
 
@@ -36,7 +37,7 @@
     folded: u32,
 }
 
-/// The lines of one process; `P` names a place in its code.
+/// The line counts of one process; `P` identifies a place in its code.
 #[derive(Clone, Debug)]
 pub struct LineBudget<P> {
     places: HashMap<P, PlaceCount>,
@@ -53,14 +54,14 @@
 }
 
 impl<P> LineBudget<P> {
-    /// A budget that only counts lines that were lost.
+    /// Creates a budget without limits, which only reports lost lines.
     pub fn unlimited() -> LineBudget<P> {
         LineBudget { unlimited: true, ..LineBudget::default() }
     }
 }
 
 impl<P: Eq + Hash> LineBudget<P> {
-    /// Decides on a line of `place`.
+    /// Counts a line of `place` and decides whether it is written.
     pub fn take(&mut self, place: P, now_ms: u64) -> LineVerdict {
         if self.unlimited {
             return LineVerdict::Write { folded: 0, dropped: std::mem::take(&mut self.dropped) };
@@ -87,7 +88,7 @@
         LineVerdict::Write { folded, dropped: std::mem::take(&mut self.dropped) }
     }
 
-    /// So many lines that should have been written, or counted as missing, could not be.
+    /// Counts lines as dropped that could not be written in spite of their verdict.
     pub fn note_lost(&mut self, lines: u32) {
         self.dropped += lines;
     }
--- a/lib/src/coordination/list_reader.rs
+++ b/lib/src/coordination/list_reader.rs
@@ -1,65 +1,67 @@
 //! Which VMs read the platform's list of upstreams, and how often.
 //!
-//! The platform takes so many calls a second from all VMs together, and a list comes in pages. The
-//! leader reads for all. While it sends nothing, few others read, in an order that all of them work
-//! out alike, and the rest ask those: if every VM read for itself, a large fleet would leave the
-//! leader no call, so that it could not send a list, and all would go on reading. See
-//! `docs/design/fleet-news.md`.
+//! The platform limits the calls per second of all VMs together, and a list comes in pages. The
+//! leader reads for all. While it sends no list, a few other VMs read, in an order that all of them
+//! compute alike, and the rest request the list from those. If every VM read for itself, a large
+//! fleet would use up the leader's calls, so that it could not send a list, and all VMs would go on
+//! reading. See `docs/design/fleet-news.md`.
 
 use super::vm_roster::RENEW_MS;
 use crate::state::rendezvous::rendezvous_score;
 
-/// The shortest pause between two readings of the leader, in milliseconds.
+/// The shortest pause between two reads by the leader, in milliseconds.
 pub const READ_MS: u64 = 600;
-/// The longest, in milliseconds: new upstreams get no work before they are read.
+/// The upper bound on the part of the leader's pause that grows with the list, in milliseconds: new
+/// upstreams get no requests before they are read.
 const MOST_READ_MS: u64 = 2000;
-/// The time until every VM has confirmed a reading that has ended, in milliseconds: two renewals, so
-/// that one datagram may be lost.
+/// The time until every VM has received the confirmation of a completed read, in milliseconds. It is
+/// two renewals, so that one datagram may be lost.
 const CONFIRM_MS: u64 = 2 * RENEW_MS;
-/// What each page of a list adds to the pause, in milliseconds, so that calls don't grow with the pages
-/// where the bound on leaving upstreams allows it.
+/// How much each page of a list adds to the pause, in milliseconds, so that the call rate does not grow
+/// with the number of pages as far as the bound on leaving upstreams allows it.
 const PAGE_PAUSE_MS: u64 = READ_MS / PAGES_AT_ONCE as u64;
-/// A VM whose list is older than this part of the time after which an upstream that leaves must get
-/// nothing looks for a newer one: the rest is for asking and reading.
+/// The age at which a VM looks for a newer list, as a fraction of the time after which a leaving
+/// upstream must get no requests. The rest of that time is for requesting and reading a list.
 const STALE_PART: f64 = 0.5;
-/// Kept for the exchange with the leader when a list is so long that reading it takes more than
-/// that, in milliseconds.
+/// The time added for the exchange with the leader, in milliseconds, when a list is so long that two
+/// reads exceed the age that [`STALE_PART`] gives.
 const EXCHANGE_MS: u64 = 3 * RENEW_MS;
-/// A VM that is in contact and holds no list reads one after this long, in milliseconds: its
-/// leader can't.
+/// The time after which a VM that has contact with a leader but no list reads one itself, in
+/// milliseconds. After that the leader is assumed to be unable to read.
 pub const NO_LIST_MS: u64 = 6000;
-/// The part of the calls that the leader uses at most.
+/// The largest fraction of the platform's call limit that the leader uses.
 const LEADER_PART: f64 = 0.7;
-/// The part that one VM without a leader uses at most, and less after each refusal.
+/// The largest fraction of the call limit that one VM without a leader uses; it is halved with each
+/// refusal.
 const ALONE_PART: f64 = 0.2;
-/// Pages that are read without a pause between them.
+/// The number of pages that are read without a pause between them.
 pub const PAGES_AT_ONCE: usize = 8;
-/// By how much later each next group of readers begins, in milliseconds: a reading of a few pages
-/// and its distribution. Groups double, so that a large fleet in which no VM reaches another has
-/// read within a few of these spans.
+/// The delay between the starts of two successive groups of readers, in milliseconds. It covers the
+/// reading of a few pages and their distribution. Each group is twice as large as the previous one,
+/// so that a large fleet in which no VM reaches another has read after a few of these delays.
 pub const READER_STEP_MS: u64 = 400;
-/// How often a VM without a fresh list asks, in milliseconds; those it asks answer again once they
-/// hold something newer.
+/// The pause between two requests for a list by a VM without a recent one, in milliseconds. The VMs
+/// that received a request also answer it later, once they have a newer list.
 pub const ASK_MS: u64 = 250;
-/// The pause after a refusal doubles with each, so often.
+/// How many successive refusals double the pause.
 const MOST_DOUBLINGS: u32 = 6;
-/// How many of the first readers a VM asks at once, in turn.
+/// How many readers of the order a VM sends one request to.
 const READERS_ASKED: usize = 2;
 
-/// What reading costs.
+/// The cost of reading the list from the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListCost {
-    /// Calls a second that the platform takes from all VMs together.
+    /// The number of calls per second that the platform accepts from all VMs together.
     pub calls_per_s: f64,
-    /// Pages of the list, as last read.
+    /// The number of pages of the list when it was last read.
     pub pages: usize,
 }
 
 impl ListCost {
-    /// How long the leader waits after a reading that took `reading_ms` until the next, in milliseconds,
-    /// where an upstream that leaves must get nothing after `drain_ms`. It reads a long list less often,
-    /// while the list at every VM stays younger than [`ListCost::stale_ms`]. Its age counts from the
-    /// beginning of one reading, and the next one must have ended by then.
+    /// Returns how long the leader waits after a read that took `reading_ms` before the next, in
+    /// milliseconds, where a leaving upstream must get no requests after `drain_ms`. A long list is read
+    /// less often, as long as the list at every VM stays younger than [`ListCost::stale_ms`]. The age of
+    /// a list counts from the start of its read, and the next read must end before that age is reached.
     pub fn leader_pause_ms(&self, drain_ms: u64, reading_ms: u64) -> u64 {
         let taken_ms = CONFIRM_MS + 2 * reading_ms;
         let fresh_ms = stale_bound_ms(drain_ms).saturating_sub(taken_ms);
@@ -67,12 +69,14 @@
         self.least_pause_ms().max(wanted_ms.min(fresh_ms))
     }
 
+    /// Returns the shortest pause that the call limit allows the leader, in milliseconds.
     fn least_pause_ms(&self) -> u64 {
         self.span_ms(self.pages, LEADER_PART).max(READ_MS)
     }
 
-    /// The age of a VM's list at which it looks for a newer one, in milliseconds, where an upstream
-    /// that leaves must get nothing after `drain_ms`; never so young that a leader can't keep to it.
+    /// Returns the age of a VM's list at which the VM looks for a newer one, in milliseconds, where a
+    /// leaving upstream must get no requests after `drain_ms`. For a long list the age is at least what
+    /// the leader can keep.
     pub fn stale_ms(&self, drain_ms: u64) -> u64 {
         let kept_to = 2 * self.least_pause_ms() + EXCHANGE_MS;
         let bound_ms = stale_bound_ms(drain_ms);
@@ -82,7 +86,7 @@
         }
     }
 
-    /// The pause before page `number` of a leader's reading, in milliseconds.
+    /// Returns the pause before page `number` of a read by the leader, in milliseconds.
     pub fn leader_page_ms(&self, number: usize) -> u64 {
         match number < PAGES_AT_ONCE {
             true => 0,
@@ -90,7 +94,8 @@
         }
     }
 
-    /// The same without a leader; how many pages there are may not be known before.
+    /// Returns the pause before page `number` of a read by a VM without a leader, in milliseconds. The
+    /// number of pages may not be known in advance.
     pub fn alone_page_ms(&self, number: usize, refusals: u32) -> u64 {
         match number < PAGES_AT_ONCE && refusals == 0 || number == 0 {
             true => 0,
@@ -98,7 +103,7 @@
         }
     }
 
-    /// How long a VM that was refused while it read without a leader waits, in milliseconds.
+    /// Returns how long a VM without a leader waits after the platform refused its read, in milliseconds.
     pub fn alone_pause_ms(&self, refusals: u32) -> u64 {
         self.refused_ms(self.pages, refusals).max(READ_MS)
     }
@@ -107,49 +112,52 @@
         self.span_ms(calls, ALONE_PART).saturating_mul(1 << refusals.min(MOST_DOUBLINGS))
     }
 
-    /// How long so many calls take by a part of what is allowed; at least one call a second is.
+    /// Returns how long a number of calls takes at a fraction of the call limit, in milliseconds. The limit
+    /// is taken as at least one call per second.
     fn span_ms(&self, calls: usize, part: f64) -> u64 {
         let rate = if self.calls_per_s >= 1.0 { self.calls_per_s } else { 1.0 };
         (calls as f64 * 1000.0 / (rate * part)) as u64
     }
 }
 
+/// Returns the age at which a list counts as stale if reading it is quick, in milliseconds.
 fn stale_bound_ms(drain_ms: u64) -> u64 {
     (drain_ms as f64 * STALE_PART) as u64
 }
 
-/// What a VM that doesn't lead knows of its leader and list; times in milliseconds of its clock.
+/// A follower VM's contact with its leader and the state of its list. Times are in milliseconds of the
+/// VM's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListStanding {
-    /// When a leader answered first, if one did.
+    /// When a leader answered for the first time, if one did.
     pub first_heard_ms: Option<u64>,
-    /// When the list that is here was surely the platform's; 0 when that isn't known.
+    /// The latest time at which the VM's list is known to have been the platform's; 0 if that is unknown.
     pub news_ms: u64,
-    /// The age at which that is too old; see [`ListCost::stale_ms`].
+    /// The age at which the list is too old, in milliseconds; see [`ListCost::stale_ms`].
     pub stale_ms: u64,
-    /// Whether it has a list.
+    /// Whether the VM has a list.
     pub has_list: bool,
 }
 
-/// What a VM that doesn't lead does about its list.
+/// What a follower VM does to get a newer list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListAction {
-    /// Nothing: the list comes from others.
+    /// Does nothing, because others send the list.
     Rest,
-    /// It asks others, after too long without news.
+    /// Requests the list from other VMs.
     Ask,
-    /// It reads, for all who ask it, and goes on asking.
+    /// Reads from the platform, also for the VMs that request the list, and goes on requesting it.
     Read,
 }
 
-/// What a VM that doesn't lead does about its list now.
+/// Returns what a follower VM should do now to get a newer list.
 ///
-/// A VM that has just started and heard no leader never reads: it has no configuration to serve
-/// by, and all others may have started too. One with a list that it can't date, from its disk,
-/// uses it for as long as one that was sent when it first heard the leader: an address that was
-/// given to another upstream meanwhile refuses what was meant for the earlier one.
+/// A VM that has received no answer of a leader since its start never reads: it has no configuration
+/// to serve by, and all other VMs may have started too. A list of unknown age, loaded from disk, is
+/// treated like one that was sent with the leader's first answer. It is safe to use: if an address was
+/// reassigned to another upstream meanwhile, that one refuses requests for the earlier one.
 ///
-/// `rank` returns its place in [`reader_order`], which is worked out only when it matters.
+/// `rank` returns the VM's position in [`reader_order`]. It is called only when the result depends on it.
 pub fn list_action(
     standing: &ListStanding,
     now_ms: u64,
@@ -159,7 +167,7 @@
         return if standing.has_list { ListAction::Rest } else { ListAction::Ask };
     };
     let (since_ms, stale_ms) = match standing.has_list {
-        // A list that came just now is confirmed with the next answer of the leader.
+        // A list that just arrived is confirmed with the next answer of the leader.
         true => (standing.news_ms.max(first_heard_ms), standing.stale_ms),
         false => (first_heard_ms, NO_LIST_MS),
     };
@@ -172,14 +180,14 @@
     }
 }
 
-/// How much later than the first a reader of this rank begins, in milliseconds.
+/// Returns the delay of a reader by its position in the order, in milliseconds after the first.
 pub fn reader_delay_ms(rank: usize) -> u64 {
     u64::from((rank + 1).ilog2()) * READER_STEP_MS
 }
 
-/// The VMs in the order in which they read while no leader sends the list. Keepers come first: every
-/// VM knows them, and the next leader is one of them. `term` is that of the list, so that the others'
-/// turns change and all who hold one state agree.
+/// Returns the VMs in the order in which they read while no leader sends the list. Keepers come first,
+/// because every VM has their addresses and the next leader is one of them. `term` is the term of the
+/// list: it varies the order of the others, and VMs with the same list compute the same order.
 pub fn reader_order(keepers: &[u32], vms: impl Iterator<Item = u32>, term: u64) -> Vec<u32> {
     let mut order: Vec<u32> = vms.chain(keepers.iter().copied()).collect();
     let place = |id: &u32| (!keepers.contains(id), rendezvous_score(term, u64::from(*id)), *id);
@@ -188,8 +196,8 @@
     order
 }
 
-/// Whom a VM asks at its `round`-th time: two of the first readers, the next two each time, and one
-/// at random by `draw`, who may be on this side of a cut.
+/// Returns the VMs to which a VM sends its `round`-th request: two of the order, the next two with each
+/// round, and one chosen by the random number `draw`, which may be on this side of a network partition.
 pub fn whom_to_ask(order: &[u32], own: u32, round: usize, draw: usize) -> Vec<u32> {
     let others: Vec<u32> = order.iter().copied().filter(|id| *id != own).collect();
     if others.is_empty() {
--- a/lib/src/coordination/mod.rs
+++ b/lib/src/coordination/mod.rs
@@ -1,5 +1,6 @@
-//! Decisions: state, an event and the present time in; a typed decision out.
-//! No sockets, no clocks, no locks, so that every decision can be tested and replayed.
+//! Decision logic: functions and state machines that take state, an event and the current time, and
+//! return a typed decision. They use no sockets, clocks or locks, so that every decision can be
+//! tested and replayed.
 
 pub mod admission;
 pub mod attempt_plan;
--- a/lib/src/coordination/news_source.rs
+++ b/lib/src/coordination/news_source.rs
@@ -1,22 +1,23 @@
-//! Which keeper a VM asks for a whole list of upstreams or a whole configuration.
+//! The choice of the keeper from which a VM requests a whole list of upstreams or a whole configuration.
 //!
-//! Every keeper holds both, and after a common restart every VM asks for them. A VM asks a keeper of
-//! its own availability zone, so that only keepers fetch copies from other zones: bytes between zones
-//! grow with the number of keepers, not of VMs. See `docs/design/whole-fleet.md`.
+//! Every keeper holds both, and after a common restart every VM requests them. A VM prefers a keeper of
+//! its own availability zone, so that only keepers fetch copies from other zones and the traffic between
+//! zones grows with the number of keepers, not of VMs. See `docs/design/whole-fleet.md`.
 
 use super::vm_roster::RosterRow;
 
-/// Who asks.
+/// The VM that sends the request.
 #[derive(Clone, Copy, Debug)]
 pub struct NewsAsker {
-    /// Its address as a number.
+    /// The VM's address as a number.
     pub id: u32,
-    /// The hash of its availability zone's name.
+    /// The hash of the name of the VM's availability zone.
     pub zone: u64,
 }
 
-/// The keeper to ask. The first attempt goes to one of the own zone. Every second attempt goes to any,
-/// since the keepers of the zone may be lost or cut off. `rows` are in the order of their ids.
+/// Returns the keeper to send a request to, chosen by the random number `draw`. The first attempt goes to
+/// a keeper of the VM's own zone. Every second attempt goes to any keeper, since those of the zone may be
+/// lost or partitioned. `rows` must be sorted by id.
 pub fn choose_source(
     keepers: &[u32],
     rows: &[RosterRow],
@@ -37,8 +38,9 @@
     asked.get(draw as usize % asked.len().max(1)).copied()
 }
 
-/// Whether a VM asks the one that named a newer list in place of a keeper of its zone: a
-/// leader does, to which no keeper can give more, and at each second attempt any VM that holds a list.
+/// Returns whether a VM requests a newer list from the VM that announced it instead of a keeper of its
+/// zone. A leader always does, since no keeper has a newer list than it. Any VM that already holds a list
+/// (`held`) does so at every second attempt.
 pub fn asks_holder(leads: bool, held: bool, attempt: u32) -> bool {
     leads || held && attempt % 2 == 1
 }
--- a/lib/src/coordination/order_pace.rs
+++ b/lib/src/coordination/order_pace.rs
@@ -1,26 +1,27 @@
-//! Which fenced orders a leader may send now.
+//! The choice of the fenced orders that a leader may send now.
 //!
-//! An order is in the log before it is sent, so a new leader finds it. The fence
+//! An order is in the log before it is sent, so that a new leader finds it. The fence
 //! rises with the term: an engine that checks fences refuses an old leader's order.
-//! For one that does not, a new leader first waits out the lease of the old.
+//! For an engine that does not, a new leader first waits until the old leader's lease has
+//! expired.
 //! See `docs/design/orders.md`.
 
 use crate::coordination::raft_message::LEASE_MS;
 use crate::state::configuration::Configuration;
 use crate::state::keeper_machine::{KeeperMachine, OrderAction, OrderRecord, OrderState};
 
-/// Whether the fleet of an upstream checks fences itself.
+/// Returns whether the engines of an upstream's fleet check fences themselves.
 fn checks_fence(configuration: &Configuration, upstream: &str) -> bool {
     let fleet = configuration.upstreams.get(upstream).map(|entry| &entry.fleet);
     let entry = fleet.and_then(|fleet| configuration.fleets.get(fleet));
     entry.is_some_and(|entry| entry.checks_fence)
 }
 
-/// The orders to send now, in the order of their fences.
+/// Returns the orders to send now, in the order of their fences.
 ///
-/// `leads_since_ms` is when this leader's term began; `loads_running` counts the loads that
-/// it has sent and that have not ended; `most_loads` is the weight store's limit.
-/// `in_flight` is whether an order is being sent already.
+/// `leads_since_ms` is when this leader's term began; `loads_running` is the number of loads that
+/// it has sent and that have not ended; `most_loads` is the weight store's limit on concurrent
+/// loads. `in_flight` returns whether an order is being sent already.
 pub fn orders_to_send(
     machine: &KeeperMachine,
     leads_since_ms: u64,
@@ -35,7 +36,7 @@
     let pending = machine.orders.values().filter(|order| order.state == OrderState::Pending);
     let mut busy: Vec<&str> = Vec::new();
     for order in pending {
-        // One order at a time to each upstream, so that they arrive in the log's order.
+        // Each upstream gets one order at a time, so that its orders arrive in the log's order.
         let first = !busy.contains(&order.upstream.as_str());
         busy.push(&order.upstream);
         let safe = waited_out || checks_fence(&machine.configuration, &order.upstream);
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -1,57 +1,59 @@
-//! What one VM holds of requests that end upstreams: what it refuses, what it reports, and what it
-//! counts while it leads. See `docs/design/quarantine.md`.
+//! One VM's state of requests that crash upstreams: the published quarantine table, the reports to the
+//! leader, and the counts while the VM leads. See `docs/design/quarantine.md`.
 //!
-//! It knows no sockets: it takes events with the present time, and returns what to report or propose.
+//! It does no I/O: it takes events with the current time, and returns what to report or propose.
 
 use super::crash_outbox::{CrashOutbox, CrashReport, SeenCrash};
 use super::crash_table::CrashTable;
 use crate::state::ids::RequestMark;
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
-/// See the module.
+/// A VM's copy of the quarantine table, its reports, and its counts as the leader.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineDesk {
     published: QuarantineTable,
     outbox: CrashOutbox,
     table: CrashTable,
-    /// When the leader was last, or will next be, notified before the usual time.
+    /// The time of the last or next renewal that is sent early to report a crash or a completion.
     renewal_ms: u64,
 }
 
 impl QuarantineDesk {
-    /// Whether any request is known, so that a request's mark is of use.
+    /// Returns whether any request is held or watched. If not, requests need no mark.
     pub fn knows_any(&self) -> bool {
         !self.published.rows().is_empty()
     }
 
-    /// Whether a request is sent nowhere.
+    /// Returns whether a request is quarantined, that is, sent to no upstream.
     pub fn is_held(&self, mark: RequestMark) -> bool {
         self.published.is_held(mark)
     }
 
-    /// Whether VMs are to report how a request fares.
+    /// Returns whether VMs should report the completion of a request.
     pub fn is_watched(&self, mark: RequestMark) -> bool {
         self.published.row(mark).is_some_and(|row| !row.held)
     }
 
-    /// How many requests are sent nowhere.
+    /// Returns the number of quarantined requests.
     pub fn held(&self) -> usize {
         self.published.held()
     }
 
-    /// How many changes this VM knows of.
+    /// Returns the revision of the received table, as its number of changes.
     pub fn changes(&self) -> u64 {
         self.published.changes()
     }
 
-    /// An upstream ended under a request; returns after how many milliseconds to notify the leader, so
-    /// that it hears once in `pause_ms` at most; `None` when that is planned already.
+    /// Notes that an upstream crashed while it ran a request. Returns after how many milliseconds to send
+    /// the leader a renewal, so that at most one is sent early per `pause_ms`, or `None` if one is planned
+    /// already.
     pub fn note_ended(&mut self, seen: SeenCrash, pause_ms: u64, now_ms: u64) -> Option<u64> {
         self.outbox.note_ended(seen, now_ms);
         self.plan_renewal(pause_ms, now_ms)
     }
 
-    /// A request ran to its end and its upstream lives; reported where it is watched, as soon.
+    /// Notes that a request completed and its upstream still runs. If the request is watched, this is
+    /// reported; the result is as for [`Self::note_ended`].
     pub fn note_well(&mut self, mark: RequestMark, pause_ms: u64, now_ms: u64) -> Option<u64> {
         if !self.is_watched(mark) {
             return None;
@@ -68,17 +70,17 @@
         Some(self.renewal_ms - now_ms)
     }
 
-    /// What the next renewal reports.
+    /// Returns the report for the next renewal.
     pub fn take_report(&mut self, now_ms: u64) -> CrashReport {
         self.outbox.take(now_ms)
     }
 
-    /// The leader of `term` answered a renewal with crashes up to this number.
+    /// Notes that the leader of `term` confirmed the crashes up to number `heard`.
     pub fn confirm(&mut self, term: u64, heard: u64) {
         self.outbox.confirm(term, heard);
     }
 
-    /// Takes what a leader published; returns the requests newly held by it.
+    /// Takes the table that a leader published. Returns the requests that it newly quarantines.
     pub fn take(&mut self, table: QuarantineTable) -> Vec<RequestMark> {
         let before = self.published.clone();
         if !self.published.take_later(table) {
@@ -88,7 +90,7 @@
         held.filter(|mark| !before.is_held(*mark)).collect()
     }
 
-    /// Takes what a VM reports, as the leader of `term`.
+    /// Counts what a VM reports, as the leader of `term`.
     pub fn hear(
         &mut self,
         term: u64,
@@ -99,7 +101,7 @@
         self.table.take(term, report, recorded, now_ms);
     }
 
-    /// What is to be recorded now, as the leader of `term` over so many VMs.
+    /// Returns the commands that the leader of `term` in a fleet of `vms` VMs should propose now.
     pub fn wanted(
         &mut self,
         term: u64,
--- a/lib/src/coordination/router_drain.rs
+++ b/lib/src/coordination/router_drain.rs
@@ -1,13 +1,13 @@
-//! When a draining router may stop.
+//! The decision when a draining router may stop.
 //!
-//! Callers keep an address for a while, so a router serves until nothing has been in flight for
-//! [`LINGER_MS`] since its peers could know that it leaves. It never depends on the keepers: they
-//! may all be unreachable.
+//! Callers cache addresses for a while, so a router serves until no request has been in flight for
+//! [`LINGER_MS`] after its leaving was announced. The end of a drain never depends on the keepers,
+//! which may all be unreachable.
 
-/// How long a router stays idle before it stops, in milliseconds.
+/// How long a router must have been idle before it stops, in milliseconds.
 pub const LINGER_MS: u64 = 1500;
-/// After this long without an answer of the keepers the router drains as if it had one, in
-/// milliseconds.
+/// How long a router waits for the keepers to acknowledge that it leaves, in milliseconds. After that
+/// it proceeds as if they had.
 pub const LEAVE_WAIT_MS: u64 = 3000;
 
 /// The progress of one drain.
@@ -21,19 +21,20 @@
 /// What a drain does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainStep {
-    /// Goes on serving.
+    /// Continue to serve.
     Serve,
-    /// Stops, whatever is in flight.
+    /// Stop, even if requests are in flight.
     Stop,
 }
 
 impl DrainWatch {
-    /// A drain that began at `now_ms` and takes `most_ms` at the longest.
+    /// Creates the state of a drain that began at `now_ms` and ends after `most_ms` at the latest.
     pub fn new(now_ms: u64, most_ms: u64) -> DrainWatch {
         DrainWatch { started_ms: now_ms, most_ms, idle_since_ms: None }
     }
 
-    /// Decides by the requests in flight and by whether the keepers were notified, or cannot be.
+    /// Decides the next step. `leave_ended` is whether the attempt to notify the keepers is over,
+    /// successful or not.
     pub fn step(&mut self, in_flight: usize, leave_ended: bool, now_ms: u64) -> DrainStep {
         let elapsed_ms = now_ms.saturating_sub(self.started_ms);
         let announced = leave_ended || elapsed_ms >= LEAVE_WAIT_MS;
--- a/lib/src/coordination/silence_desk.rs
+++ b/lib/src/coordination/silence_desk.rs
@@ -1,17 +1,17 @@
-//! What one VM holds of silent upstreams; see `docs/design/silence.md`.
+//! One VM's state of unresponsive upstreams; see `docs/design/silence.md`.
 
 use super::silence::{SilenceTable, SilenceView};
 use crate::state::ids::UpstreamKey;
 
-/// What a VM knows of silent upstreams, and what all reported while it leads.
+/// A VM's view of unresponsive upstreams, and the table of all VMs' reports while it leads.
 #[derive(Default)]
 pub struct SilenceDesk {
-    /// What it knows.
+    /// The VM's own view.
     pub view: SilenceView,
-    /// What it received as the leader.
+    /// The reports that it received as the leader.
     pub table: SilenceTable,
-    /// What it published last as the leader.
+    /// The set that it published last as the leader.
     pub published: Vec<UpstreamKey>,
-    /// When it last renewed for a doubt.
+    /// When it last sent a renewal to report a suspicion.
     pub renewed_ms: u64,
 }
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -1,7 +1,7 @@
-//! Which VMs are in the fleet and what they have in flight, as the leader hears it.
+//! The leader's roster of the VMs in the fleet and of their requests in flight.
 //!
-//! Each VM renews with the leader a few times a second, and the answer lists all
-//! others: two small datagrams an exchange, however many VMs there are. See
+//! Each VM sends the leader a renewal a few times a second, and the answer contains what
+//! changed among the others: two datagrams per exchange, regardless of the number of VMs. See
 //! `docs/design/platform.md`.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -13,49 +13,52 @@
 
 /// How often a VM renews, in milliseconds; see `docs/design/platform.md`.
 pub const RENEW_MS: u64 = 300;
-/// Questions for a leader that keepers answer in a second, all VMs together, times the few that each
-/// VM asks at once.
+/// How many searches for a leader all VMs together start per second. Each search sends a query to a
+/// few keepers at once, and the keepers must be able to answer all of them.
 const SEEKS_PER_S: u64 = 2000;
-/// The shortest time between two of one VM, in milliseconds.
+/// The shortest time between two searches of one VM, in milliseconds.
 const SEEK_MS: u64 = 50;
-/// Renewals a second that a leader takes from VMs whose upstreams are nearly full, all together.
+/// How many renewals per second a leader takes from all VMs together while upstreams are nearly full.
 const OVERLOADED_RENEWALS_PER_S: u64 = 600;
-/// The shortest time between two of them, in milliseconds.
+/// The shortest time between two renewals of one VM while upstreams are nearly full, in milliseconds.
 const OVERLOADED_RENEW_MS: u64 = 50;
 /// Upstreams count as overloaded for this long after one of them was nearly full, in milliseconds.
 pub const OVERLOADED_KEEP_MS: u64 = 1000;
-/// A VM that was not heard for this long isn't named to callers.
+/// The time without a renewal after which a VM leaves the roster and is no longer named to callers,
+/// in milliseconds.
 pub const ROW_KEEP_MS: u64 = 1300;
-/// A new leader knows every VM after this long.
+/// The time after which a new leader has received a renewal of every VM, in milliseconds.
 pub const SETTLE_MS: u64 = 1500;
 
-/// How often a VM without a leader looks for one, in milliseconds: fewer than 100 do so every 50 ms,
-/// and more keep to what the keepers can answer. A new leader notifies those that it knows.
+/// Returns the pause between two searches for a leader by one of `vms` VMs, in milliseconds: 50 ms up to
+/// 100 VMs, and longer in larger fleets, to limit the queries to what the keepers can answer. A new
+/// leader notifies the VMs that it knows.
 pub fn seek_pause_ms(vms: usize) -> u64 {
     (vms as u64 * 1000 / SEEKS_PER_S).clamp(SEEK_MS, RENEW_MS)
 }
 
-/// How often a VM renews while upstreams are nearly full, in milliseconds: loads must be fresh
-/// then, since every VM that takes a place for free fills it.
+/// Returns the pause between two renewals of a VM while upstreams are nearly full, in milliseconds.
+/// Loads must be recent then, since every VM that sees the same free slot sends a request to it.
 pub fn overloaded_renew_ms(vms: usize) -> u64 {
     (vms as u64 * 1000 / OVERLOADED_RENEWALS_PER_S).clamp(OVERLOADED_RENEW_MS, RENEW_MS)
 }
 
-/// Callers keep an answer about addresses this long, in seconds, some of them three times as long;
-/// short, so that a VM that stops is soon left alone.
+/// How long callers cache an answer about addresses in a small fleet, in seconds; some cache it three
+/// times as long. It is short, so that a stopped VM soon receives no more requests.
 const FEW_TTL_S: f64 = 2.0;
-/// The same in a fleet of [`MANY_VMS`] or more. There one VM is a small part of an answer, and asking
-/// is what meets dead VMs.
+/// How long callers cache an answer about addresses in a fleet of [`MANY_VMS`] or more, in seconds.
+/// There one VM is a small part of an answer, and it is the requests for addresses that reach dead
+/// VMs, so fewer of them are better.
 const MANY_TTL_S: f64 = 5.0;
-/// From so many VMs on a fleet is large.
+/// The number of VMs from which a fleet counts as large.
 pub const MANY_VMS: usize = 30;
 
-/// A leader of a large fleet sums up loads once for all that it answers within this time, in
-/// milliseconds. Summing up looks at every upstream, and the answers grow with the VMs.
+/// For how long a leader of a large fleet reuses the summed loads for its answers, in milliseconds.
+/// Collecting them visits every upstream, and the number of answers grows with the number of VMs.
 const LOADS_SHARED_MS: u64 = 50;
 
-/// For how long a leader of so many VMs sends the same loads, in milliseconds. In a small fleet a VM's
-/// own part of the sums is so large that they must hold what it has just reported.
+/// Returns for how long a leader of `vms` VMs sends the same summed loads, in milliseconds. It is 0 in a
+/// small fleet, where a VM's own share is so large that the sums must contain its latest report.
 pub fn loads_shared_ms(vms: usize) -> u64 {
     match vms < MANY_VMS {
         true => 0,
@@ -63,7 +66,7 @@
     }
 }
 
-/// How long callers may keep an answer about addresses, in seconds.
+/// Returns how long callers may cache an answer about addresses in a fleet of `vms` VMs, in seconds.
 pub fn addresses_ttl_s(vms: usize) -> f64 {
     match vms < MANY_VMS {
         true => FEW_TTL_S,
@@ -71,44 +74,44 @@
     }
 }
 
-/// What one VM reports of itself.
+/// The entry of one VM in the roster, as that VM reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterRow {
-    /// Its address as a number.
+    /// The VM's address as a number.
     pub id: u32,
     /// The hash of its availability zone's name.
     pub zone: u64,
-    /// Whether callers should be sent there.
+    /// Whether the VM accepts requests of callers.
     pub ready: bool,
 }
 
-/// Names one state of the roster, as one leader keeps it.
+/// The revision of one leader's roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterMark {
-    /// The leader's term; 0 for a VM that received none.
+    /// The leader's term; 0 for a VM that has received no roster.
     pub term: u64,
-    /// Rises with each change within a term.
+    /// The number of changes so far within the term.
     pub change: u64,
 }
 
-/// What a leader sends of the roster to a VM that holds an earlier state of it, or none.
+/// The part of the roster that a VM with an earlier revision lacks, or the whole roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterNews {
-    /// The state that this leads to; with term 0 there is no news.
+    /// The revision after this update; term 0 means that there is no update.
     pub mark: RosterMark,
-    /// The rows are all there are; otherwise those that changed.
+    /// Whether `rows` is the whole roster instead of the changed rows.
     pub whole: bool,
-    /// Rows.
+    /// The rows to insert or replace.
     pub rows: Vec<RosterRow>,
-    /// VMs that are in the roster no more.
+    /// The VMs to remove.
     pub gone: Vec<u32>,
 }
 
-/// VMs that left the roster are remembered for this long, in milliseconds, however many they are: after a
-/// loss of many at once every VM in contact is sent those, and not all others again.
+/// How long VMs that left the roster are remembered, in milliseconds. There is no limit on their number:
+/// after a loss of many VMs at once the others are sent those, and not the whole roster again.
 const GONE_KEEP_MS: u64 = 2 * ROW_KEEP_MS;
 
-/// A VM that left the roster.
+/// A VM that left the roster, with the change that removed it.
 #[derive(Clone, Copy, Debug)]
 struct GoneVm {
     change: u64,
@@ -116,6 +119,7 @@
     at_ms: u64,
 }
 
+/// A VM that has renewed with the leader.
 #[derive(Clone, Debug)]
 struct HeardVm {
     row: RosterRow,
@@ -127,20 +131,22 @@
 
 /// The leader's table of all VMs.
 ///
-/// Sums are kept as VMs report, not made for each answer: with answers to every VM a few times a second
-/// the latter grows with the square of their number.
+/// Sums of loads are updated with each report and not computed for each answer: since every VM is
+/// answered a few times a second, the latter would cost work that grows with the square of their number.
 #[derive(Clone, Debug, Default)]
 pub struct VmRoster {
     heard: BTreeMap<u32, HeardVm>,
     sums: BTreeMap<UpstreamKey, u32>,
     change: u64,
     gone: VecDeque<GoneVm>,
-    /// Who holds a state older than this has missed a VM that left and is forgotten by now.
+    /// The last change whose removal is no longer remembered. A VM with an older revision must be sent the
+    /// whole roster.
     forgotten: u64,
 }
 
 impl VmRoster {
-    /// Notes what a VM reported of itself.
+    /// Notes a VM's renewal: its row, the incarnation of its disk if it has one, and its requests in
+    /// flight by upstream.
     pub fn note(
         &mut self,
         row: RosterRow,
@@ -160,7 +166,7 @@
         self.heard.insert(row.id, HeardVm { row, changed, keeper, loads, heard_ms: now_ms });
     }
 
-    /// Forgets what is too old to count.
+    /// Removes VMs without a recent renewal, and forgets VMs that left long ago.
     pub fn expire(&mut self, now_ms: u64) {
         let old = |vm: &HeardVm| vm.heard_ms + ROW_KEEP_MS <= now_ms;
         let ids: Vec<u32> =
@@ -177,7 +183,7 @@
         }
     }
 
-    /// Forgets everything, when leadership ends.
+    /// Clears the roster when leadership ends.
     pub fn clear(&mut self) {
         *self = VmRoster::default();
     }
@@ -187,6 +193,7 @@
         self.change
     }
 
+    /// Subtracts a VM's loads from the sums.
     fn take_off(&mut self, loads: &[UpstreamLoad]) {
         for load in loads {
             if let Some(sum) = self.sums.get_mut(&load.upstream) {
@@ -198,22 +205,22 @@
         }
     }
 
-    /// How many VMs were heard lately.
+    /// Returns the number of VMs in the roster.
     pub fn len(&self) -> usize {
         self.heard.len()
     }
 
-    /// Whether none was.
+    /// Returns whether the roster is empty.
     pub fn is_empty(&self) -> bool {
         self.heard.is_empty()
     }
 
-    /// The VMs heard lately.
+    /// Returns the rows of all VMs in the roster, by address.
     pub fn rows(&self) -> Vec<RosterRow> {
         self.heard.values().map(|vm| vm.row).collect()
     }
 
-    /// What the leader of `term` should send to a VM that holds `have`.
+    /// Returns the update that the leader of `term` should send to a VM with revision `have`.
     pub fn news(&self, term: u64, have: RosterMark) -> RosterNews {
         let mark = RosterMark { term, change: self.change };
         if have == mark {
@@ -229,31 +236,31 @@
         RosterNews { mark, whole: false, rows, gone }
     }
 
-    /// The sum of what all VMs have in flight.
+    /// Returns the requests in flight by upstream, summed over all VMs.
     pub fn loads(&self) -> Vec<UpstreamLoad> {
         let rows = self.sums.iter();
         rows.map(|(upstream, requests)| UpstreamLoad { upstream: *upstream, requests: *requests })
             .collect()
     }
 
-    /// The VMs with a disk, the lives of their disks and their zones.
+    /// Returns the VMs with a disk, with the incarnations of the disks and the zones.
     pub fn keepers(&self) -> BTreeMap<KeeperId, (Incarnation, u64)> {
         let keepers = self.heard.values();
         keepers.filter_map(|vm| Some((KeeperId(vm.row.id), (vm.keeper?, vm.row.zone)))).collect()
     }
 }
 
-/// The roster as one VM received it.
+/// A VM's copy of the leader's roster.
 #[derive(Clone, Debug, Default)]
 pub struct RosterCopy {
-    /// Which state of it this is.
+    /// The revision of this copy.
     pub mark: RosterMark,
     /// The VMs, by address.
     pub rows: Vec<RosterRow>,
 }
 
 impl RosterCopy {
-    /// Takes news that lead from the state that is here, or that are whole.
+    /// Applies an update if it is newer and either whole or of the same term.
     pub fn take(&mut self, news: RosterNews) {
         let (own, mark) = (self.mark, news.mark);
         let newer = (mark.term, mark.change) > (own.term, own.change);
--- a/lib/src/coordination/zone_desk.rs
+++ b/lib/src/coordination/zone_desk.rs
@@ -1,13 +1,13 @@
-//! What one VM holds of zones and of cold upstreams; see `docs/design/zones.md`.
+//! One VM's state of availability zones and of cold upstreams; see `docs/design/zones.md`.
 
 use super::cold_share::ColdSends;
 use super::zone_watch::ZoneWatch;
 
-/// What a VM knows of zones, and what it sent to cold upstreams.
+/// The orders that a VM received about zones, and what it sent to cold upstreams.
 #[derive(Default)]
 pub struct ZoneDesk {
-    /// The orders.
+    /// The orders about zones.
     pub watch: ZoneWatch,
-    /// What it sent to cold upstreams.
+    /// The requests sent to cold upstreams.
     pub cold: ColdSends,
 }
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -1,8 +1,8 @@
-//! Which zones one VM leaves alone, and which upstreams it takes for cold after a zone came back.
+//! The zones to which one VM sends no requests, and the upstreams that may be cold after a zone's return.
 //!
-//! Orders are sent with the leader's grants. Without a grant, the last one received holds: a VM
-//! that hears no leader doesn't say that it is ready, and one that is asked all the same sends
-//! nothing to a zone that was emptied as far as it knows. See `docs/design/zones.md`.
+//! Orders are sent with the leader's grants, and the last received ones stay in effect without a grant:
+//! a VM without contact to a leader does not report itself ready, and if it receives requests anyway, it
+//! sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +13,22 @@
 pub struct ZoneWatch {
     /// The last order of each zone.
     pub orders: ZoneOrders,
-    /// When this VM learned that a zone is taken back.
+    /// When this VM received the order that takes a zone back into use.
     taken_back_ms: BTreeMap<String, u64>,
 }
 
-/// What a VM received of one zone, for its log.
+/// A change of one zone that a VM received, for its log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneChange {
     /// The zone.
     pub zone: String,
-    /// Whether it is emptied now.
+    /// Whether the zone is emptied now.
     pub emptied: bool,
 }
 
 impl ZoneWatch {
-    /// Takes received orders, unless they are older than what is known; returns the zones that are
-    /// emptied or taken back by it.
+    /// Applies received orders unless they are older than the known ones. Returns the zones that they
+    /// empty or take back into use.
     pub fn take(&mut self, orders: ZoneOrders, now_ms: u64) -> Vec<ZoneChange> {
         let Some(before) = self.orders.take_later(orders) else { return Vec::new() };
         let other = |zone: &str, emptied| before.is_emptied(zone) != emptied;
@@ -46,18 +46,19 @@
         changes
     }
 
-    /// Whether any zone is emptied.
+    /// Returns whether any zone is emptied.
     pub fn any_emptied(&self) -> bool {
         self.orders.rows().iter().any(|row| row.emptied)
     }
 
-    /// Whether nothing is sent to a zone's upstreams.
+    /// Returns whether a zone is emptied, so that its upstreams get no requests.
     pub fn is_emptied(&self, zone: &str) -> bool {
         self.orders.is_emptied(zone)
     }
 
-    /// Whether a zone came back so lately that its upstreams may be cold without the list's saying
-    /// so: the list was surely the platform's at `news_ms`, and may have lagged by `lag_ms` then.
+    /// Returns whether a zone returned so recently that its upstreams may be cold without being listed as
+    /// cold. The VM's list is known to have been the platform's at `news_ms`, and may have been outdated
+    /// by `lag_ms` then.
     pub fn may_be_cold(&self, zone: &str, news_ms: u64, lag_ms: u64) -> bool {
         self.taken_back_ms.get(zone).is_some_and(|back_ms| news_ms < back_ms + lag_ms)
     }
