--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -14,13 +14,13 @@
 pub const CRASH_KEEP_MS: u64 = 300_000;
 /// The maximum number of crashes that a VM keeps, 40 bytes each. An engine with 64 slots adds at most 64
 /// when it crashes.
-const MOST_KEPT: usize = 256;
+const MAX_KEPT: usize = 256;
 /// The maximum number of crashes in one renewal, 25 bytes each. The others follow with later renewals.
 pub const CRASHES_PER_RENEWAL: usize = 32;
 
 /// A crash as a VM observed it, before it gets its number; see [`CrashNote`].
 #[derive(Clone, Copy, Debug)]
-pub struct SeenCrash {
+pub struct ObservedCrash {
     /// The request.
     pub mark: RequestMark,
     /// The upstream.
@@ -66,37 +66,37 @@
 #[derive(Clone, Debug, Default)]
 pub struct CrashOutbox {
     notes: VecDeque<(u64, CrashNote)>,
-    numbered: u64,
-    heard: u64,
+    last_number: u64,
+    confirmed: u64,
     term: u64,
     well: BTreeSet<RequestMark>,
 }
 
 impl CrashOutbox {
     /// Queues a crash of an upstream.
-    pub fn note_ended(&mut self, seen: SeenCrash, now_ms: u64) {
-        self.numbered += 1;
-        let SeenCrash { mark, upstream, watched, ran_ms } = seen;
-        let note = CrashNote { number: self.numbered, mark, upstream, watched, ran_ms };
+    pub fn note_crash(&mut self, seen: ObservedCrash, now_ms: u64) {
+        self.last_number += 1;
+        let ObservedCrash { mark, upstream, watched, ran_ms } = seen;
+        let note = CrashNote { number: self.last_number, mark, upstream, watched, ran_ms };
         self.notes.push_back((now_ms, note));
-        if self.notes.len() > MOST_KEPT {
+        if self.notes.len() > MAX_KEPT {
             self.notes.pop_front();
         }
     }
 
     /// Queues the completion of a watched request. It is reported once and not repeated after a loss:
     /// the next completion of the request is queued again.
-    pub fn note_well(&mut self, mark: RequestMark) {
+    pub fn note_completed(&mut self, mark: RequestMark) {
         self.well.insert(mark);
     }
 
     /// Returns the report for the next renewal.
     pub fn take(&mut self, now_ms: u64) -> CrashReport {
         self.notes.retain(|(at_ms, _)| at_ms + CRASH_KEEP_MS > now_ms);
-        let unheard = self.notes.iter().map(|(_, note)| *note);
-        let unheard = unheard.filter(|note| note.number > self.heard);
+        let unconfirmed = self.notes.iter().map(|(_, note)| *note);
+        let unconfirmed = unconfirmed.filter(|note| note.number > self.confirmed);
         CrashReport {
-            ended: unheard.take(CRASHES_PER_RENEWAL).collect(),
+            ended: unconfirmed.take(CRASHES_PER_RENEWAL).collect(),
             well: std::mem::take(&mut self.well).into_iter().collect(),
         }
     }
@@ -106,9 +106,9 @@
     /// confirmed.
     pub fn confirm(&mut self, term: u64, number: u64) {
         if term > self.term {
-            (self.term, self.heard) = (term, 0);
+            (self.term, self.confirmed) = (term, 0);
         } else if term == self.term {
-            self.heard = self.heard.max(number);
+            self.confirmed = self.confirmed.max(number);
         }
     }
 }
--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -24,34 +24,34 @@
 /// The number of crashed upstreams at which a request is quarantined. With 2, a request that ran twice
 /// beside a harmful one and was sent again would be quarantined; each further crash costs everything
 /// that runs on one more upstream.
-pub const MOST_ENDED: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// The number of crashed upstreams from which a request is watched: every VM receives its mark, and
 /// reports when it completes.
-const WATCHED_ENDED: usize = 2;
+const WATCH_CRASHES: usize = 2;
 /// Added to the time that VMs need to report, in milliseconds, to form the wait before a request is
 /// quarantined for the first time. Runs of the request that are about to complete can clear it then.
-const SETTLE_MORE_MS: u64 = 100;
+const SETTLE_MARGIN_MS: u64 = 100;
 /// The maximum number of requests in quarantine. If more crash their upstreams, the fault lies with the
 /// upstreams; further requests are sent as usual.
-pub const MOST_HELD: usize = 16;
+pub const MAX_QUARANTINED: usize = 16;
 /// The duration of a request's first quarantine, in milliseconds. A harmful request crashes another
 /// upstream after its release if its cause was not fixed; a harmless one is refused for this long.
-pub const FIRST_HELD_MS: u64 = 600_000;
+pub const FIRST_QUARANTINE_MS: u64 = 600_000;
 /// The factor by which each further quarantine of a request is longer. With it a request crashes at
 /// most three more upstreams in 12 hours, and a fourth after 4 days.
-const HELD_FACTOR: u64 = 8;
+const QUARANTINE_FACTOR: u64 = 8;
 /// How many times the factor is applied at most, which bounds a quarantine to 28 days.
-const MOST_FACTORS: u32 = 4;
+const MAX_FACTORS: u32 = 4;
 /// How long a count, or a watched request, is kept without a further crash, in milliseconds.
 pub const COUNT_KEEP_MS: u64 = 600_000;
 /// The maximum number of requests that are counted, about 100 bytes each. A crashing upstream adds as
 /// many as it ran.
-const MOST_COUNTED: usize = 4096;
+const MAX_COUNTED: usize = 4096;
 /// The time after which a proposed command that is not recorded yet is proposed again, in
 /// milliseconds.
 const PROPOSE_AGAIN_MS: u64 = 500;
 /// The maximum number of commands that are proposed at once, about 60 bytes each.
-const MOST_PROPOSED: usize = 16;
+const MAX_PROPOSED: usize = 16;
 
 /// The crashes counted for one request.
 #[derive(Clone, Debug, Default)]
@@ -87,12 +87,12 @@
 /// Returns how long to wait for reports that a request completed in a fleet of `vms` VMs, in
 /// milliseconds.
 pub fn settle_ms(vms: usize) -> u64 {
-    overloaded_renew_ms(vms) + SETTLE_MORE_MS
+    overloaded_renew_ms(vms) + SETTLE_MARGIN_MS
 }
 
 /// Returns the duration of a request's `times`th quarantine, in milliseconds.
-pub fn held_ms(times: u32) -> u64 {
-    FIRST_HELD_MS * HELD_FACTOR.pow(times.saturating_sub(1).min(MOST_FACTORS))
+pub fn quarantine_ms(times: u32) -> u64 {
+    FIRST_QUARANTINE_MS * QUARANTINE_FACTOR.pow(times.saturating_sub(1).min(MAX_FACTORS))
 }
 
 impl CrashTable {
@@ -107,7 +107,7 @@
     ) {
         self.begin_term(term);
         for note in &report.ended {
-            self.note_ended(note, recorded, now_ms);
+            self.note_crash(note, recorded, now_ms);
         }
         for mark in &report.well {
             let watched = recorded.row(*mark).is_some_and(|row| !row.held);
@@ -125,7 +125,7 @@
     }
 
     /// Counts a crash, from zero if the request has completed since its last one.
-    fn note_ended(&mut self, note: &CrashNote, recorded: &QuarantineTable, now_ms: u64) {
+    fn note_crash(&mut self, note: &CrashNote, recorded: &QuarantineTable, now_ms: u64) {
         let Some(count) = self.count(note.mark, recorded, now_ms) else { return };
         if count.well {
             *count = CrashCount::default();
@@ -137,7 +137,7 @@
             count.reports += 1;
             count.last_ms = now_ms;
         }
-        if count.confirmed && count.ended.len() >= MOST_ENDED {
+        if count.confirmed && count.ended.len() >= QUARANTINE_CRASHES {
             count.proven_ms.get_or_insert(now_ms);
         }
     }
@@ -150,11 +150,11 @@
         recorded: &QuarantineTable,
         now_ms: u64,
     ) -> Option<&mut CrashCount> {
-        if !self.counts.contains_key(&mark) && self.counts.len() >= MOST_COUNTED {
+        if !self.counts.contains_key(&mark) && self.counts.len() >= MAX_COUNTED {
             self.counts.retain(|_, count| count.last_ms + COUNT_KEEP_MS > now_ms);
             let oldest = self.counts.iter().min_by_key(|(_, count)| count.last_ms);
             let oldest = oldest.map(|(mark, _)| *mark);
-            if self.counts.len() >= MOST_COUNTED {
+            if self.counts.len() >= MAX_COUNTED {
                 self.counts.remove(&oldest?);
             }
         }
@@ -166,7 +166,7 @@
     }
 
     /// Returns the commands that the leader of `term` in a fleet of `vms` VMs should propose now.
-    pub fn wanted(
+    pub fn commands_to_propose(
         &mut self,
         term: u64,
         recorded: &QuarantineTable,
@@ -181,20 +181,20 @@
             .counts
             .iter()
             .filter_map(|(mark, count)| {
-                count.wants(*mark, recorded.row(*mark), at_fault.contains(mark))
+                count.command(*mark, recorded.row(*mark), at_fault.contains(mark))
             })
             .collect();
-        self.keep_to_room(&mut wanted, recorded);
+        self.drop_over_capacity(&mut wanted, recorded);
         self.counts.retain(|mark, count| !count.well || recorded.row(*mark).is_some());
-        wanted.extend(self.lapsed(recorded, now_ms));
+        wanted.extend(self.expired(recorded, now_ms));
         self.proposed.retain(|_, (_, at_ms)| *at_ms + PROPOSE_AGAIN_MS > now_ms);
         let is_under_way = |command: &QuarantineCommand| {
-            self.proposed.get(&marked(command)).is_some_and(|(last, _)| last == command)
+            self.proposed.get(&command_mark(command)).is_some_and(|(last, _)| last == command)
         };
         wanted.retain(|command| !is_under_way(command));
-        wanted.truncate(MOST_PROPOSED);
+        wanted.truncate(MAX_PROPOSED);
         for command in &wanted {
-            self.proposed.insert(marked(command), (command.clone(), now_ms));
+            self.proposed.insert(command_mark(command), (command.clone(), now_ms));
         }
         wanted
     }
@@ -204,7 +204,7 @@
     fn at_fault(&self, recorded: &QuarantineTable, settled_ms: u64) -> BTreeSet<RequestMark> {
         let held = recorded.rows().iter().filter(|row| row.held);
         let counted = |row: &QuarantineRow| self.counts.get(&row.mark).map(|count| &count.ended);
-        let mut charged: BTreeSet<UpstreamKey> = held
+        let mut attributed: BTreeSet<UpstreamKey> = held
             .flat_map(|row| row.ended.iter().chain(counted(row).into_iter().flatten()).copied())
             .collect();
         let suspect = |(mark, count): &(&RequestMark, &CrashCount)| match recorded.row(**mark) {
@@ -217,9 +217,10 @@
         suspects.sort_by_key(|(_, count)| count.ran_ms / count.reports.max(1));
         let mut at_fault = BTreeSet::new();
         for (mark, count) in suspects {
-            let own = count.ended.iter().filter(|upstream| !charged.contains(upstream)).count();
-            if own >= MOST_ENDED && !count.well {
-                charged.extend(&count.ended);
+            let unattributed =
+                count.ended.iter().filter(|upstream| !attributed.contains(upstream)).count();
+            if unattributed >= QUARANTINE_CRASHES && !count.well {
+                attributed.extend(&count.ended);
                 at_fault.insert(*mark);
             }
         }
@@ -228,18 +229,18 @@
 
     /// Drops commands that would quarantine too many requests, or that would evict a row which would
     /// then be proposed again.
-    fn keep_to_room(&self, wanted: &mut Vec<QuarantineCommand>, recorded: &QuarantineTable) {
+    fn drop_over_capacity(&self, wanted: &mut Vec<QuarantineCommand>, recorded: &QuarantineTable) {
         let under_way = self.proposed.iter().filter(|(mark, (command, _))| {
             is_hold(command) && !recorded.is_held(**mark) && !wanted.contains(command)
         });
-        let mut holds = MOST_HELD.saturating_sub(recorded.held() + under_way.count());
+        let mut holds = MAX_QUARANTINED.saturating_sub(recorded.held() + under_way.count());
         let mut rows = MOST_ROWS.saturating_sub(recorded.rows().len());
         wanted.retain(|command| {
             let QuarantineCommand::Set(row) = command else { return true };
             let known = recorded.row(row.mark).is_some();
-            let room = if row.held { &mut holds } else { &mut rows };
-            let free = *room > 0;
-            *room = room.saturating_sub(1);
+            let capacity = if row.held { &mut holds } else { &mut rows };
+            let free = *capacity > 0;
+            *capacity = capacity.saturating_sub(1);
             free || (known && !row.held)
         });
     }
@@ -247,34 +248,34 @@
     /// Returns commands that release or remove rows whose time is over by this leader's clock. A new
     /// leader measures from its first sight of a row, so a change of leaders may extend a quarantine
     /// but never shortens it.
-    fn lapsed(&mut self, recorded: &QuarantineTable, now_ms: u64) -> Vec<QuarantineCommand> {
+    fn expired(&mut self, recorded: &QuarantineTable, now_ms: u64) -> Vec<QuarantineCommand> {
         let state = |row: &QuarantineRow| (row.mark, row.held, row.times);
         let rows = recorded.rows();
         self.rows_since_ms.retain(|known, _| rows.iter().any(|row| state(row) == *known));
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for row in rows {
             let since_ms = *self.rows_since_ms.entry(state(row)).or_insert(now_ms);
             let keep_ms = match row.held {
-                true => held_ms(row.times),
+                true => quarantine_ms(row.times),
                 // A request that was quarantined stays watched for as long again.
-                false => COUNT_KEEP_MS.max(held_ms(row.times) * u64::from(row.times.min(1))),
+                false => COUNT_KEEP_MS.max(quarantine_ms(row.times) * u64::from(row.times.min(1))),
             };
             if now_ms < since_ms + keep_ms {
                 continue;
             }
             self.counts.remove(&row.mark);
-            lapsed.push(match row.held {
-                true => QuarantineCommand::Set(row.let_go()),
+            expired.push(match row.held {
+                true => QuarantineCommand::Set(row.released()),
                 false => QuarantineCommand::Clear(row.mark),
             });
         }
-        lapsed
+        expired
     }
 }
 
 impl CrashCount {
     /// Returns the command that should record this count, if any.
-    fn wants(
+    fn command(
         &self,
         mark: RequestMark,
         recorded: Option<&QuarantineRow>,
@@ -288,13 +289,13 @@
         }
         let times = recorded.map_or(0, |row| row.times);
         let row = |held, times| {
-            let ended = self.ended.iter().take(MOST_ENDED).copied().collect();
+            let ended = self.ended.iter().take(QUARANTINE_CRASHES).copied().collect();
             QuarantineCommand::Set(QuarantineRow { mark, ended, held, times })
         };
         if at_fault {
             return Some(row(true, times + 1));
         }
-        let watch = recorded.is_none() && self.ended.len() >= WATCHED_ENDED;
+        let watch = recorded.is_none() && self.ended.len() >= WATCH_CRASHES;
         watch.then(|| row(false, times))
     }
 }
@@ -302,8 +303,8 @@
 impl QuarantineRow {
     /// Returns the row after the end of its quarantine. It keeps so many crashes that one more starts
     /// the next quarantine.
-    fn let_go(&self) -> QuarantineRow {
-        let ended = self.ended.iter().take(WATCHED_ENDED).copied().collect();
+    fn released(&self) -> QuarantineRow {
+        let ended = self.ended.iter().take(WATCH_CRASHES).copied().collect();
         QuarantineRow { ended, held: false, ..self.clone() }
     }
 }
@@ -314,7 +315,7 @@
 }
 
 /// Returns the mark of the request that a command is about.
-fn marked(command: &QuarantineCommand) -> RequestMark {
+fn command_mark(command: &QuarantineCommand) -> RequestMark {
     match command {
         QuarantineCommand::Set(row) => row.mark,
         QuarantineCommand::Clear(mark) => *mark,
--- a/lib/src/coordination/directory.rs
+++ b/lib/src/coordination/directory.rs
@@ -10,9 +10,9 @@
 use crate::state::roster::RouterRoster;
 
 /// How long a caller may cache the answer for an existing chat, in seconds.
-pub const KEEP_S: u64 = 30;
+pub const CACHE_S: u64 = 30;
 /// The maximum number of addresses in an answer.
-pub const MOST_ADDRESSES: usize = 4;
+pub const MAX_ADDRESSES: usize = 4;
 
 /// The answer to a caller's request for addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,11 +25,11 @@
 
 /// How long a caller may cache an answer for a chat that does not exist yet, in seconds. It is
 /// short, because the answer names the home routers of engines that are lightly loaded now.
-pub const KEEP_FRESH_S: u64 = 2;
+pub const CACHE_NEW_CHAT_S: u64 = 2;
 
 /// A caller's request for addresses.
 #[derive(Clone, Copy, Debug)]
-pub struct AddressQuestion<'a> {
+pub struct AddressRequest<'a> {
     /// The chat, if it exists already.
     pub chat: Option<ChatKey>,
     /// The answering router's zone, which is assumed to be the caller's.
@@ -45,7 +45,7 @@
 pub fn addresses(
     roster: &RouterRoster,
     view: Option<&FleetView>,
-    question: &AddressQuestion<'_>,
+    question: &AddressRequest<'_>,
 ) -> AddressAnswer {
     let home = match (view, question.chat) {
         (Some(view), Some(chat)) => view.chat_home(chat),
@@ -58,15 +58,15 @@
         let order = rendezvous_score(question.spread, id.0 as u64);
         (Some(**id) != home, session.zone != question.zone, order)
     });
-    let first = routers.into_iter().take(MOST_ADDRESSES);
+    let first = routers.into_iter().take(MAX_ADDRESSES);
     AddressAnswer {
         addresses: first.map(|(_, session)| session.address).collect(),
-        keep_seconds: if question.chat.is_some() { KEEP_S } else { KEEP_FRESH_S },
+        keep_seconds: if question.chat.is_some() { CACHE_S } else { CACHE_NEW_CHAT_S },
     }
 }
 
 /// Returns the home of one of the lightly loaded engines, chosen by `question.spread`.
-pub fn light_home(view: &FleetView, question: &AddressQuestion<'_>) -> Option<RouterId> {
+pub fn light_home(view: &FleetView, question: &AddressRequest<'_>) -> Option<RouterId> {
     let mut homes = question.hints.iter().filter_map(|hint| view.engines.get(&hint.engine));
     let count = question.hints.len().max(1) as u64;
     homes.nth((question.spread % count) as usize).copied()
--- a/lib/src/coordination/group_plan.rs
+++ b/lib/src/coordination/group_plan.rs
@@ -17,16 +17,16 @@
 /// milliseconds.
 ///
 /// It is longer than the restart of a process, and shorter than the platform's `catchUpS` of 4 s.
-pub const SILENT_VOTER_MS: u64 = 1500;
+pub const VOTER_TIMEOUT_MS: u64 = 1500;
 /// The time without an answer after which a learner is removed, in milliseconds.
-pub const SILENT_LEARNER_MS: u64 = 10_000;
+pub const LEARNER_TIMEOUT_MS: u64 = 10_000;
 
 /// The VMs with a disk that report to the leader, with the incarnation of the disk and the hash of
 /// the zone's name.
 pub type KnownKeepers = BTreeMap<KeeperId, (Incarnation, u64)>;
 
 /// Returns how many voters a group needs to tolerate a number of lost keepers.
-pub fn voters_wanted(tolerated_losses: u32) -> usize {
+pub fn required_voters(tolerated_losses: u32) -> usize {
     (2 * tolerated_losses as usize + 1).max(3)
 }
 
@@ -46,14 +46,15 @@
     };
     let voters = || members.iter().filter(|(_, member)| member.votes).map(|(id, _)| *id);
 
-    let other_life =
-        |id: &KeeperId| known.get(id).is_some_and(|(life, _)| *life != members[id].incarnation);
-    if let Some(wiped) = voters().find(|id| *id != own && other_life(id)) {
+    let other_incarnation = |id: &KeeperId| {
+        known.get(id).is_some_and(|(incarnation, _)| *incarnation != members[id].incarnation)
+    };
+    if let Some(wiped) = voters().find(|id| *id != own && other_incarnation(id)) {
         return Some(MemberChange::Remove(wiped));
     }
 
     let count = voters().count();
-    let replaceable = voters().find(|id| silent(*id, SILENT_VOTER_MS));
+    let replaceable = voters().find(|id| silent(*id, VOTER_TIMEOUT_MS));
     if count < wanted || (count == wanted && replaceable.is_some()) {
         let caught_up = |id: &KeeperId| {
             let matched = core.member_match(*id).unwrap_or(0);
@@ -62,11 +63,11 @@
         let learners = members.iter().filter(|(_, member)| !member.votes).map(|(id, _)| *id);
         let ready = learners.filter(|id| known.contains_key(id) && caught_up(id));
         let zone = |id: KeeperId| known.get(&id).map_or(0, |(_, zone)| *zone);
-        let crowd = |id: &KeeperId| {
-            let living = voters().filter(|other| !silent(*other, SILENT_VOTER_MS));
+        let voters_in_zone = |id: &KeeperId| {
+            let living = voters().filter(|other| !silent(*other, VOTER_TIMEOUT_MS));
             (living.filter(|other| zone(*other) == zone(*id)).count(), *id)
         };
-        if let Some(best) = ready.min_by_key(crowd) {
+        if let Some(best) = ready.min_by_key(voters_in_zone) {
             return Some(MemberChange::Promote(best));
         }
     }
@@ -77,15 +78,15 @@
     }
 
     let address = |id: KeeperId| SocketAddr::from((Ipv4Addr::from(id.0), peer_port));
-    let joins = known.iter().find(|(id, (life, _))| {
-        members.get(id).is_none_or(|member| !member.votes && member.incarnation != *life)
+    let joining = known.iter().find(|(id, (incarnation, _))| {
+        members.get(id).is_none_or(|member| !member.votes && member.incarnation != *incarnation)
     });
-    if let Some((id, (life, _))) = joins {
-        return Some(MemberChange::AddLearner(*id, *life, address(*id)));
+    if let Some((id, (incarnation, _))) = joining {
+        return Some(MemberChange::AddLearner(*id, *incarnation, address(*id)));
     }
     let mut learners = members.iter().filter(|(_, member)| !member.votes);
     let gone = learners.find(|(id, _)| {
-        !known.contains_key(id) && silent(**id, SILENT_LEARNER_MS) && count >= wanted
+        !known.contains_key(id) && silent(**id, LEARNER_TIMEOUT_MS) && count >= wanted
     });
     gone.map(|(id, _)| MemberChange::Remove(*id))
 }
--- a/lib/src/coordination/leader_contact.rs
+++ b/lib/src/coordination/leader_contact.rs
@@ -18,11 +18,11 @@
 pub const DOCUMENT_WAIT_MS: u64 = 300;
 /// The pause between two requests for a whole document, in milliseconds. One of the largest
 /// documents takes a third of it on a link of 10 Mbit/s.
-pub const ASK_AGAIN_MS: u64 = 600;
+pub const REQUEST_AGAIN_MS: u64 = 600;
 /// The pause between two requests while a VM has no document and so cannot serve, in milliseconds.
 /// After a common restart the keeper that received the request may not have learned the commit
 /// index yet.
-pub const ASK_FIRST_MS: u64 = 150;
+pub const REQUEST_FIRST_MS: u64 = 150;
 
 /// The configuration versions that the leader confirmed to one VM, and when.
 #[derive(Clone, Debug, Default)]
@@ -32,7 +32,7 @@
     pending: Option<(u64, u64)>,
     applied: u64,
     behind_since_ms: Option<u64>,
-    asked_ms: Option<u64>,
+    requested_ms: Option<u64>,
 }
 
 impl LeaderContact {
@@ -49,25 +49,26 @@
     /// Returns whether to request the newest document now, given that `version` exists: at once while
     /// this VM has no document, otherwise if the leader did not send it in time. Requests are
     /// repeated after a pause.
-    pub fn wants_document(&mut self, version: u64, now_ms: u64) -> bool {
+    pub fn should_request_document(&mut self, version: u64, now_ms: u64) -> bool {
         if version <= self.applied {
-            (self.behind_since_ms, self.asked_ms) = (None, None);
+            (self.behind_since_ms, self.requested_ms) = (None, None);
             return false;
         }
         let since_ms = *self.behind_since_ms.get_or_insert(now_ms);
         let lacks = self.applied == 0 || since_ms + DOCUMENT_WAIT_MS <= now_ms;
-        let again_ms = if self.applied == 0 { ASK_FIRST_MS } else { ASK_AGAIN_MS };
-        let asked = self.asked_ms.is_some_and(|asked_ms| asked_ms + again_ms > now_ms);
-        if lacks && !asked {
-            self.asked_ms = Some(now_ms);
+        let again_ms = if self.applied == 0 { REQUEST_FIRST_MS } else { REQUEST_AGAIN_MS };
+        let requested =
+            self.requested_ms.is_some_and(|requested_ms| requested_ms + again_ms > now_ms);
+        if lacks && !requested {
+            self.requested_ms = Some(now_ms);
         }
-        lacks && !asked
+        lacks && !requested
     }
 
     /// Notes that a version is in force on this VM.
     pub fn note_applied(&mut self, version: u64) {
         if version > self.applied {
-            (self.behind_since_ms, self.asked_ms) = (None, None);
+            (self.behind_since_ms, self.requested_ms) = (None, None);
         }
         self.applied = self.applied.max(version);
         if let Some((sent_ms, version)) = self.pending {
--- a/lib/src/coordination/leaving.rs
+++ b/lib/src/coordination/leaving.rs
@@ -12,7 +12,7 @@
 
 /// A leaving incarnation of an upstream, as routers send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LeavingMark {
+pub struct LeavingIncarnation {
     /// The upstream.
     pub upstream: UpstreamKey,
     /// The incarnation that leaves.
@@ -23,12 +23,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct LeavingTable {
     leaving: HashMap<UpstreamKey, Incarnation>,
-    lives: HashMap<UpstreamKey, Incarnation>,
+    current: HashMap<UpstreamKey, Incarnation>,
 }
 
 impl LeavingTable {
     /// Notes a leaving incarnation. Returns true if it is new and should be sent to the other routers.
-    pub fn note_leaving(&mut self, mark: LeavingMark) -> bool {
+    pub fn note_leaving(&mut self, mark: LeavingIncarnation) -> bool {
         let known = self.leaving.get(&mark.upstream).copied();
         if known.is_some_and(|known| known >= mark.incarnation) {
             return false;
@@ -38,27 +38,29 @@
     }
 
     /// Notes the incarnation that an upstream reported.
-    pub fn note_life(&mut self, upstream: UpstreamKey, incarnation: Incarnation) {
-        let life = self.lives.entry(upstream).or_insert(incarnation);
-        *life = (*life).max(incarnation);
+    pub fn note_incarnation(&mut self, upstream: UpstreamKey, incarnation: Incarnation) {
+        let latest = self.current.entry(upstream).or_insert(incarnation);
+        *latest = (*latest).max(incarnation);
     }
 
     /// Returns the latest known incarnation of an upstream.
-    pub fn life(&self, upstream: UpstreamKey) -> Incarnation {
-        self.lives.get(&upstream).copied().unwrap_or_default()
+    pub fn incarnation(&self, upstream: UpstreamKey) -> Incarnation {
+        self.current.get(&upstream).copied().unwrap_or_default()
     }
 
     /// Returns whether the latest known incarnation of an upstream is leaving.
     pub fn is_leaving(&self, upstream: UpstreamKey) -> bool {
         let leaving = self.leaving.get(&upstream);
-        leaving.is_some_and(|leaving| *leaving >= self.life(upstream))
+        leaving.is_some_and(|leaving| *leaving >= self.incarnation(upstream))
     }
 
     /// Returns all leaving incarnations, to be sent to a router that requests them.
-    pub fn marks(&self) -> Vec<LeavingMark> {
-        let marks = self.leaving.iter();
-        marks
-            .map(|(upstream, life)| LeavingMark { upstream: *upstream, incarnation: *life })
-            .collect()
+    pub fn all(&self) -> Vec<LeavingIncarnation> {
+        let all = self.leaving.iter();
+        all.map(|(upstream, incarnation)| LeavingIncarnation {
+            upstream: *upstream,
+            incarnation: *incarnation,
+        })
+        .collect()
     }
 }
--- a/lib/src/coordination/line_budget.rs
+++ b/lib/src/coordination/line_budget.rs
@@ -8,9 +8,9 @@
 
 /// The maximum number of lines per second of one place in the code. Further lines, which are mostly
 /// repeats, are folded into a count.
-pub const LINES_A_PLACE: u32 = 20;
+pub const LINES_PER_PLACE: u32 = 20;
 /// The maximum number of lines per second of the whole process. At 300 bytes each they are 30 KB a second.
-pub const LINES_IN_ALL: u32 = 100;
+pub const LINES_IN_TOTAL: u32 = 100;
 /// The length of the interval in which lines are counted, in milliseconds.
 const SPAN_MS: u64 = 1000;
 
@@ -74,11 +74,11 @@
         if span != count.span {
             (count.span, count.written) = (span, 0);
         }
-        if self.written >= LINES_IN_ALL {
+        if self.written >= LINES_IN_TOTAL {
             self.dropped += 1;
             return LineVerdict::Drop;
         }
-        if count.written >= LINES_A_PLACE {
+        if count.written >= LINES_PER_PLACE {
             count.folded += 1;
             return LineVerdict::Fold;
         }
--- a/lib/src/coordination/list_reader.rs
+++ b/lib/src/coordination/list_reader.rs
@@ -13,7 +13,7 @@
 pub const READ_MS: u64 = 600;
 /// The upper bound on the part of the leader's pause that grows with the list, in milliseconds: new
 /// upstreams get no requests before they are read.
-const MOST_READ_MS: u64 = 2000;
+const MAX_SIZE_PAUSE_MS: u64 = 2000;
 /// The time until every VM has received the confirmation of a completed read, in milliseconds. It is
 /// two renewals, so that one datagram may be lost.
 const CONFIRM_MS: u64 = 2 * RENEW_MS;
@@ -22,18 +22,18 @@
 const PAGE_PAUSE_MS: u64 = READ_MS / PAGES_AT_ONCE as u64;
 /// The age at which a VM looks for a newer list, as a fraction of the time after which a leaving
 /// upstream must get no requests. The rest of that time is for requesting and reading a list.
-const STALE_PART: f64 = 0.5;
+const STALE_FRACTION: f64 = 0.5;
 /// The time added for the exchange with the leader, in milliseconds, when a list is so long that two
-/// reads exceed the age that [`STALE_PART`] gives.
+/// reads exceed the age that [`STALE_FRACTION`] gives.
 const EXCHANGE_MS: u64 = 3 * RENEW_MS;
 /// The time after which a VM that has contact with a leader but no list reads one itself, in
 /// milliseconds. After that the leader is assumed to be unable to read.
 pub const NO_LIST_MS: u64 = 6000;
 /// The largest fraction of the platform's call limit that the leader uses.
-const LEADER_PART: f64 = 0.7;
+const LEADER_FRACTION: f64 = 0.7;
 /// The largest fraction of the call limit that one VM without a leader uses; it is halved with each
 /// refusal.
-const ALONE_PART: f64 = 0.2;
+const LEADERLESS_FRACTION: f64 = 0.2;
 /// The number of pages that are read without a pause between them.
 pub const PAGES_AT_ONCE: usize = 8;
 /// The delay between the starts of two successive groups of readers, in milliseconds. It covers the
@@ -42,11 +42,11 @@
 pub const READER_STEP_MS: u64 = 400;
 /// The pause between two requests for a list by a VM without a recent one, in milliseconds. The VMs
 /// that received a request also answer it later, once they have a newer list.
-pub const ASK_MS: u64 = 250;
+pub const LIST_REQUEST_MS: u64 = 250;
 /// How many successive refusals double the pause.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 /// How many readers of the order a VM sends one request to.
-const READERS_ASKED: usize = 2;
+const READERS_PER_REQUEST: usize = 2;
 
 /// The cost of reading the list from the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,20 +65,20 @@
     pub fn leader_pause_ms(&self, drain_ms: u64, reading_ms: u64) -> u64 {
         let taken_ms = CONFIRM_MS + 2 * reading_ms;
         let fresh_ms = stale_bound_ms(drain_ms).saturating_sub(taken_ms);
-        let wanted_ms = (self.pages as u64 * PAGE_PAUSE_MS).min(MOST_READ_MS);
-        self.least_pause_ms().max(wanted_ms.min(fresh_ms))
+        let wanted_ms = (self.pages as u64 * PAGE_PAUSE_MS).min(MAX_SIZE_PAUSE_MS);
+        self.min_pause_ms().max(wanted_ms.min(fresh_ms))
     }
 
     /// Returns the shortest pause that the call limit allows the leader, in milliseconds.
-    fn least_pause_ms(&self) -> u64 {
-        self.span_ms(self.pages, LEADER_PART).max(READ_MS)
+    fn min_pause_ms(&self) -> u64 {
+        self.span_ms(self.pages, LEADER_FRACTION).max(READ_MS)
     }
 
     /// Returns the age of a VM's list at which the VM looks for a newer one, in milliseconds, where a
     /// leaving upstream must get no requests after `drain_ms`. For a long list the age is at least what
     /// the leader can keep.
     pub fn stale_ms(&self, drain_ms: u64) -> u64 {
-        let kept_to = 2 * self.least_pause_ms() + EXCHANGE_MS;
+        let kept_to = 2 * self.min_pause_ms() + EXCHANGE_MS;
         let bound_ms = stale_bound_ms(drain_ms);
         match self.pages <= PAGES_AT_ONCE {
             true => bound_ms,
@@ -90,26 +90,26 @@
     pub fn leader_page_ms(&self, number: usize) -> u64 {
         match number < PAGES_AT_ONCE {
             true => 0,
-            false => self.span_ms(1, LEADER_PART),
+            false => self.span_ms(1, LEADER_FRACTION),
         }
     }
 
     /// Returns the pause before page `number` of a read by a VM without a leader, in milliseconds. The
     /// number of pages may not be known in advance.
-    pub fn alone_page_ms(&self, number: usize, refusals: u32) -> u64 {
+    pub fn leaderless_page_ms(&self, number: usize, refusals: u32) -> u64 {
         match number < PAGES_AT_ONCE && refusals == 0 || number == 0 {
             true => 0,
-            false => self.refused_ms(1, refusals),
+            false => self.backoff_ms(1, refusals),
         }
     }
 
     /// Returns how long a VM without a leader waits after the platform refused its read, in milliseconds.
-    pub fn alone_pause_ms(&self, refusals: u32) -> u64 {
-        self.refused_ms(self.pages, refusals).max(READ_MS)
+    pub fn leaderless_pause_ms(&self, refusals: u32) -> u64 {
+        self.backoff_ms(self.pages, refusals).max(READ_MS)
     }
 
-    fn refused_ms(&self, calls: usize, refusals: u32) -> u64 {
-        self.span_ms(calls, ALONE_PART).saturating_mul(1 << refusals.min(MOST_DOUBLINGS))
+    fn backoff_ms(&self, calls: usize, refusals: u32) -> u64 {
+        self.span_ms(calls, LEADERLESS_FRACTION).saturating_mul(1 << refusals.min(MAX_DOUBLINGS))
     }
 
     /// Returns how long a number of calls takes at a fraction of the call limit, in milliseconds. The limit
@@ -122,13 +122,13 @@
 
 /// Returns the age at which a list counts as stale if reading it is quick, in milliseconds.
 fn stale_bound_ms(drain_ms: u64) -> u64 {
-    (drain_ms as f64 * STALE_PART) as u64
+    (drain_ms as f64 * STALE_FRACTION) as u64
 }
 
 /// A follower VM's contact with its leader and the state of its list. Times are in milliseconds of the
 /// VM's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListStanding {
+pub struct ListStatus {
     /// When a leader answered for the first time, if one did.
     pub first_heard_ms: Option<u64>,
     /// The latest time at which the VM's list is known to have been the platform's; 0 if that is unknown.
@@ -158,11 +158,7 @@
 /// reassigned to another upstream meanwhile, that one refuses requests for the earlier one.
 ///
 /// `rank` returns the VM's position in [`reader_order`]. It is called only when the result depends on it.
-pub fn list_action(
-    standing: &ListStanding,
-    now_ms: u64,
-    rank: impl FnOnce() -> usize,
-) -> ListAction {
+pub fn list_action(standing: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
     let Some(first_heard_ms) = standing.first_heard_ms else {
         return if standing.has_list { ListAction::Rest } else { ListAction::Ask };
     };
@@ -198,12 +194,13 @@
 
 /// Returns the VMs to which a VM sends its `round`-th request: two of the order, the next two with each
 /// round, and one chosen by the random number `draw`, which may be on this side of a network partition.
-pub fn whom_to_ask(order: &[u32], own: u32, round: usize, draw: usize) -> Vec<u32> {
+pub fn request_targets(order: &[u32], own: u32, round: usize, draw: usize) -> Vec<u32> {
     let others: Vec<u32> = order.iter().copied().filter(|id| *id != own).collect();
     if others.is_empty() {
         return others;
     }
-    let first = (0..READERS_ASKED).map(|at| others[(round * READERS_ASKED + at) % others.len()]);
+    let first = (0..READERS_PER_REQUEST)
+        .map(|at| others[(round * READERS_PER_REQUEST + at) % others.len()]);
     let mut asked: Vec<u32> = first.chain([others[draw % others.len()]]).collect();
     asked.sort_unstable();
     asked.dedup();
--- a/lib/src/coordination/news_source.rs
+++ b/lib/src/coordination/news_source.rs
@@ -8,7 +8,7 @@
 
 /// The VM that sends the request.
 #[derive(Clone, Copy, Debug)]
-pub struct NewsAsker {
+pub struct UpdateRequester {
     /// The VM's address as a number.
     pub id: u32,
     /// The hash of the name of the VM's availability zone.
@@ -21,7 +21,7 @@
 pub fn choose_source(
     keepers: &[u32],
     rows: &[RosterRow],
-    asker: NewsAsker,
+    asker: UpdateRequester,
     attempt: u32,
     draw: u64,
 ) -> Option<u32> {
@@ -41,6 +41,6 @@
 /// Returns whether a VM requests a newer list from the VM that announced it instead of a keeper of its
 /// zone. A leader always does, since no keeper has a newer list than it. Any VM that already holds a list
 /// (`held`) does so at every second attempt.
-pub fn asks_holder(leads: bool, held: bool, attempt: u32) -> bool {
+pub fn requests_from_holder(leads: bool, held: bool, attempt: u32) -> bool {
     leads || held && attempt % 2 == 1
 }
--- a/lib/src/coordination/order_pace.rs
+++ b/lib/src/coordination/order_pace.rs
@@ -31,7 +31,7 @@
     now_ms: u64,
 ) -> Vec<OrderRecord> {
     let waited_out = now_ms >= leads_since_ms + LEASE_MS;
-    let mut room = most_loads.saturating_sub(loads_running);
+    let mut capacity = most_loads.saturating_sub(loads_running);
     let mut chosen: Vec<OrderRecord> = Vec::new();
     let pending = machine.orders.values().filter(|order| order.state == OrderState::Pending);
     let mut busy: Vec<&str> = Vec::new();
@@ -44,10 +44,10 @@
             continue;
         }
         let loads = matches!(order.action, OrderAction::Load { .. });
-        if loads && room == 0 {
+        if loads && capacity == 0 {
             continue;
         }
-        room -= usize::from(loads);
+        capacity -= usize::from(loads);
         chosen.push(order.clone());
     }
     chosen
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -3,14 +3,14 @@
 //!
 //! It does no I/O: it takes events with the current time, and returns what to report or propose.
 
-use super::crash_outbox::{CrashOutbox, CrashReport, SeenCrash};
+use super::crash_outbox::{CrashOutbox, CrashReport, ObservedCrash};
 use super::crash_table::CrashTable;
 use crate::state::ids::RequestMark;
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 /// A VM's copy of the quarantine table, its reports, and its counts as the leader.
 #[derive(Clone, Debug, Default)]
-pub struct QuarantineDesk {
+pub struct QuarantineState {
     published: QuarantineTable,
     outbox: CrashOutbox,
     table: CrashTable,
@@ -18,9 +18,9 @@
     renewal_ms: u64,
 }
 
-impl QuarantineDesk {
+impl QuarantineState {
     /// Returns whether any request is held or watched. If not, requests need no mark.
-    pub fn knows_any(&self) -> bool {
+    pub fn has_any(&self) -> bool {
         !self.published.rows().is_empty()
     }
 
@@ -47,18 +47,18 @@
     /// Notes that an upstream crashed while it ran a request. Returns after how many milliseconds to send
     /// the leader a renewal, so that at most one is sent early per `pause_ms`, or `None` if one is planned
     /// already.
-    pub fn note_ended(&mut self, seen: SeenCrash, pause_ms: u64, now_ms: u64) -> Option<u64> {
-        self.outbox.note_ended(seen, now_ms);
+    pub fn note_crash(&mut self, seen: ObservedCrash, pause_ms: u64, now_ms: u64) -> Option<u64> {
+        self.outbox.note_crash(seen, now_ms);
         self.plan_renewal(pause_ms, now_ms)
     }
 
     /// Notes that a request completed and its upstream still runs. If the request is watched, this is
-    /// reported; the result is as for [`Self::note_ended`].
-    pub fn note_well(&mut self, mark: RequestMark, pause_ms: u64, now_ms: u64) -> Option<u64> {
+    /// reported; the result is as for [`Self::note_crash`].
+    pub fn note_completed(&mut self, mark: RequestMark, pause_ms: u64, now_ms: u64) -> Option<u64> {
         if !self.is_watched(mark) {
             return None;
         }
-        self.outbox.note_well(mark);
+        self.outbox.note_completed(mark);
         self.plan_renewal(pause_ms, now_ms)
     }
 
@@ -75,9 +75,9 @@
         self.outbox.take(now_ms)
     }
 
-    /// Notes that the leader of `term` confirmed the crashes up to number `heard`.
-    pub fn confirm(&mut self, term: u64, heard: u64) {
-        self.outbox.confirm(term, heard);
+    /// Notes that the leader of `term` confirmed the crashes up to number `number`.
+    pub fn confirm(&mut self, term: u64, number: u64) {
+        self.outbox.confirm(term, number);
     }
 
     /// Takes the table that a leader published. Returns the requests that it newly quarantines.
@@ -91,7 +91,7 @@
     }
 
     /// Counts what a VM reports, as the leader of `term`.
-    pub fn hear(
+    pub fn count_report(
         &mut self,
         term: u64,
         report: &CrashReport,
@@ -102,13 +102,13 @@
     }
 
     /// Returns the commands that the leader of `term` in a fleet of `vms` VMs should propose now.
-    pub fn wanted(
+    pub fn commands_to_propose(
         &mut self,
         term: u64,
         recorded: &QuarantineTable,
         vms: usize,
         now_ms: u64,
     ) -> Vec<QuarantineCommand> {
-        self.table.wanted(term, recorded, vms, now_ms)
+        self.table.commands_to_propose(term, recorded, vms, now_ms)
     }
 }
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::admission::{admission_bound, AdmissionRule, FleetLoad};
-use super::directory::{light_home, AddressQuestion};
+use super::directory::{light_home, AddressRequest};
 use super::fair_queue::{FairQueue, WaitingRequest};
 use super::home::HomeTable;
 use super::kv_move::{choose_move, import_ms, MoveChoice};
@@ -253,7 +253,7 @@
         if fresh {
             let asked = live[self.rng.gen_range(0..live.len())];
             let view = &self.routers[asked as usize];
-            let question = AddressQuestion {
+            let question = AddressRequest {
                 chat: None,
                 zone: "",
                 spread: self.rng.gen(),
--- a/lib/src/coordination/router_lease.rs
+++ b/lib/src/coordination/router_lease.rs
@@ -10,17 +10,17 @@
 /// milliseconds: two renewals were not answered by then. Trying the keepers one after the other
 /// cost a router its lease when three leaders died within two seconds, each a fraction of a second
 /// after its election.
-pub const LEADER_SILENT_MS: u64 = 2 * RENEW_MS + 50;
+pub const LEADER_TIMEOUT_MS: u64 = 2 * RENEW_MS + 50;
 
 /// Returns the keepers to which a router sends its renewal: the last known leader, or all keepers
 /// once that does not answer. Keepers that do not lead ignore renewals.
-pub fn renew_with<K: Copy + PartialEq>(
+pub fn renewal_targets<K: Copy + PartialEq>(
     leader: K,
     keepers: impl Iterator<Item = K>,
     granted_ms: u64,
     now_ms: u64,
 ) -> Vec<K> {
-    match now_ms > granted_ms + LEADER_SILENT_MS {
+    match now_ms > granted_ms + LEADER_TIMEOUT_MS {
         true => keepers.collect(),
         false => vec![leader],
     }
--- a/lib/src/coordination/silence_desk.rs
+++ b/lib/src/coordination/silence_desk.rs
@@ -5,7 +5,7 @@
 
 /// A VM's view of unresponsive upstreams, and the table of all VMs' reports while it leads.
 #[derive(Default)]
-pub struct SilenceDesk {
+pub struct SilenceState {
     /// The VM's own view.
     pub view: SilenceView,
     /// The reports that it received as the leader.
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -15,9 +15,9 @@
 pub const RENEW_MS: u64 = 300;
 /// How many searches for a leader all VMs together start per second. Each search sends a query to a
 /// few keepers at once, and the keepers must be able to answer all of them.
-const SEEKS_PER_S: u64 = 2000;
+const LEADER_SEARCHES_PER_S: u64 = 2000;
 /// The shortest time between two searches of one VM, in milliseconds.
-const SEEK_MS: u64 = 50;
+const LEADER_SEARCH_MS: u64 = 50;
 /// How many renewals per second a leader takes from all VMs together while upstreams are nearly full.
 const OVERLOADED_RENEWALS_PER_S: u64 = 600;
 /// The shortest time between two renewals of one VM while upstreams are nearly full, in milliseconds.
@@ -33,8 +33,8 @@
 /// Returns the pause between two searches for a leader by one of `vms` VMs, in milliseconds: 50 ms up to
 /// 100 VMs, and longer in larger fleets, to limit the queries to what the keepers can answer. A new
 /// leader notifies the VMs that it knows.
-pub fn seek_pause_ms(vms: usize) -> u64 {
-    (vms as u64 * 1000 / SEEKS_PER_S).clamp(SEEK_MS, RENEW_MS)
+pub fn leader_search_pause_ms(vms: usize) -> u64 {
+    (vms as u64 * 1000 / LEADER_SEARCHES_PER_S).clamp(LEADER_SEARCH_MS, RENEW_MS)
 }
 
 /// Returns the pause between two renewals of a VM while upstreams are nearly full, in milliseconds.
@@ -87,7 +87,7 @@
 
 /// The revision of one leader's roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RosterMark {
+pub struct RosterRevision {
     /// The leader's term; 0 for a VM that has received no roster.
     pub term: u64,
     /// The number of changes so far within the term.
@@ -96,9 +96,9 @@
 
 /// The part of the roster that a VM with an earlier revision lacks, or the whole roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RosterNews {
+pub struct RosterUpdate {
     /// The revision after this update; term 0 means that there is no update.
-    pub mark: RosterMark,
+    pub mark: RosterRevision,
     /// Whether `rows` is the whole roster instead of the changed rows.
     pub whole: bool,
     /// The rows to insert or replace.
@@ -121,12 +121,12 @@
 
 /// A VM that has renewed with the leader.
 #[derive(Clone, Debug)]
-struct HeardVm {
+struct RosterVm {
     row: RosterRow,
     changed: u64,
     keeper: Option<Incarnation>,
     loads: Vec<UpstreamLoad>,
-    heard_ms: u64,
+    renewed_ms: u64,
 }
 
 /// The leader's table of all VMs.
@@ -135,7 +135,7 @@
 /// answered a few times a second, the latter would cost work that grows with the square of their number.
 #[derive(Clone, Debug, Default)]
 pub struct VmRoster {
-    heard: BTreeMap<u32, HeardVm>,
+    vms: BTreeMap<u32, RosterVm>,
     sums: BTreeMap<UpstreamKey, u32>,
     change: u64,
     gone: VecDeque<GoneVm>,
@@ -154,26 +154,25 @@
         loads: Vec<UpstreamLoad>,
         now_ms: u64,
     ) {
-        let before = self.heard.remove(&row.id);
+        let before = self.vms.remove(&row.id);
         let same = before.as_ref().filter(|vm| vm.row == row).map(|vm| vm.changed);
         if let Some(vm) = before {
-            self.take_off(&vm.loads);
+            self.subtract_loads(&vm.loads);
         }
         for load in &loads {
             *self.sums.entry(load.upstream).or_default() += load.requests;
         }
         let changed = same.unwrap_or_else(|| self.next_change());
-        self.heard.insert(row.id, HeardVm { row, changed, keeper, loads, heard_ms: now_ms });
+        self.vms.insert(row.id, RosterVm { row, changed, keeper, loads, renewed_ms: now_ms });
     }
 
     /// Removes VMs without a recent renewal, and forgets VMs that left long ago.
     pub fn expire(&mut self, now_ms: u64) {
-        let old = |vm: &HeardVm| vm.heard_ms + ROW_KEEP_MS <= now_ms;
-        let ids: Vec<u32> =
-            self.heard.iter().filter(|(_, vm)| old(vm)).map(|(id, _)| *id).collect();
+        let old = |vm: &RosterVm| vm.renewed_ms + ROW_KEEP_MS <= now_ms;
+        let ids: Vec<u32> = self.vms.iter().filter(|(_, vm)| old(vm)).map(|(id, _)| *id).collect();
         for id in ids {
-            if let Some(vm) = self.heard.remove(&id) {
-                self.take_off(&vm.loads);
+            if let Some(vm) = self.vms.remove(&id) {
+                self.subtract_loads(&vm.loads);
             }
             let change = self.next_change();
             self.gone.push_back(GoneVm { change, id, at_ms: now_ms });
@@ -194,7 +193,7 @@
     }
 
     /// Subtracts a VM's loads from the sums.
-    fn take_off(&mut self, loads: &[UpstreamLoad]) {
+    fn subtract_loads(&mut self, loads: &[UpstreamLoad]) {
         for load in loads {
             if let Some(sum) = self.sums.get_mut(&load.upstream) {
                 *sum = sum.saturating_sub(load.requests);
@@ -207,33 +206,33 @@
 
     /// Returns the number of VMs in the roster.
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.vms.len()
     }
 
     /// Returns whether the roster is empty.
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.vms.is_empty()
     }
 
     /// Returns the rows of all VMs in the roster, by address.
     pub fn rows(&self) -> Vec<RosterRow> {
-        self.heard.values().map(|vm| vm.row).collect()
+        self.vms.values().map(|vm| vm.row).collect()
     }
 
     /// Returns the update that the leader of `term` should send to a VM with revision `have`.
-    pub fn news(&self, term: u64, have: RosterMark) -> RosterNews {
-        let mark = RosterMark { term, change: self.change };
+    pub fn news(&self, term: u64, have: RosterRevision) -> RosterUpdate {
+        let mark = RosterRevision { term, change: self.change };
         if have == mark {
-            return RosterNews { mark, ..RosterNews::default() };
+            return RosterUpdate { mark, ..RosterUpdate::default() };
         }
         if have.term != term || have.change < self.forgotten {
-            return RosterNews { mark, whole: true, rows: self.rows(), gone: Vec::new() };
+            return RosterUpdate { mark, whole: true, rows: self.rows(), gone: Vec::new() };
         }
-        let changed = self.heard.values().filter(|vm| vm.changed > have.change);
+        let changed = self.vms.values().filter(|vm| vm.changed > have.change);
         let rows: Vec<RosterRow> = changed.map(|vm| vm.row).collect();
         let left = self.gone.iter().filter(|vm| vm.change > have.change).map(|vm| vm.id);
-        let gone = left.filter(|id| !self.heard.contains_key(id)).collect();
-        RosterNews { mark, whole: false, rows, gone }
+        let gone = left.filter(|id| !self.vms.contains_key(id)).collect();
+        RosterUpdate { mark, whole: false, rows, gone }
     }
 
     /// Returns the requests in flight by upstream, summed over all VMs.
@@ -245,7 +244,7 @@
 
     /// Returns the VMs with a disk, with the incarnations of the disks and the zones.
     pub fn keepers(&self) -> BTreeMap<KeeperId, (Incarnation, u64)> {
-        let keepers = self.heard.values();
+        let keepers = self.vms.values();
         keepers.filter_map(|vm| Some((KeeperId(vm.row.id), (vm.keeper?, vm.row.zone)))).collect()
     }
 }
@@ -254,14 +253,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct RosterCopy {
     /// The revision of this copy.
-    pub mark: RosterMark,
+    pub mark: RosterRevision,
     /// The VMs, by address.
     pub rows: Vec<RosterRow>,
 }
 
 impl RosterCopy {
     /// Applies an update if it is newer and either whole or of the same term.
-    pub fn take(&mut self, news: RosterNews) {
+    pub fn take(&mut self, news: RosterUpdate) {
         let (own, mark) = (self.mark, news.mark);
         let newer = (mark.term, mark.change) > (own.term, own.change);
         if !newer || !(news.whole || mark.term == own.term) {
--- a/lib/src/coordination/zone_desk.rs
+++ b/lib/src/coordination/zone_desk.rs
@@ -5,7 +5,7 @@
 
 /// The orders that a VM received about zones, and what it sent to cold upstreams.
 #[derive(Default)]
-pub struct ZoneDesk {
+pub struct ZoneState {
     /// The orders about zones.
     pub watch: ZoneWatch,
     /// The requests sent to cold upstreams.
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -14,7 +14,7 @@
     /// The last order of each zone.
     pub orders: ZoneOrders,
     /// When this VM received the order that takes a zone back into use.
-    taken_back_ms: BTreeMap<String, u64>,
+    returned_ms: BTreeMap<String, u64>,
 }
 
 /// A change of one zone that a VM received, for its log.
@@ -39,8 +39,8 @@
             .collect();
         for change in &changes {
             match change.emptied {
-                true => drop(self.taken_back_ms.remove(&change.zone)),
-                false => drop(self.taken_back_ms.insert(change.zone.clone(), now_ms)),
+                true => drop(self.returned_ms.remove(&change.zone)),
+                false => drop(self.returned_ms.insert(change.zone.clone(), now_ms)),
             }
         }
         changes
@@ -57,9 +57,9 @@
     }
 
     /// Returns whether a zone returned so recently that its upstreams may be cold without being listed as
-    /// cold. The VM's list is known to have been the platform's at `news_ms`, and may have been outdated
+    /// cold. The VM's list is known to have been the platform's at `confirmed_ms`, and may have been outdated
     /// by `lag_ms` then.
-    pub fn may_be_cold(&self, zone: &str, news_ms: u64, lag_ms: u64) -> bool {
-        self.taken_back_ms.get(zone).is_some_and(|back_ms| news_ms < back_ms + lag_ms)
+    pub fn may_be_cold(&self, zone: &str, confirmed_ms: u64, lag_ms: u64) -> bool {
+        self.returned_ms.get(zone).is_some_and(|back_ms| confirmed_ms < back_ms + lag_ms)
     }
 }
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::coordination::leaving::LeavingMark;
+use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::load_spread::LoadRow;
 use crate::coordination::raft_message::RaftMessage;
 use crate::state::claim_table::{ClaimAnswer, ClaimReport, ClaimRequest};
@@ -115,7 +115,7 @@
         /// Its load.
         rows: Vec<LoadRow>,
         /// Leaving lives that it knows.
-        marks: Vec<LeavingMark>,
+        marks: Vec<LeavingIncarnation>,
     },
 }
 
@@ -148,7 +148,7 @@
     /// Its load.
     pub rows: Vec<LoadRow>,
     /// Leaving lives that it learned of lately.
-    pub marks: Vec<LeavingMark>,
+    pub marks: Vec<LeavingIncarnation>,
 }
 
 /// See [`Datagram::Grant`].
@@ -167,7 +167,7 @@
     /// The load of all other routers.
     pub rows: Vec<LoadRow>,
     /// Leaving lives that were published lately.
-    pub marks: Vec<LeavingMark>,
+    pub marks: Vec<LeavingIncarnation>,
 }
 
 /// Encodes a message.
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -13,7 +13,7 @@
 use crate::coordination::rollout_watch::RolloutNote;
 use crate::coordination::silence::UnresponsiveRevision;
 use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
-use crate::coordination::vm_roster::{RosterMark, RosterNews, RosterRow};
+use crate::coordination::vm_roster::{RosterRevision, RosterRow, RosterUpdate};
 use crate::state::document_change::DocumentChange;
 use crate::state::ids::{Incarnation, UpstreamKey};
 use crate::state::packed_text::PackedText;
@@ -284,7 +284,7 @@
     /// What it has in flight.
     pub loads: Vec<UpstreamLoad>,
     /// The state of the roster that it holds.
-    pub roster: RosterMark,
+    pub roster: RosterRevision,
     /// The state of the list of upstreams that it holds.
     pub list: ListMark,
     /// Where it sent parts against the order.
@@ -329,7 +329,7 @@
     pub keepers: Vec<VmId>,
     /// What is new in the roster. A leader sends it once it has led long enough to have heard
     /// every VM, and before that only to those that know none.
-    pub roster: RosterNews,
+    pub roster: RosterUpdate,
     /// What all VMs have in flight, summed.
     pub loads: LoadNews,
     /// What others reported of where parts are kept.
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -17,7 +17,7 @@
 use super::keeper_waiter::Waiter;
 use super::vm_disk::{DiskJob, DiskReport};
 use crate::coordination::durable_core::{DurableCore, DurableOutcome};
-use crate::coordination::leaving::LeavingMark;
+use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::load_spread::LoadTable;
 use crate::coordination::order_pace::orders_to_send;
 use crate::coordination::raft::RaftCore;
@@ -155,7 +155,7 @@
     waiters: HashMap<u64, (u64, Waiter)>,
     watch: SessionWatch,
     loads: LoadTable,
-    marks: Vec<(LeavingMark, u64)>,
+    marks: Vec<(LeavingIncarnation, u64)>,
     leads_term: Option<(u64, u64)>,
     lapsing: HashSet<(RouterId, Incarnation)>,
     sending: HashMap<u64, bool>,
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -8,9 +8,9 @@
 use super::router_home::pump;
 use super::router_shared::{lock, RouterShared};
 use super::worker_pool::WorkerPool;
-use crate::coordination::leaving::LeavingMark;
+use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::load_spread::rows_in_turn;
-use crate::coordination::router_lease::{renew_with, RENEW_MS};
+use crate::coordination::router_lease::{renewal_targets, RENEW_MS};
 use crate::protocol::engine;
 use crate::protocol::keeper_wire::{
     ChatNote, Datagram, KeeperCall, KeeperReply, LeaseGrant, LeaseRenewal, MARKS_PER_DATAGRAM,
@@ -48,7 +48,7 @@
     Grant(SocketAddr, LeaseGrant),
     Notice { version: u64, epoch: u64 },
     Sums(crate::state::ids::RouterId, Vec<crate::coordination::load_spread::LoadRow>),
-    Marks(Vec<LeavingMark>),
+    Marks(Vec<LeavingIncarnation>),
     Chats(Vec<ChatNote>),
 }
 
@@ -152,7 +152,7 @@
     let reported_ms = lock(&shared.desk).others.reported_ms();
     let keepers = shared.keepers.keepers().iter().map(|keeper| keeper.address);
     let renewal = Datagram::Renew(renewal);
-    for to in renew_with(shared.keepers.leader(), keepers, reported_ms, now_ms) {
+    for to in renewal_targets(shared.keepers.leader(), keepers, reported_ms, now_ms) {
         shared.port.send(to, &renewal);
     }
 }
@@ -304,8 +304,8 @@
     }
     times.sums_ms = now_ms + SUMS_MS;
     let view = shared.view();
-    let marks: Vec<LeavingMark> =
-        lock(&shared.desk).leaving.marks().into_iter().take(MARKS_PER_DATAGRAM).collect();
+    let marks: Vec<LeavingIncarnation> =
+        lock(&shared.desk).leaving.all().into_iter().take(MARKS_PER_DATAGRAM).collect();
     let rows = rows_in_turn(shared.load_rows(), times.turn);
     let sums = Datagram::Sums { router: shared.id(), rows, marks };
     for (id, session) in &view.roster.routers {
@@ -358,9 +358,9 @@
         }
     };
     let life = crate::state::ids::Incarnation(state.incarnation);
-    shared.note_life(engine, life);
+    shared.note_incarnation(engine, life);
     if state.leaving {
-        shared.note_leaving(LeavingMark { upstream: engine, incarnation: life });
+        shared.note_leaving(LeavingIncarnation { upstream: engine, incarnation: life });
     }
     let mut desk = lock(&shared.desk);
     if desk.outliers.is_aside(engine, shared.clock.now_ms()) {
@@ -424,8 +424,8 @@
     for entry in entries.iter().filter(|entry| entry.state == VmStanding::Leaving) {
         let found = view.upstreams.iter().find(|(_, sight)| sight.address == entry.address);
         if let Some((key, _)) = found {
-            let incarnation = lock(&shared.desk).leaving.life(*key);
-            shared.note_leaving(LeavingMark { upstream: *key, incarnation });
+            let incarnation = lock(&shared.desk).leaving.incarnation(*key);
+            shared.note_leaving(LeavingIncarnation { upstream: *key, incarnation });
         }
     }
 }
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -11,7 +11,7 @@
 use super::router_serve::ServeContext;
 use super::router_shared::{lock, RouterShared};
 use super::seen::SeenPhase;
-use crate::coordination::leaving::LeavingMark;
+use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::relay::PieceOrder;
 use crate::coordination::retry::may_retry;
 use crate::protocol::caller::{CallerError, CallerRequest, RanMark, ResumePlace};
@@ -94,7 +94,7 @@
         arrived,
         order: PieceOrder::after(0),
         reader: 0,
-        life: lock(&shared.desk).leaving.life(slot.engine),
+        life: lock(&shared.desk).leaving.incarnation(slot.engine),
     };
     run.start(held)
 }
@@ -274,10 +274,10 @@
     fn note_head(&mut self, head: &EngineHead) {
         if head.incarnation != Incarnation(0) {
             self.life = head.incarnation;
-            self.shared.note_life(self.engine, head.incarnation);
+            self.shared.note_incarnation(self.engine, head.incarnation);
         }
         if head.leaving {
-            let mark = LeavingMark { upstream: self.engine, incarnation: head.incarnation };
+            let mark = LeavingIncarnation { upstream: self.engine, incarnation: head.incarnation };
             self.shared.note_leaving(mark);
         }
     }
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -149,7 +149,7 @@
     match forward(cx, session.address, ask.request, aim, sink) {
         ForwardEnd::Answered => {
             let tokens = ask.prompt_tokens() + ask.output_tokens();
-            let life = lock(&cx.shared.desk).leaving.life(candidate.engine);
+            let life = lock(&cx.shared.desk).leaving.incarnation(candidate.engine);
             cx.shared.note_chat(ask.fleet, ask.chat, candidate.engine, life, tokens);
             Some(RunEnd::Answered)
         }
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -16,7 +16,7 @@
 use crate::coordination::claim_batch::ClaimBatch;
 use crate::coordination::fair_queue::{FairQueue, RequestClass};
 use crate::coordination::home::HomeTable;
-use crate::coordination::leaving::{LeavingMark, LeavingTable};
+use crate::coordination::leaving::{LeavingIncarnation, LeavingTable};
 use crate::coordination::load_spread::{LoadRow, LoadTable, OtherLoad};
 use crate::coordination::outlier::OutlierTable;
 use crate::coordination::placement::{FleetView, PlacementKnowledge};
@@ -153,7 +153,7 @@
     pub(super) outliers: OutlierTable,
     pub(super) leaving: LeavingTable,
     pub(super) notices: NoticeTable,
-    pub(super) news: Vec<(LeavingMark, u64)>,
+    pub(super) news: Vec<(LeavingIncarnation, u64)>,
     pub(super) notes: HashMap<RouterId, Vec<ChatNote>>,
     pub(super) events_seen: HashMap<UpstreamKey, u64>,
     pub(super) plain_in_flight: HashMap<UpstreamKey, u32>,
@@ -368,7 +368,7 @@
     }
 
     /// Notes a life that leaves; news is sent to the others, and closes it here at once.
-    pub(super) fn note_leaving(&self, mark: LeavingMark) {
+    pub(super) fn note_leaving(&self, mark: LeavingIncarnation) {
         let news = {
             let mut desk = lock(&self.desk);
             let news = desk.leaving.note_leaving(mark);
@@ -387,16 +387,16 @@
     }
 
     /// Notes the life that an upstream reported; a new life opens it again.
-    pub(super) fn note_life(&self, upstream: UpstreamKey, life: Incarnation) {
+    pub(super) fn note_incarnation(&self, upstream: UpstreamKey, life: Incarnation) {
         let opened = {
             let mut desk = lock(&self.desk);
             let was_leaving = desk.leaving.is_leaving(upstream);
-            if desk.leaving.life(upstream) < life {
+            if desk.leaving.incarnation(upstream) < life {
                 desk.memory.set_life(upstream, life);
                 desk.events_seen.remove(&upstream);
                 desk.notices.forget(upstream);
             }
-            desk.leaving.note_life(upstream, life);
+            desk.leaving.note_incarnation(upstream, life);
             was_leaving && !desk.leaving.is_leaving(upstream)
         };
         if opened {
--- a/lib/src/transport/router_status.rs
+++ b/lib/src/transport/router_status.rs
@@ -5,7 +5,7 @@
 
 use super::router_serve::no_lease_error;
 use super::router_shared::{lock, RouterShared, RouterView};
-use crate::coordination::directory::{addresses, AddressQuestion};
+use crate::coordination::directory::{addresses, AddressRequest};
 use crate::coordination::policy::{decide_policy, PolicyFacts};
 use crate::protocol::caller::CHAT_PATH;
 use crate::protocol::http::{HttpCall, HttpReply};
@@ -27,7 +27,7 @@
         None => Vec::new(),
     };
     let spread = shared.next_number();
-    let question = AddressQuestion { chat, zone: &shared.settings.zone, spread, hints: &hints };
+    let question = AddressRequest { chat, zone: &shared.settings.zone, spread, hints: &hints };
     let answer = addresses(&view.roster, sight.map(|sight| &sight.view), &question);
     let keep = format!("max-age={}", answer.keep_seconds);
     HttpReply::json(200, &answer).with("cache-control", keep)
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -11,12 +11,12 @@
 use super::wire_count::DATAGRAM_HEAD_BYTES;
 use crate::coordination::list_reader::NO_LIST_MS;
 use crate::coordination::vm_roster::{
-    overloaded_renew_ms, seek_pause_ms, MANY_VMS, OVERLOADED_KEEP_MS, RENEW_MS,
+    leader_search_pause_ms, overloaded_renew_ms, MANY_VMS, OVERLOADED_KEEP_MS, RENEW_MS,
 };
 use crate::protocol::vm_wire::{decode, encode, vm_address, RenewalNote, VmDatagram, VmId};
 
 /// Without an answer for this long, a VM asks all keepers that it knows.
-pub(super) const LEADER_SILENT_MS: u64 = 2 * RENEW_MS + 50;
+pub(super) const LEADER_TIMEOUT_MS: u64 = 2 * RENEW_MS + 50;
 /// What a renewal reported is kept for its answer this long, in milliseconds; later answers say
 /// nothing of the present any more.
 const REPORT_KEEP_MS: u64 = 2000;
@@ -33,12 +33,12 @@
     pub async fn keep_contact(self: Rc<Self>) {
         loop {
             self.renew();
-            let silent = self.view.borrow().heard_ms + LEADER_SILENT_MS <= self.now_ms();
+            let silent = self.view.borrow().heard_ms + LEADER_TIMEOUT_MS <= self.now_ms();
             // A VM without a list or routes can't serve; the leader may have them by now.
             let lacks = !self.upstreams.borrow().is_held() || self.routes.borrow().is_none();
             let young = lacks && self.clock.age_ms() < NO_LIST_MS;
             let pause = match silent || young {
-                true => seek_pause_ms(self.view.borrow().vms),
+                true => leader_search_pause_ms(self.view.borrow().vms),
                 false => self.renew_pause_ms(),
             };
             tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -95,7 +95,7 @@
             return;
         }
         let renewal = self.renewal(now_ms);
-        self.send_datagrams(self.whom_to_ask(now_ms), &renewal);
+        self.send_datagrams(self.request_targets(now_ms), &renewal);
     }
 
     /// A renewal; what it reports of the own load is kept, to take it off the sum that the answer
@@ -140,12 +140,12 @@
         VmDatagram::Renew(note)
     }
 
-    fn whom_to_ask(&self, now_ms: u64) -> Vec<VmId> {
+    fn request_targets(&self, now_ms: u64) -> Vec<VmId> {
         let own_view = self.keeper.borrow().as_ref().and_then(|keeper| keeper.leader());
         let view = self.view.borrow();
         let leader = own_view.map(|id| id.0).or(view.leader).filter(|id| *id != self.id);
         if let Some(leader) = leader {
-            if view.heard_ms + LEADER_SILENT_MS > now_ms {
+            if view.heard_ms + LEADER_TIMEOUT_MS > now_ms {
                 return vec![leader];
             }
         }
@@ -240,7 +240,7 @@
                 let now_ms = self.now_ms();
                 let mut view = self.view.borrow_mut();
                 view.vms = view.vms.max(vms as usize);
-                if view.heard_ms + LEADER_SILENT_MS > now_ms {
+                if view.heard_ms + LEADER_TIMEOUT_MS > now_ms {
                     return;
                 }
                 if view.keepers.is_empty() {
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -15,7 +15,7 @@
 use super::vm_place::SendPlace;
 use super::vm_pool::ConnectFault;
 use super::vm_task::CallerTask;
-use crate::coordination::crash_outbox::SeenCrash;
+use crate::coordination::crash_outbox::ObservedCrash;
 use crate::state::ids::{RequestMark, UpstreamKey};
 
 /// A process that ends closes its connections and its listener one after the other, so that one which
@@ -26,7 +26,7 @@
 
 /// A send whose connection broke.
 struct BrokenSend {
-    seen: SeenCrash,
+    seen: ObservedCrash,
     address: SocketAddr,
     life: String,
     attempt: String,
@@ -44,26 +44,26 @@
     /// send, by its content: it comes as a new attempt, at any VM.
     pub(super) fn is_held(&self, workspace: Option<&str>) -> bool {
         let desk = self.node.quarantine.borrow();
-        desk.knows_any() && desk.is_held(self.mark(workspace))
+        desk.has_any() && desk.is_held(self.mark(workspace))
     }
 
     /// Whether VMs are to report how this request fares.
     pub(super) fn is_watched(&self, workspace: Option<&str>) -> bool {
         let desk = self.node.quarantine.borrow();
-        desk.knows_any() && desk.is_watched(self.mark(workspace))
+        desk.has_any() && desk.is_watched(self.mark(workspace))
     }
 
     /// An answer came whole, and its end was given by its framing: one that ends with its connection
     /// may have ended with its upstream.
     pub(super) fn note_ran(&self, place: &SendPlace, framed: bool) {
-        if framed && self.node.quarantine.borrow().knows_any() {
+        if framed && self.node.quarantine.borrow().has_any() {
             self.node.note_ran_well(self.mark(place.send.workspace.as_deref()));
         }
     }
 
     /// The connection of a send broke: looks whether the upstream has ended, beside the request.
     pub(super) fn look_after_break(&self, place: &SendPlace) {
-        let seen = SeenCrash {
+        let seen = ObservedCrash {
             mark: self.mark(place.send.workspace.as_deref()),
             upstream: place.upstream,
             watched: place.watched,
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -24,7 +24,7 @@
 use super::vm_request_record::{ConnectionRecord, RecordWatch, RequestRecord};
 use super::vm_task::{CallerTask, Denial, LEAST_LEFT_MS, RETRY_MS};
 use crate::coordination::attempt_plan::{AttemptCount, NextStep, RunKnowledge, SendOutcome};
-use crate::coordination::crash_table::FIRST_HELD_MS;
+use crate::coordination::crash_table::FIRST_QUARANTINE_MS;
 use crate::coordination::engine_room::RoomRequest;
 use crate::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
 use crate::coordination::upstream_candidate::ChoiceFault;
@@ -118,7 +118,9 @@
         Denial::OldContact => refusal(unavailable, "the configuration may be old", RETRY_MS),
         Denial::NoRoute => own_answer(StatusCode::NOT_FOUND, "no such route"),
         Denial::NoKey => own_answer(StatusCode::UNAUTHORIZED, "no such key"),
-        Denial::Held => refusal(unavailable, "upstreams ended under this request", FIRST_HELD_MS),
+        Denial::Held => {
+            refusal(unavailable, "upstreams ended under this request", FIRST_QUARANTINE_MS)
+        }
     }
 }
 
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -5,15 +5,15 @@
 
 use tracing::{debug, info};
 
-use super::vm_contact::LEADER_SILENT_MS;
+use super::vm_contact::LEADER_TIMEOUT_MS;
 use super::vm_keeper::KeeperDriver;
 use super::vm_list_news::sent_age_ms;
 use super::vm_node::VmNode;
 use crate::coordination::fleet_health::{names_failing, HealthReport};
 use crate::coordination::holder_news::{HolderMark, HolderNote};
-use crate::coordination::news_source::{choose_source, NewsAsker};
+use crate::coordination::news_source::{choose_source, UpdateRequester};
 use crate::coordination::upstream_load::LoadNews;
-use crate::coordination::vm_roster::{loads_shared_ms, RosterMark, RosterNews, SETTLE_MS};
+use crate::coordination::vm_roster::{loads_shared_ms, RosterRevision, RosterUpdate, SETTLE_MS};
 use crate::protocol::vm_wire::{vm_address, GrantNote, RenewalNote, VmDatagram, VmId, VmMessage};
 use crate::state::ids::UpstreamKey;
 use crate::state::rollout_order::RolloutTable;
@@ -22,10 +22,10 @@
 
 /// What a leader sends of the roster: nothing to a VM that knows one, until it has led long
 /// enough to have heard every VM.
-fn roster_news(keeper: &KeeperDriver, have: RosterMark, now_ms: u64) -> RosterNews {
+fn roster_news(keeper: &KeeperDriver, have: RosterRevision, now_ms: u64) -> RosterUpdate {
     match keeper.led_ms(now_ms) >= SETTLE_MS || have.term == 0 {
         true => keeper.roster.news(keeper.term(), have),
-        false => RosterNews::default(),
+        false => RosterUpdate::default(),
     }
 }
 
@@ -100,7 +100,7 @@
     /// What a VM without a keeper answers.
     fn point_elsewhere(&self, now_ms: u64) -> VmDatagram {
         let view = self.view.borrow();
-        let fresh = view.heard_ms + LEADER_SILENT_MS > now_ms;
+        let fresh = view.heard_ms + LEADER_TIMEOUT_MS > now_ms;
         VmDatagram::Elsewhere {
             leader: view.leader.filter(|_| fresh),
             keepers: view.keepers.clone(),
@@ -187,7 +187,7 @@
         self.contact.borrow_mut().note_grant(sent_ms, version);
         self.contact_changed.notify_waiters();
         self.renew_if_changed();
-        if self.contact.borrow_mut().wants_document(version, now_ms) {
+        if self.contact.borrow_mut().should_request_document(version, now_ms) {
             self.ask_document(from);
         }
         if list > self.upstreams.borrow().mark {
@@ -243,7 +243,7 @@
     /// A keeper that has the whole list and configuration; see [`choose_source`].
     pub(super) fn news_source(&self, attempt: u32) -> Option<VmId> {
         let view = self.view.borrow();
-        let asker = NewsAsker { id: self.id, zone: self.zone };
+        let asker = UpdateRequester { id: self.id, zone: self.zone };
         choose_source(&view.keepers, &view.roster.rows, asker, attempt, self.draw())
     }
 
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -12,7 +12,7 @@
 
 use super::vm_disk::{DiskJob, DiskReport};
 use crate::coordination::durable_core::{DurableCore, DurableOutcome};
-use crate::coordination::group_plan::{next_change, voters_wanted};
+use crate::coordination::group_plan::{next_change, required_voters};
 use crate::coordination::raft::RaftCore;
 use crate::coordination::raft_message::{RaftMessage, RaftOutput, RaftRole, STARTUP_ELECTION_MS};
 use crate::coordination::vm_roster::VmRoster;
@@ -127,7 +127,7 @@
         let mut driver = KeeperDriver {
             id: identity.id,
             peer_port: identity.peer_port,
-            wanted: voters_wanted(identity.tolerated_losses),
+            wanted: required_voters(identity.tolerated_losses),
             durable,
             incarnation,
             record,
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -16,8 +16,8 @@
 use super::vm_keeper::KeeperDriver;
 use super::vm_node::VmNode;
 use super::vm_pool::UpstreamApproach;
-use crate::coordination::line_budget::LINES_A_PLACE;
-use crate::coordination::list_reader::{list_action, ListAction, ListCost, ListStanding};
+use crate::coordination::line_budget::LINES_PER_PLACE;
+use crate::coordination::list_reader::{list_action, ListAction, ListCost, ListStatus};
 use crate::coordination::upstream_notice::ApproachPurpose;
 use crate::coordination::upstream_seats::{patient_services, SeatTable};
 use crate::protocol::wire_adapter::UpstreamPage;
@@ -131,7 +131,7 @@
             }
             Err(ListFault::TooMany) if reader.alone => {
                 reader.refusals += 1;
-                let pause_ms = self.list_cost().alone_pause_ms(reader.refusals);
+                let pause_ms = self.list_cost().leaderless_pause_ms(reader.refusals);
                 self.set_list_due(pause_ms / 2 + self.draw() % pause_ms);
             }
             Err(ListFault::Received) => self.set_list_due(self.leader_pause_ms(began_ms)),
@@ -162,7 +162,7 @@
         let first_heard_ms = self.view.borrow().first_heard_ms;
         let standing = {
             let upstreams = self.upstreams.borrow();
-            ListStanding {
+            ListStatus {
                 first_heard_ms,
                 news_ms: upstreams.news_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
@@ -210,7 +210,7 @@
         desk.unread = reading.unread.len() + reading.findings.len();
         let (all, odd) = (reading.unread.len(), reading.findings.len());
         let fresh = || found.iter().filter(|text| !desk.found.contains(*text));
-        for text in fresh().take(LINES_A_PLACE as usize) {
+        for text in fresh().take(LINES_PER_PLACE as usize) {
             info!(target: "list", finding = text, unread = all, odd, "holds what cannot be read");
         }
         desk.found = found;
@@ -325,7 +325,7 @@
         for number in 0..MOST_PAGES {
             let cost = self.list_cost();
             let pause_ms = match alone {
-                true => cost.alone_page_ms(number, refusals),
+                true => cost.leaderless_page_ms(number, refusals),
                 false => cost.leader_page_ms(number),
             };
             if pause_ms > 0 {
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -10,8 +10,8 @@
 
 use super::vm_disk::DiskJob;
 use super::vm_node::VmNode;
-use crate::coordination::list_reader::{reader_order, whom_to_ask, ASK_MS};
-use crate::coordination::news_source::asks_holder;
+use crate::coordination::list_reader::{reader_order, request_targets, LIST_REQUEST_MS};
+use crate::coordination::news_source::requests_from_holder;
 use crate::protocol::vm_wire::{NewsAsk, PeerNote, VmDatagram, VmId, VmMessage};
 use crate::state::kept_list::KeptList;
 use crate::state::upstream_list::{ListMark, ListStep, UpstreamEntry};
@@ -69,9 +69,9 @@
     pub(super) fn ask_news(&self, now_ms: u64) {
         let (round, due) = {
             let mut desk = self.list_desk.borrow_mut();
-            let due = desk.asked_ms + ASK_MS <= now_ms;
+            let due = desk.asked_ms + LIST_REQUEST_MS <= now_ms;
             if due {
-                let in_a_row = desk.asked_ms + 3 * ASK_MS > now_ms;
+                let in_a_row = desk.asked_ms + 3 * LIST_REQUEST_MS > now_ms;
                 desk.round = if in_a_row { desk.round + 1 } else { 0 };
                 desk.asked_ms = now_ms;
             }
@@ -93,7 +93,7 @@
         if order.len() <= 1 {
             order.extend(self.settings.borrow().seeds.iter().map(|ip| VmId::from(*ip)));
         }
-        let asked = whom_to_ask(&order, self.id, round, self.draw() as usize);
+        let asked = request_targets(&order, self.id, round, self.draw() as usize);
         self.send_datagrams(asked, &VmDatagram::AskNews(ask));
     }
 
@@ -133,7 +133,7 @@
         if note.version > 0 && note.version_age_ms < u32::MAX {
             let sent_ms = note.sent_ms.saturating_sub(u64::from(note.version_age_ms));
             self.contact.borrow_mut().note_grant(sent_ms, note.version);
-            if self.contact.borrow_mut().wants_document(note.version, now_ms) {
+            if self.contact.borrow_mut().should_request_document(note.version, now_ms) {
                 self.ask_document(from);
             }
         }
@@ -174,7 +174,7 @@
             view.list_attempts = view.list_attempts.saturating_add(1);
             view.list_attempts - 1
         };
-        let source = match asks_holder(self.leads(now_ms), held, attempt) {
+        let source = match requests_from_holder(self.leads(now_ms), held, attempt) {
             true => holder,
             false => self.news_source(attempt).unwrap_or(holder),
         };
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -32,15 +32,15 @@
 use crate::coordination::leader_contact::LeaderContact;
 use crate::coordination::outlier::OutlierTable;
 use crate::coordination::plain_choice::PlainHold;
-use crate::coordination::quarantine_desk::QuarantineDesk;
+use crate::coordination::quarantine_desk::QuarantineState;
 use crate::coordination::raft_message::HEARTBEAT_MS;
 use crate::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
 use crate::coordination::rollout_desk::RolloutDesk;
-use crate::coordination::silence_desk::SilenceDesk;
+use crate::coordination::silence_desk::SilenceState;
 use crate::coordination::upstream_choice::PrefixMemory;
 use crate::coordination::upstream_load::{LoadReports, SharedLoads, UpstreamLoad};
 use crate::coordination::vm_roster::{RosterCopy, RosterRow};
-use crate::coordination::zone_desk::ZoneDesk;
+use crate::coordination::zone_desk::ZoneState;
 use crate::protocol::vm_wire::{VmId, VmMessage};
 use crate::protocol::wire_adapter::WireAdapter;
 use crate::state::document_change::DocumentChange;
@@ -166,15 +166,15 @@
     /// How sends went, here and elsewhere.
     pub health: RefCell<HealthDesk>,
     /// Zones that are emptied, and cold upstreams.
-    pub zones: RefCell<ZoneDesk>,
+    pub zones: RefCell<ZoneState>,
     /// Orders of operators that a leader elsewhere was asked to take.
     pub orders: RefCell<OrderDesk>,
     /// Roll-outs.
     pub rollouts: RefCell<RolloutDesk>,
     /// Requests that end upstreams.
-    pub quarantine: RefCell<QuarantineDesk>,
+    pub quarantine: RefCell<QuarantineState>,
     /// Upstreams that are silent.
-    pub silence: RefCell<SilenceDesk>,
+    pub silence: RefCell<SilenceState>,
     /// Notified when others are silent than before.
     pub silence_changed: Notify,
     /// Repeats, by service.
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use super::vm_node::VmNode;
-use crate::coordination::crash_outbox::{CrashReport, SeenCrash};
+use crate::coordination::crash_outbox::{CrashReport, ObservedCrash};
 use crate::coordination::vm_roster::overloaded_renew_ms;
 use crate::protocol::vm_wire::VmDatagram;
 use crate::state::fleet_record::FleetCommand;
@@ -17,17 +17,17 @@
 
 impl VmNode {
     /// An upstream ended under a request. The leader hears it at once, as fast as it can take renewals.
-    pub(super) fn note_ended_under(self: &Rc<Self>, seen: SeenCrash) {
+    pub(super) fn note_ended_under(self: &Rc<Self>, seen: ObservedCrash) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
-        self.renew_after(desk.note_ended(seen, pause_ms, now_ms));
+        self.renew_after(desk.note_crash(seen, pause_ms, now_ms));
     }
 
     /// A request ran to its end and its upstream lives: likewise, where that is asked for.
     pub(super) fn note_ran_well(self: &Rc<Self>, mark: RequestMark) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
-        self.renew_after(desk.note_well(mark, pause_ms, now_ms));
+        self.renew_after(desk.note_completed(mark, pause_ms, now_ms));
     }
 
     fn renewal_pause_ms(&self) -> u64 {
@@ -52,7 +52,7 @@
         recorded: &QuarantineTable,
         now_ms: u64,
     ) {
-        self.quarantine.borrow_mut().hear(term, report, recorded, now_ms);
+        self.quarantine.borrow_mut().count_report(term, report, recorded, now_ms);
     }
 
     /// The same for what this VM saw itself while it leads; and takes what is recorded.
@@ -60,7 +60,7 @@
         let news = {
             let mut desk = self.quarantine.borrow_mut();
             let own = desk.take_report(now_ms);
-            desk.hear(term, &own, recorded, now_ms);
+            desk.count_report(term, &own, recorded, now_ms);
             desk.confirm(term, own.last());
             recorded.news(desk.changes())
         };
@@ -74,7 +74,12 @@
             Some(keeper) if keeper.may_vouch(now_ms) => {
                 let recorded = &keeper.record.quarantine;
                 let vms = keeper.roster.rows().len();
-                self.quarantine.borrow_mut().wanted(keeper.term(), recorded, vms, now_ms)
+                self.quarantine.borrow_mut().commands_to_propose(
+                    keeper.term(),
+                    recorded,
+                    vms,
+                    now_ms,
+                )
             }
             _ => return,
         };
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use wingshed_lib::coordination::admission::{admission_bound, AdmissionRule, FleetLoad};
-use wingshed_lib::coordination::directory::{addresses, AddressQuestion};
+use wingshed_lib::coordination::directory::{addresses, AddressRequest};
 use wingshed_lib::coordination::home::{AdmitRefusal, HomeTable};
 use wingshed_lib::coordination::kv_move::{choose_move, MoveChoice};
-use wingshed_lib::coordination::leaving::{LeavingMark, LeavingTable};
+use wingshed_lib::coordination::leaving::{LeavingIncarnation, LeavingTable};
 use wingshed_lib::coordination::load_spread::{rows_in_turn, LoadRow, HINTS_GIVEN};
 use wingshed_lib::coordination::outlier::{OutlierTable, FAILURES_IN_A_ROW, FIRST_ASIDE_MS};
 use wingshed_lib::coordination::placement::{EngineHint, FleetView};
@@ -14,7 +14,7 @@
 use wingshed_lib::coordination::relay::{PieceOrder, PieceStep};
 use wingshed_lib::coordination::retry::{may_retry, RetryBudget};
 use wingshed_lib::coordination::router_lease::{
-    renew_with, RouterLease, LEADER_SILENT_MS, LEASE_MS,
+    renewal_targets, RouterLease, LEADER_TIMEOUT_MS, LEASE_MS,
 };
 use wingshed_lib::coordination::session_watch::{SessionWatch, LAPSE_MS};
 use wingshed_lib::coordination::workspace_limit::{LimitRefusal, LimitTable};
@@ -294,16 +294,16 @@
 #[test]
 fn leaving_is_sticky_for_a_life_and_ends_with_a_new_one() {
     let upstream = UpstreamKey(1);
-    let mark = |life| LeavingMark { upstream, incarnation: Incarnation(life) };
+    let mark = |life| LeavingIncarnation { upstream, incarnation: Incarnation(life) };
     let mut table = LeavingTable::default();
-    table.note_life(upstream, Incarnation(3));
+    table.note_incarnation(upstream, Incarnation(3));
 
     assert!(table.note_leaving(mark(3)), "news");
     assert!(!table.note_leaving(mark(3)), "told twice");
     assert!(!table.note_leaving(mark(2)), "an old list");
-    table.note_life(upstream, Incarnation(2));
+    table.note_incarnation(upstream, Incarnation(2));
     assert!(table.is_leaving(upstream), "a late report of an earlier life opens nothing");
-    table.note_life(upstream, Incarnation(4));
+    table.note_incarnation(upstream, Incarnation(4));
     assert!(!table.is_leaving(upstream));
     assert!(!table.note_leaving(mark(3)), "a late mark of the earlier life closes nothing");
     assert!(!table.is_leaving(upstream));
@@ -330,12 +330,12 @@
 fn a_router_whose_leader_is_silent_renews_with_every_keeper() {
     let keepers = || [1, 2, 3].into_iter();
 
-    let heard = renew_with(2, keepers(), 1000, 1000 + LEADER_SILENT_MS);
-    let silent = renew_with(2, keepers(), 1000, 1001 + LEADER_SILENT_MS);
+    let heard = renewal_targets(2, keepers(), 1000, 1000 + LEADER_TIMEOUT_MS);
+    let silent = renewal_targets(2, keepers(), 1000, 1001 + LEADER_TIMEOUT_MS);
 
     assert_eq!(heard, [2]);
     assert_eq!(silent, [1, 2, 3]);
-    const { assert!(LEADER_SILENT_MS < LEASE_MS / 4, "several leaders may die within one lease") };
+    const { assert!(LEADER_TIMEOUT_MS < LEASE_MS / 4, "several leaders may die within one lease") };
 }
 
 #[test]
@@ -448,7 +448,7 @@
 
     for chat in 0..200 {
         let chat = ChatKey(chat * 7919);
-        let question = AddressQuestion { chat: Some(chat), zone: "a", spread: chat.0, hints: &[] };
+        let question = AddressRequest { chat: Some(chat), zone: "a", spread: chat.0, hints: &[] };
         let answer = addresses(&roster, Some(&view), &question);
         let home = roster.routers[&view.chat_home(chat).unwrap()].address;
         assert!(!answer.addresses.contains(&leaving));
@@ -466,7 +466,8 @@
         largest: u64::MAX,
         lightest: lightest.clone(),
     };
-    let mark = LeavingMark { upstream: UpstreamKey(u64::MAX), incarnation: Incarnation(u64::MAX) };
+    let mark =
+        LeavingIncarnation { upstream: UpstreamKey(u64::MAX), incarnation: Incarnation(u64::MAX) };
     let mut seen = std::collections::BTreeSet::new();
 
     for turn in 0..20 {
--- a/lib/tests/test_document_news.rs
+++ b/lib/tests/test_document_news.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::leader_contact::{
-    LeaderContact, ASK_AGAIN_MS, ASK_FIRST_MS, DOCUMENT_WAIT_MS,
+    LeaderContact, DOCUMENT_WAIT_MS, REQUEST_AGAIN_MS, REQUEST_FIRST_MS,
 };
 use wingshed_lib::state::packed_text::PackedText;
 
@@ -55,19 +55,28 @@
     let mut serving = LeaderContact::default();
     serving.note_applied(3);
 
-    assert!(fresh.wants_document(4, 1000), "it can't serve without one");
-    assert!(!fresh.wants_document(4, 1000 + ASK_FIRST_MS - 1), "the answer is on its way");
-    assert!(fresh.wants_document(4, 1000 + ASK_FIRST_MS), "or lost, or nobody knew it yet");
+    assert!(fresh.should_request_document(4, 1000), "it can't serve without one");
+    assert!(
+        !fresh.should_request_document(4, 1000 + REQUEST_FIRST_MS - 1),
+        "the answer is on its way"
+    );
+    assert!(
+        fresh.should_request_document(4, 1000 + REQUEST_FIRST_MS),
+        "or lost, or nobody knew it yet"
+    );
 
-    assert!(!serving.wants_document(3, 1000), "nothing is newer");
-    assert!(!serving.wants_document(4, 1000), "it is being told");
-    assert!(!serving.wants_document(5, 1000 + DOCUMENT_WAIT_MS - 1));
-    assert!(serving.wants_document(5, 1000 + DOCUMENT_WAIT_MS));
-    assert!(!serving.wants_document(5, 1000 + DOCUMENT_WAIT_MS + ASK_AGAIN_MS - 1));
-    assert!(serving.wants_document(5, 1000 + DOCUMENT_WAIT_MS + ASK_AGAIN_MS));
+    assert!(!serving.should_request_document(3, 1000), "nothing is newer");
+    assert!(!serving.should_request_document(4, 1000), "it is being told");
+    assert!(!serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS - 1));
+    assert!(serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS));
+    assert!(!serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS + REQUEST_AGAIN_MS - 1));
+    assert!(serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS + REQUEST_AGAIN_MS));
     serving.note_applied(5);
-    assert!(!serving.wants_document(5, 1000 + 8 * DOCUMENT_WAIT_MS));
-    assert!(!serving.wants_document(6, 1000 + 9 * DOCUMENT_WAIT_MS), "each one is given its time");
+    assert!(!serving.should_request_document(5, 1000 + 8 * DOCUMENT_WAIT_MS));
+    assert!(
+        !serving.should_request_document(6, 1000 + 9 * DOCUMENT_WAIT_MS),
+        "each one is given its time"
+    );
 }
 
 proptest! {
--- a/lib/tests/test_explaining.rs
+++ b/lib/tests/test_explaining.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use wingshed_lib::coordination::line_budget::{
-    LineBudget, LineVerdict, LINES_A_PLACE, LINES_IN_ALL,
+    LineBudget, LineVerdict, LINES_IN_TOTAL, LINES_PER_PLACE,
 };
 use wingshed_lib::coordination::log_story::{
     read_log, request_story, span_story, LogLine, StoryReason,
@@ -24,7 +24,7 @@
     let next = budget.take("silent", 1000);
 
     let written = |verdict: &LineVerdict| matches!(verdict, LineVerdict::Write { .. });
-    assert_eq!(count(&many, written), LINES_A_PLACE as usize);
+    assert_eq!(count(&many, written), LINES_PER_PLACE as usize);
     assert_eq!(count(&many, |verdict| *verdict == LineVerdict::Fold), 30);
     assert_eq!(other, LineVerdict::Write { folded: 0, dropped: 0 }, "another cause is told");
     assert_eq!(next, LineVerdict::Write { folded: 30, dropped: 0 });
@@ -33,15 +33,15 @@
 #[test]
 fn a_process_never_writes_more_than_its_bound() {
     let mut budget = LineBudget::default();
-    let places = 0..LINES_IN_ALL * 3;
+    let places = 0..LINES_IN_TOTAL * 3;
     let verdicts: Vec<LineVerdict> = places.map(|place| budget.take(place, 999)).collect();
     budget.note_lost(1);
 
     let next = budget.take(0, 1000);
 
     let written = |verdict: &LineVerdict| matches!(verdict, LineVerdict::Write { .. });
-    assert_eq!(count(&verdicts, written), LINES_IN_ALL as usize);
-    let dropped = LINES_IN_ALL * 2 + 1;
+    assert_eq!(count(&verdicts, written), LINES_IN_TOTAL as usize);
+    let dropped = LINES_IN_TOTAL * 2 + 1;
     assert_eq!(next, LineVerdict::Write { folded: 0, dropped });
 }
 
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -5,13 +5,13 @@
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::list_reader::{
-    list_action, reader_delay_ms, reader_order, whom_to_ask, ListAction, ListCost, ListStanding,
+    list_action, reader_delay_ms, reader_order, request_targets, ListAction, ListCost, ListStatus,
     NO_LIST_MS, PAGES_AT_ONCE,
 };
 use wingshed_lib::coordination::upstream_load::{place_loads, LoadNews, LoadReports, UpstreamLoad};
 use wingshed_lib::coordination::vm_roster::{
-    addresses_ttl_s, seek_pause_ms, RosterCopy, RosterMark, RosterRow, VmRoster, RENEW_MS,
-    ROW_KEEP_MS,
+    addresses_ttl_s, leader_search_pause_ms, RosterCopy, RosterRevision, RosterRow, VmRoster,
+    RENEW_MS, ROW_KEEP_MS,
 };
 use wingshed_lib::state::document_change::DocumentChange;
 use wingshed_lib::state::ids::UpstreamKey;
@@ -211,7 +211,7 @@
     for ((calls_per_s, pages), pauses) in cases {
         let cost = ListCost { calls_per_s, pages };
         let leader_ms = cost.leader_pause_ms(3000, 25 * pages as u64);
-        let told = [leader_ms, cost.alone_pause_ms(0), cost.alone_pause_ms(40)];
+        let told = [leader_ms, cost.leaderless_pause_ms(0), cost.leaderless_pause_ms(40)];
         assert_eq!(told, pauses, "{cost:?}");
         // Where none of 300 VMs reaches another, they leave each other room in the end.
         let all_per_s = 300.0 * pages as f64 * 1000.0 / pauses[2] as f64;
@@ -221,14 +221,14 @@
     let leader = [PAGES_AT_ONCE - 1, PAGES_AT_ONCE].map(|page| cost.leader_page_ms(page));
     assert_eq!(leader, [0, 28]);
     let alone = [(1, 0), (PAGES_AT_ONCE, 0), (1, 1), (1, 3), (0, 3)];
-    let alone = alone.map(|(page, refusals)| cost.alone_page_ms(page, refusals));
+    let alone = alone.map(|(page, refusals)| cost.leaderless_page_ms(page, refusals));
     assert_eq!(alone, [0, 100, 200, 800, 0]);
 }
 
 #[test]
 fn a_vm_asks_and_reads_only_when_no_leader_gives_it_a_list() {
     const STALE_MS: u64 = 1500;
-    let standing = |first_heard_ms, news_ms, has_list| ListStanding {
+    let standing = |first_heard_ms, news_ms, has_list| ListStatus {
         first_heard_ms,
         news_ms,
         stale_ms: STALE_MS,
@@ -271,7 +271,7 @@
     for now_ms in (1000 + STALE_MS..=1000 + STALE_MS + until_ms).step_by(50) {
         for (rank, id) in order.iter().enumerate() {
             let at = (*id - 1) as usize;
-            let standing = ListStanding {
+            let standing = ListStatus {
                 first_heard_ms: Some(500),
                 news_ms: news_ms[at],
                 stale_ms: STALE_MS,
@@ -285,7 +285,8 @@
                 }
                 ListAction::Ask => {
                     let round = ((now_ms - 3000) / 250) as usize;
-                    let asked = whom_to_ask(&order, *id, round, (now_ms / 50) as usize * 31 + at);
+                    let asked =
+                        request_targets(&order, *id, round, (now_ms / 50) as usize * 31 + at);
                     let reached = asked.iter().filter(|other| **other % sides == id % sides);
                     let best = reached.map(|other| news_ms[(*other - 1) as usize]).max();
                     news_ms[at] = news_ms[at].max(best.unwrap_or(0));
@@ -320,7 +321,11 @@
     let cases =
         [(0, 50, 2.0), (10, 50, 2.0), (92, 50, 5.0), (300, 150, 5.0), (1000, RENEW_MS, 5.0)];
     for (vms, seek_ms, ttl_s) in cases {
-        assert_eq!((seek_pause_ms(vms), addresses_ttl_s(vms)), (seek_ms, ttl_s), "{vms} VMs");
+        assert_eq!(
+            (leader_search_pause_ms(vms), addresses_ttl_s(vms)),
+            (seek_ms, ttl_s),
+            "{vms} VMs"
+        );
     }
 }
 
@@ -332,8 +337,8 @@
     assert_eq!(order, shuffled);
     assert_eq!(order.len(), 5, "each once: {order:?}");
     assert!(order[..2].contains(&4) && order[..2].contains(&9), "{order:?}");
-    assert!(whom_to_ask(&order, order[0], 0, 0).iter().all(|id| *id != order[0]));
-    assert!(whom_to_ask(&[4], 4, 0, 0).is_empty(), "nobody else is known");
+    assert!(request_targets(&order, order[0], 0, 0).iter().all(|id| *id != order[0]));
+    assert!(request_targets(&[4], 4, 0, 0).is_empty(), "nobody else is known");
 }
 
 #[test]
@@ -583,7 +588,7 @@
         }
         copy.take(roster.news(3, copy.mark));
         prop_assert_eq!(copy.rows, roster.rows());
-        prop_assert!(copy.mark != RosterMark::default() || roster.rows().is_empty());
+        prop_assert!(copy.mark != RosterRevision::default() || roster.rows().is_empty());
     }
 
     #[test]
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -9,14 +9,16 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use testutils::engines::{candidate, RULES};
-use wingshed_lib::coordination::news_source::{asks_holder, choose_source, NewsAsker};
+use wingshed_lib::coordination::news_source::{
+    choose_source, requests_from_holder, UpdateRequester,
+};
 use wingshed_lib::coordination::upstream_candidate::{CandidateSet, UpstreamCandidate};
 use wingshed_lib::coordination::upstream_choice::{
     choose_engine, EngineRules, PrefixMemory, ROOT_HOLDERS_REPORTED,
 };
 use wingshed_lib::coordination::upstream_load::{LoadNews, SharedLoads, UpstreamLoad};
 use wingshed_lib::coordination::vm_roster::{
-    loads_shared_ms, RosterCopy, RosterMark, RosterRow, VmRoster, RENEW_MS, ROW_KEEP_MS,
+    loads_shared_ms, RosterCopy, RosterRevision, RosterRow, VmRoster, RENEW_MS, ROW_KEEP_MS,
 };
 use wingshed_lib::protocol::vm_wire::encode;
 use wingshed_lib::state::ids::UpstreamKey;
@@ -154,8 +156,8 @@
     }
 }
 
-fn asker(row: &RosterRow) -> NewsAsker {
-    NewsAsker { id: row.id, zone: row.zone }
+fn asker(row: &RosterRow) -> UpdateRequester {
+    UpdateRequester { id: row.id, zone: row.zone }
 }
 
 /// Copies of a whole state that cross a zone's border when all VMs but the keepers ask for it.
@@ -192,17 +194,17 @@
 #[test]
 fn who_told_of_a_newer_list_is_asked_by_a_leader_and_when_a_keeper_has_not_answered() {
     let (leads, follows, held, none) = (true, false, true, false);
-    assert!(asks_holder(leads, held, 0));
-    assert!(!asks_holder(follows, held, 0));
-    assert!(asks_holder(follows, held, 1));
-    assert!(!asks_holder(follows, none, 1), "all ask, the leader can't answer them");
+    assert!(requests_from_holder(leads, held, 0));
+    assert!(!requests_from_holder(follows, held, 0));
+    assert!(requests_from_holder(follows, held, 1));
+    assert!(!requests_from_holder(follows, none, 1), "all ask, the leader can't answer them");
 }
 
 /// The rows, and the VMs gone, that one VM is told when a third of all are lost at once.
 fn told_after_a_loss(vms: u32) -> (usize, usize) {
     let mut roster = roster_of(vms, 0);
     let mut copy = RosterCopy::default();
-    copy.take(roster.news(1, RosterMark::default()));
+    copy.take(roster.news(1, RosterRevision::default()));
     let living = |id: &u32| id % 3 != 0;
     (0..vms).filter(living).for_each(|id| roster.note(vm(id), None, Vec::new(), ROW_KEEP_MS));
 
@@ -224,7 +226,7 @@
 #[test]
 fn a_vm_that_missed_a_loss_is_told_all() {
     let mut roster = roster_of(10, 0);
-    let missed = roster.news(1, RosterMark::default()).mark;
+    let missed = roster.news(1, RosterRevision::default()).mark;
     roster.note(vm(1), None, Vec::new(), ROW_KEEP_MS);
     roster.expire(ROW_KEEP_MS);
     roster.note(vm(1), None, Vec::new(), 10 * ROW_KEEP_MS);
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -2,10 +2,11 @@
 //! for stands at the head of `platform/tests/test_quarantine.rs`.
 
 use wingshed_lib::coordination::crash_outbox::{
-    CrashNote, CrashOutbox, CrashReport, SeenCrash, CRASHES_PER_RENEWAL, CRASH_KEEP_MS,
+    CrashNote, CrashOutbox, CrashReport, ObservedCrash, CRASHES_PER_RENEWAL, CRASH_KEEP_MS,
 };
 use wingshed_lib::coordination::crash_table::{
-    held_ms, settle_ms, CrashTable, COUNT_KEEP_MS, FIRST_HELD_MS, MOST_ENDED, MOST_HELD,
+    quarantine_ms, settle_ms, CrashTable, COUNT_KEEP_MS, FIRST_QUARANTINE_MS, MAX_QUARANTINED,
+    QUARANTINE_CRASHES,
 };
 use wingshed_lib::state::fleet_record::{FleetCommand, FleetRecord};
 use wingshed_lib::state::ids::{RequestMark, UpstreamKey};
@@ -39,7 +40,7 @@
     }
 
     fn look(&mut self, now_ms: u64) {
-        for command in self.table.wanted(self.term, &self.recorded, VMS, now_ms) {
+        for command in self.table.commands_to_propose(self.term, &self.recorded, VMS, now_ms) {
             self.recorded.take(command);
             self.commands += 1;
         }
@@ -72,8 +73,8 @@
     CrashReport { ended: upstreams.iter().enumerate().map(note).collect(), well: Vec::new() }
 }
 
-fn seen(mark: RequestMark, upstream: u64) -> SeenCrash {
-    SeenCrash { mark, upstream: UpstreamKey(upstream), watched: false, ran_ms: 100 }
+fn seen(mark: RequestMark, upstream: u64) -> ObservedCrash {
+    ObservedCrash { mark, upstream: UpstreamKey(upstream), watched: false, ran_ms: 100 }
 }
 
 fn well(mark: RequestMark) -> CrashReport {
@@ -128,7 +129,7 @@
 fn where_very_many_requests_seem_at_fault_the_upstreams_are() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
 
-    for mark in 0..4 * MOST_HELD as u64 {
+    for mark in 0..4 * MAX_QUARANTINED as u64 {
         leader.ended(RequestMark(mark), &[3 * mark, 3 * mark + 1], START_MS);
         leader.ended(RequestMark(mark), &[3 * mark + 2], START_MS + 10);
     }
@@ -136,7 +137,7 @@
         leader.look(START_MS + step * 25);
     }
 
-    assert_eq!(leader.recorded.held(), MOST_HELD);
+    assert_eq!(leader.recorded.held(), MAX_QUARANTINED);
 }
 
 #[test]
@@ -144,15 +145,19 @@
     let mut table = CrashTable::default();
     let recorded = QuarantineTable::default();
     table.take(1, &ended(POISON, &[1, 2], false), &recorded, START_MS);
-    assert_eq!(table.wanted(1, &recorded, VMS, START_MS).len(), 1, "watch it");
-    assert_eq!(table.wanted(1, &recorded, VMS, START_MS + 25).len(), 0, "is under way");
+    assert_eq!(table.commands_to_propose(1, &recorded, VMS, START_MS).len(), 1, "watch it");
+    assert_eq!(
+        table.commands_to_propose(1, &recorded, VMS, START_MS + 25).len(),
+        0,
+        "is under way"
+    );
 
     table.take(1, &ended(POISON, &[3], true), &recorded, START_MS + 50);
-    let holds = table.wanted(1, &recorded, VMS, START_MS + 50 + settle_ms(VMS));
+    let holds = table.commands_to_propose(1, &recorded, VMS, START_MS + 50 + settle_ms(VMS));
     assert!(matches!(&holds[..], [QuarantineCommand::Set(row)] if row.held), "{holds:?}");
 
     assert_eq!(
-        table.wanted(1, &recorded, VMS, START_MS + 2000),
+        table.commands_to_propose(1, &recorded, VMS, START_MS + 2000),
         holds,
         "again, until it is recorded"
     );
@@ -177,7 +182,7 @@
     let mut outboxes = [CrashOutbox::default(), CrashOutbox::default()];
     let mut first = Leader::of_term(1, QuarantineTable::default());
     for (at, outbox) in outboxes.iter_mut().enumerate() {
-        outbox.note_ended(seen(POISON, at as u64), START_MS);
+        outbox.note_crash(seen(POISON, at as u64), START_MS);
         let report = outbox.take(START_MS);
         first.hear(&report, START_MS);
         outbox.confirm(1, 0);
@@ -200,7 +205,7 @@
 fn crashes_are_told_until_they_are_heard_some_at_a_time_and_for_a_bounded_while() {
     let mut outbox = CrashOutbox::default();
     for at in 0..CRASHES_PER_RENEWAL as u64 + 5 {
-        outbox.note_ended(seen(RequestMark(at), 1), START_MS);
+        outbox.note_crash(seen(RequestMark(at), 1), START_MS);
     }
     outbox.confirm(1, 0);
 
@@ -217,7 +222,7 @@
 fn a_hold_ends_and_one_more_upstream_begins_a_longer_one() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
     leader.prove(POISON, START_MS);
-    let let_go_ms = START_MS + settle_ms(VMS) + FIRST_HELD_MS;
+    let let_go_ms = START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS;
     leader.look(let_go_ms - 1);
     assert!(leader.recorded.is_held(POISON));
 
@@ -226,10 +231,13 @@
     leader.ended(POISON, &[4], let_go_ms + 100);
 
     assert!(leader.recorded.is_held(POISON), "the first upstream after it");
-    leader.look(let_go_ms + 100 + FIRST_HELD_MS);
+    leader.look(let_go_ms + 100 + FIRST_QUARANTINE_MS);
     assert!(leader.recorded.is_held(POISON), "for longer");
-    assert!(held_ms(1) + held_ms(2) + held_ms(3) > 12 * 3_600_000, "three more in half a day");
-    assert!(CRASH_KEEP_MS < held_ms(1), "what VMs tell again is older than any hold's end");
+    assert!(
+        quarantine_ms(1) + quarantine_ms(2) + quarantine_ms(3) > 12 * 3_600_000,
+        "three more in half a day"
+    );
+    assert!(CRASH_KEEP_MS < quarantine_ms(1), "what VMs tell again is older than any hold's end");
 }
 
 #[test]
@@ -239,10 +247,10 @@
 
     let mut second = Leader::of_term(2, first.recorded);
     second.look(START_MS + 5000);
-    second.look(START_MS + settle_ms(VMS) + FIRST_HELD_MS);
+    second.look(START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS);
     assert!(second.recorded.is_held(POISON));
 
-    second.look(START_MS + 5000 + FIRST_HELD_MS);
+    second.look(START_MS + 5000 + FIRST_QUARANTINE_MS);
     assert!(!second.recorded.is_held(POISON));
 }
 
@@ -277,7 +285,7 @@
 
 #[test]
 fn what_is_held_outlives_its_leader_in_the_log_and_in_an_image() {
-    let ended = (1..=MOST_ENDED as u64).map(UpstreamKey).collect();
+    let ended = (1..=QUARANTINE_CRASHES as u64).map(UpstreamKey).collect();
     let row = QuarantineRow { mark: POISON, ended, held: true, times: 1 };
     let command = FleetCommand::Quarantine(QuarantineCommand::Set(row)).encode();
     let mut record = FleetRecord::default();
--- a/lib/tests/test_vm_decisions.rs
+++ b/lib/tests/test_vm_decisions.rs
@@ -11,7 +11,7 @@
     AttemptCount, NextStep, SendOutcome, MOST_UNREACHED,
 };
 use wingshed_lib::coordination::event_splice::EventSplice;
-use wingshed_lib::coordination::group_plan::voters_wanted;
+use wingshed_lib::coordination::group_plan::required_voters;
 use wingshed_lib::coordination::leader_contact::{
     LeaderContact, APPLY_MARGIN_MS, REVOKE_MARGIN_MS,
 };
@@ -518,7 +518,7 @@
 #[test]
 fn groups_are_odd_and_survive_what_is_to_be_borne() {
     for (losses, voters) in [(0, 3), (1, 3), (2, 5), (3, 7)] {
-        assert_eq!(voters_wanted(losses), voters);
+        assert_eq!(required_voters(losses), voters);
     }
 }
 
