--- a/lib/src/coordination/group_plan.rs
+++ b/lib/src/coordination/group_plan.rs
@@ -1,10 +1,10 @@
-//! Which change of membership a leader should make next, if any.
+//! The leader's choice of the next membership change of the keepers' group.
 //!
-//! The group holds as many voters as survive the losses that a deployment bears.
-//! A wiped disk is a new member under its old address: its earlier life is removed
-//! first, so that it never counts twice. A voter that stays silent is replaced only
-//! while a caught-up successor is there; until then it stays, because removing it
-//! would make the group smaller and not safer. See `docs/design/platform.md`.
+//! The group has enough voters to survive the number of losses that a deployment tolerates.
+//! A keeper whose disk was wiped is a new member at its old address: its earlier incarnation
+//! is removed first, so that it never counts twice. A voter that stops answering is replaced
+//! only once a caught-up learner can succeed it; until then it stays, because removing it
+//! would make the group smaller but not safer. See `docs/design/platform.md`.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,22 +13,25 @@
 use super::raft_message::{MemberChange, ELECTION_MS};
 use crate::state::ids::{Incarnation, KeeperId};
 
-/// A voter that was not heard for this long is replaced when there is a successor.
+/// The time without an answer after which a voter is replaced if there is a successor, in
+/// milliseconds.
 ///
-/// Longer than a restart of a process, shorter than the platform's `catchUpS` of 4 s.
-pub const SILENT_VOTER_MS: u64 = 1500;
-/// A learner that was not heard for this long is dropped.
-pub const SILENT_LEARNER_MS: u64 = 10_000;
+/// It is longer than the restart of a process, and shorter than the platform's `catchUpS` of 4 s.
+pub const VOTER_TIMEOUT_MS: u64 = 1500;
+/// The time without an answer after which a learner is removed, in milliseconds.
+pub const LEARNER_TIMEOUT_MS: u64 = 10_000;
 
-/// What a leader knows of VMs with a disk: the life of the disk and the zone.
+/// The VMs with a disk that report to the leader, with the incarnation of the disk and the hash of
+/// the zone's name.
 pub type KnownKeepers = BTreeMap<KeeperId, (Incarnation, u64)>;
 
-/// The voters that a group should have.
-pub fn voters_wanted(tolerated_losses: u32) -> usize {
+/// Returns how many voters a group needs to tolerate a number of lost keepers.
+pub fn required_voters(tolerated_losses: u32) -> usize {
     (2 * tolerated_losses as usize + 1).max(3)
 }
 
-/// The next change, given who was heard lately.
+/// Returns the membership change that the leader should propose next, if any. `own` is the leader,
+/// `known` the keepers that report to it, and `wanted` the number of voters that the group needs.
 pub fn next_change(
     core: &RaftCore,
     own: KeeperId,
@@ -43,14 +46,15 @@
     };
     let voters = || members.iter().filter(|(_, member)| member.votes).map(|(id, _)| *id);
 
-    let other_life =
-        |id: &KeeperId| known.get(id).is_some_and(|(life, _)| *life != members[id].incarnation);
-    if let Some(wiped) = voters().find(|id| *id != own && other_life(id)) {
+    let other_incarnation = |id: &KeeperId| {
+        known.get(id).is_some_and(|(incarnation, _)| *incarnation != members[id].incarnation)
+    };
+    if let Some(wiped) = voters().find(|id| *id != own && other_incarnation(id)) {
         return Some(MemberChange::Remove(wiped));
     }
 
     let count = voters().count();
-    let replaceable = voters().find(|id| silent(*id, SILENT_VOTER_MS));
+    let replaceable = voters().find(|id| silent(*id, VOTER_TIMEOUT_MS));
     if count < wanted || (count == wanted && replaceable.is_some()) {
         let caught_up = |id: &KeeperId| {
             let matched = core.member_match(*id).unwrap_or(0);
@@ -59,11 +63,11 @@
         let learners = members.iter().filter(|(_, member)| !member.votes).map(|(id, _)| *id);
         let ready = learners.filter(|id| known.contains_key(id) && caught_up(id));
         let zone = |id: KeeperId| known.get(&id).map_or(0, |(_, zone)| *zone);
-        let crowd = |id: &KeeperId| {
-            let living = voters().filter(|other| !silent(*other, SILENT_VOTER_MS));
+        let voters_in_zone = |id: &KeeperId| {
+            let living = voters().filter(|other| !silent(*other, VOTER_TIMEOUT_MS));
             (living.filter(|other| zone(*other) == zone(*id)).count(), *id)
         };
-        if let Some(best) = ready.min_by_key(crowd) {
+        if let Some(best) = ready.min_by_key(voters_in_zone) {
             return Some(MemberChange::Promote(best));
         }
     }
@@ -74,15 +78,15 @@
     }
 
     let address = |id: KeeperId| SocketAddr::from((Ipv4Addr::from(id.0), peer_port));
-    let joins = known.iter().find(|(id, (life, _))| {
-        members.get(id).is_none_or(|member| !member.votes && member.incarnation != *life)
+    let joining = known.iter().find(|(id, (incarnation, _))| {
+        members.get(id).is_none_or(|member| !member.votes && member.incarnation != *incarnation)
     });
-    if let Some((id, (life, _))) = joins {
-        return Some(MemberChange::AddLearner(*id, *life, address(*id)));
+    if let Some((id, (incarnation, _))) = joining {
+        return Some(MemberChange::AddLearner(*id, *incarnation, address(*id)));
     }
     let mut learners = members.iter().filter(|(_, member)| !member.votes);
     let gone = learners.find(|(id, _)| {
-        !known.contains_key(id) && silent(**id, SILENT_LEARNER_MS) && count >= wanted
+        !known.contains_key(id) && silent(**id, LEARNER_TIMEOUT_MS) && count >= wanted
     });
     gone.map(|(id, _)| MemberChange::Remove(*id))
 }
--- a/lib/src/coordination/raft_election.rs
+++ b/lib/src/coordination/raft_election.rs
@@ -1,38 +1,41 @@
-//! The consensus: elections.
+//! Raft elections: timeouts, pre-votes, votes, and taking or giving up leadership.
 
 use super::raft::{FollowerProgress, RaftCore};
 use super::raft_message::{RaftBody, RaftOutput, RaftRole, ELECTION_MS};
 use crate::state::ids::KeeperId;
 use crate::state::log_store::{EntryPayload, HardState, LogEntry};
 
-/// The candidate's own and that of the voter.
-const SYNCS_A_VOTE: u64 = 2;
+/// Disk syncs that an election waits for: the candidate's own and the voter's.
+const SYNCS_PER_ELECTION: u64 = 2;
 
 impl RaftCore {
+    /// Sets the next election timeout.
     pub(super) fn reset_deadline(&mut self, now_ms: u64) {
         self.jitter ^= self.jitter << 13;
         self.jitter ^= self.jitter >> 7;
         self.jitter ^= self.jitter << 17;
-        if self.woken || self.wake_ms >= ELECTION_MS {
-            let patience_ms = ELECTION_MS + SYNCS_A_VOTE * self.sync_ms;
-            self.deadline_ms = now_ms + patience_ms + self.jitter % patience_ms;
+        if self.seen_leader || self.startup_timeout_ms >= ELECTION_MS {
+            let timeout_ms = ELECTION_MS + SYNCS_PER_ELECTION * self.sync_ms;
+            self.deadline_ms = now_ms + timeout_ms + self.jitter % timeout_ms;
             return;
         }
-        // Keepers that return together take turns by their place in the group: when one of three
-        // disks is lost, two that vote for themselves cost a whole round. No chance is added: with
-        // it two turns could fall on one tick.
+        // Keepers that restart together time out in the order of their ids: when one of three
+        // disks is lost, the other two lose a whole round if both vote for themselves. No random
+        // part is added, because two keepers could then time out in the same tick.
         let turn = self.voters().iter().position(|id| *id == self.id).unwrap_or(0) as u64;
-        let pause = (self.wake_ms << self.wakes.min(8)).min(ELECTION_MS);
-        self.wakes += 1;
+        let pause = (self.startup_timeout_ms << self.startup_attempts.min(8)).min(ELECTION_MS);
+        self.startup_attempts += 1;
         self.deadline_ms = now_ms + pause * (turn + 1);
     }
 
+    /// Enters a later term as a follower without a vote.
     pub(super) fn enter_term(&mut self, term: u64, now_ms: u64, output: &mut RaftOutput) {
         self.hard_state = HardState { term, voted_for: None };
         output.batch.hard_state = Some(self.hard_state);
         self.step_down(now_ms);
     }
 
+    /// Becomes a follower without a leader, in the same term.
     pub(super) fn step_down(&mut self, now_ms: u64) {
         if self.role == RaftRole::Leader {
             self.reset_deadline(now_ms);
@@ -43,14 +46,17 @@
         self.votes.clear();
     }
 
-    pub(super) fn follow(&mut self, leader: KeeperId, now_ms: u64) {
+    /// Becomes a follower of `leader`, from which a message arrived now.
+    pub(super) fn become_follower(&mut self, leader: KeeperId, now_ms: u64) {
         self.role = RaftRole::Follower;
         self.leader = Some(leader);
-        self.woken = true;
-        self.heard_ms = now_ms;
+        self.seen_leader = true;
+        self.last_contact_ms = now_ms;
         self.reset_deadline(now_ms);
     }
 
+    /// Starts a pre-vote (`pre`) or an election; `transfer` marks an election that the leader
+    /// requested.
     pub(super) fn campaign(
         &mut self,
         pre: bool,
@@ -70,7 +76,7 @@
             self.hard_state = HardState { term, voted_for: Some(self.id) };
             output.batch.hard_state = Some(self.hard_state);
         }
-        let (last_term, last_index) = self.last_place();
+        let (last_term, last_index) = self.last_position();
         for id in self.others().into_iter().filter(|id| self.votes_in_group(*id)) {
             let body = RaftBody::Vote { pre, transfer, last_index, last_term };
             self.send_at(id, term, body, output);
@@ -78,31 +84,33 @@
         self.check_election(now_ms, output);
     }
 
-    pub(super) fn answer_vote(
+    /// Answers a vote request whose sender has the log position `last_position` (term, index).
+    pub(super) fn handle_vote_request(
         &mut self,
         from: KeeperId,
         term: u64,
         pre: bool,
-        last_place: (u64, u64),
+        last_position: (u64, u64),
         now_ms: u64,
         output: &mut RaftOutput,
     ) {
         let fresh = term > self.term()
             || (term == self.term() && self.hard_state.voted_for.is_none_or(|id| id == from));
-        // Every keeper answers, whatever its own log says of the group: the candidate counts
-        // only members of the group that it knows, by their lives.
-        let granted = fresh && last_place >= self.last_place();
+        // Every keeper answers, even one that is no voter by its own log: the candidate counts
+        // only voters of its own membership, each by its incarnation.
+        let granted = fresh && last_position >= self.last_position();
         if granted && !pre {
             self.hard_state = HardState { term, voted_for: Some(from) };
             output.batch.hard_state = Some(self.hard_state);
             self.reset_deadline(now_ms);
         }
-        // A granted pre-vote is for the asker's coming term; a refusal gives our own.
+        // A granted reply carries the requested term; a refusal carries this keeper's term.
         let reply_term = if granted { term } else { self.term() };
         self.send_at(from, reply_term, RaftBody::VoteReply { pre, granted }, output);
     }
 
-    pub(super) fn count_vote(
+    /// Counts a granted vote if it belongs to the election under way.
+    pub(super) fn handle_vote_reply(
         &mut self,
         from: KeeperId,
         term: u64,
@@ -122,6 +130,7 @@
         }
     }
 
+    /// Moves on to the next stage of the election once a quorum has granted its vote.
     pub(super) fn check_election(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let counted = self.votes.keys().filter(|id| self.votes_in_group(**id)).count();
         if counted < self.quorum() {
@@ -129,18 +138,19 @@
         }
         match self.role {
             RaftRole::PreCandidate => self.campaign(false, false, now_ms, output),
-            RaftRole::Candidate => self.lead(now_ms, output),
+            RaftRole::Candidate => self.become_leader(now_ms, output),
             _ => {}
         }
     }
 
-    pub(super) fn lead(&mut self, now_ms: u64, output: &mut RaftOutput) {
+    /// Becomes leader and appends an empty entry, which commits the entries of earlier terms.
+    pub(super) fn become_leader(&mut self, now_ms: u64, output: &mut RaftOutput) {
         self.role = RaftRole::Leader;
         self.leader = Some(self.id);
-        self.woken = true;
+        self.seen_leader = true;
         self.transfer = None;
-        self.beat_ms = now_ms;
-        self.heard_ms = now_ms;
+        self.last_heartbeat_ms = now_ms;
+        self.last_contact_ms = now_ms;
         self.progress.clear();
         let next = self.last_index() + 1;
         for id in self.others() {
@@ -150,7 +160,7 @@
         self.term_start = next;
         let entry =
             LogEntry { index: next, term: self.term(), payload: EntryPayload::Command(Vec::new()) };
-        self.push_entry(entry, output);
+        self.append_entry(entry, output);
         for id in self.others() {
             self.send_append(id, now_ms, output);
         }
--- a/lib/src/coordination/raft_follower.rs
+++ b/lib/src/coordination/raft_follower.rs
@@ -1,4 +1,4 @@
-//! The consensus: what a follower takes from its leader.
+//! Raft followers: entries and snapshots that the leader sends.
 
 use super::raft::{IncomingSnapshot, RaftCore};
 use super::raft_message::{RaftBody, RaftOutput};
@@ -6,8 +6,9 @@
 use crate::state::log_store::{LogEntry, LogSnapshot};
 
 impl RaftCore {
-    /// Takes entries that fit; `Err` gives the index at which the leader should go on.
-    pub(super) fn take_entries(
+    /// Appends entries that continue this log and returns the last index known to match. `Err`
+    /// holds the index of the last entry that may match, after which the leader should continue.
+    pub(super) fn append_entries(
         &mut self,
         prev_index: u64,
         prev_term: u64,
@@ -16,20 +17,20 @@
     ) -> Result<u64, u64> {
         let last = prev_index + entries.len() as u64;
         if prev_index < self.snapshot.index {
-            // What the snapshot covers is committed, so it matches.
+            // Entries that the snapshot covers are committed, so they match.
             let skip = (self.snapshot.index - prev_index) as usize;
             let rest: Vec<LogEntry> = entries.into_iter().skip(skip).collect();
             if rest.is_empty() {
                 return Ok(last.min(self.snapshot.index));
             }
             let (index, term) = (self.snapshot.index, self.snapshot.term);
-            return self.take_entries(index, term, rest, output);
+            return self.append_entries(index, term, rest, output);
         }
         if prev_index > self.last_index() {
             return Err(self.last_index());
         }
         if self.term_at(prev_index) != Some(prev_term) {
-            return Err(self.before_term(prev_index));
+            return Err(self.last_before_term(prev_index));
         }
         for entry in entries {
             if self.term_at(entry.index) == Some(entry.term) {
@@ -38,13 +39,14 @@
             if entry.index <= self.last_index() {
                 self.truncate(entry.index, output);
             }
-            self.push_entry(entry, output);
+            self.append_entry(entry, output);
         }
         Ok(last)
     }
 
-    /// The last entry before the term that stands at `index`: skips a whole term at once.
-    pub(super) fn before_term(&self, index: u64) -> u64 {
+    /// Returns the last entry before the term of entry `index`, so that the leader skips a
+    /// conflicting term in one round trip.
+    pub(super) fn last_before_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut at = index;
         while at > self.snapshot.index && self.term_at(at) == term {
@@ -53,16 +55,19 @@
         at
     }
 
+    /// Removes the entries from `from` on, which conflict with the leader's log.
     pub(super) fn truncate(&mut self, from: u64, output: &mut RaftOutput) {
         self.entries.retain(|entry| entry.index < from);
         output.batch.entries.retain(|entry| entry.index < from);
         let earliest = output.batch.truncate_from.map_or(from, |other| other.min(from));
         output.batch.truncate_from = Some(earliest);
         self.synced = self.synced.min(from - 1);
-        self.read_membership();
+        self.reload_membership();
     }
 
-    pub(super) fn take_piece(
+    /// Adds a piece of a snapshot and installs the snapshot once it is complete. `place` holds
+    /// the piece's offset, the total length and the leader's send time.
+    pub(super) fn take_snapshot_piece(
         &mut self,
         from: KeeperId,
         head: LogSnapshot,
@@ -93,25 +98,28 @@
         self.reply(from, true, self.snapshot.index, sent_ms, 0, output);
     }
 
+    /// Replaces the log up to the snapshot's last entry by the snapshot.
     pub(super) fn install(&mut self, snapshot: LogSnapshot, output: &mut RaftOutput) {
-        // Entries that follow on the snapshot stay; anything else is not known to match.
+        // Entries after the snapshot stay if the log contains its last entry; otherwise they may
+        // conflict with the leader's log.
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             self.entries.retain(|entry| entry.index > snapshot.index);
         } else {
             self.entries.clear();
         }
         self.commit = snapshot.index;
-        self.handed_out = snapshot.index;
+        self.last_handed_out = snapshot.index;
         self.synced = self
             .synced
             .max(snapshot.index)
             .min(self.entries.last().map_or(snapshot.index, |entry| entry.index));
         self.snapshot = snapshot.clone();
-        self.read_membership();
+        self.reload_membership();
         output.batch.entries.retain(|entry| entry.index > snapshot.index);
         output.install = Some(snapshot);
     }
 
+    /// Queues a reply to an append or to a piece of a snapshot.
     pub(super) fn reply(
         &self,
         to: KeeperId,
--- a/lib/src/coordination/raft_leader.rs
+++ b/lib/src/coordination/raft_leader.rs
@@ -1,4 +1,4 @@
-//! The consensus: what a leader does.
+//! Raft leaders: replication, commits, leases, transfers and membership changes.
 
 use super::raft::{FollowerProgress, RaftCore};
 use super::raft_message::*;
@@ -6,52 +6,57 @@
 use crate::state::log_store::{EntryPayload, GroupMember, GroupMembership, LogEntry};
 
 impl RaftCore {
+    /// Sends heartbeats, and steps down when no quorum answers or a transfer timed out.
     pub(super) fn tick_leader(&mut self, now_ms: u64, output: &mut RaftOutput) {
-        let lost = self.lease_start_ms(now_ms).max(self.heard_ms) + 2 * ELECTION_MS <= now_ms;
+        let lost =
+            self.lease_start_ms(now_ms).max(self.last_contact_ms) + 2 * ELECTION_MS <= now_ms;
         if lost {
             self.step_down(now_ms);
             return;
         }
         if self.transfer.is_some_and(|(_, until)| now_ms >= until) {
-            // The target may still act on a late word to stand, which overrides the followers'
-            // protection of this leader's lease. So the lease must end with this leadership.
+            // A delayed `StandNow` may still make the target start an election, which followers
+            // grant in spite of this leader's lease. So this keeper must give up its lease.
             self.step_down(now_ms);
             return;
         }
-        if now_ms < self.beat_ms + HEARTBEAT_MS {
+        if now_ms < self.last_heartbeat_ms + HEARTBEAT_MS {
             return;
         }
-        self.beat_ms = now_ms;
+        self.last_heartbeat_ms = now_ms;
         for id in self.others() {
             self.send_append(id, now_ms, output);
         }
     }
 
-    /// The latest time at which a quorum, this keeper included, surely heard this leader.
+    /// Returns the start of the lease: the latest time such that a quorum, this keeper included,
+    /// has answered a message that this leader sent at that time or later.
     pub(super) fn lease_start_ms(&self, now_ms: u64) -> u64 {
-        let mut heard: Vec<u64> = Vec::new();
+        let mut acked_ms: Vec<u64> = Vec::new();
         for id in self.voters() {
-            heard.push(match id == self.id {
+            acked_ms.push(match id == self.id {
                 true => now_ms,
                 false => self.progress.get(&id).map_or(0, |progress| progress.acked_sent_ms),
             });
         }
-        heard.sort_unstable_by(|a, b| b.cmp(a));
-        heard.get(self.quorum() - 1).copied().unwrap_or(0)
+        acked_ms.sort_unstable_by(|a, b| b.cmp(a));
+        acked_ms.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
-    pub(super) fn push_entry(&mut self, entry: LogEntry, output: &mut RaftOutput) {
+    /// Appends an entry to the log and the output; a membership takes effect at once.
+    pub(super) fn append_entry(&mut self, entry: LogEntry, output: &mut RaftOutput) {
         if let EntryPayload::Membership(membership) = &entry.payload {
             let before = std::mem::replace(&mut self.membership, membership.clone());
             self.membership_index = entry.index;
-            self.renew_progress(&before, entry.index);
+            self.reset_changed_progress(&before, entry.index);
         }
         output.batch.entries.push(entry.clone());
         self.entries.push(entry);
     }
 
-    /// What an earlier life of a member held says nothing of its new one.
-    pub(super) fn renew_progress(&mut self, before: &GroupMembership, next: u64) {
+    /// Drops the progress of removed members and of members with a new incarnation, whose log may
+    /// lack what the earlier incarnation confirmed.
+    pub(super) fn reset_changed_progress(&mut self, before: &GroupMembership, next: u64) {
         let members = &self.membership.members;
         let same_life = |id: &KeeperId| {
             let (old, new) = (before.members.get(id), members.get(id));
@@ -64,16 +69,18 @@
         }
     }
 
+    /// Sends a member its next entries, a heartbeat, or the next piece of the snapshot.
     pub(super) fn send_append(&mut self, to: KeeperId, now_ms: u64, output: &mut RaftOutput) {
         let last_index = self.last_index();
         let progress = self.progress.entry(to).or_default();
         let next = progress.next.clamp(1, last_index + 1);
         if next <= self.snapshot.index {
-            self.send_piece(to, now_ms, output);
+            self.send_snapshot_piece(to, now_ms, output);
             return;
         }
         progress.snapshot_offset = None;
-        // Until an answer comes, heartbeats go on empty, so that a slow follower is not flooded.
+        // While entries are unanswered, heartbeats carry none, so that a slow follower is not
+        // flooded. After an election timeout they are sent again.
         let waited = progress.waiting_since.is_some_and(|since| now_ms < since + ELECTION_MS);
         let from = (next - self.snapshot.index - 1) as usize;
         let mut bytes = 0;
@@ -99,13 +106,19 @@
         self.send_at(to, self.term(), body, output);
     }
 
-    pub(super) fn send_piece(&mut self, to: KeeperId, now_ms: u64, output: &mut RaftOutput) {
+    /// Sends a member the next piece of the snapshot.
+    pub(super) fn send_snapshot_piece(
+        &mut self,
+        to: KeeperId,
+        now_ms: u64,
+        output: &mut RaftOutput,
+    ) {
         let total = self.snapshot.image.len();
         let progress = self.progress.entry(to).or_default();
         let offset = (progress.snapshot_offset.unwrap_or(0) as usize).min(total);
         progress.snapshot_offset = Some(offset as u64);
         progress.waiting_since = Some(now_ms);
-        let end = (offset + SNAPSHOT_PIECE).min(total);
+        let end = (offset + SNAPSHOT_PIECE_BYTES).min(total);
         let body = RaftBody::Piece {
             index: self.snapshot.index,
             last_term: self.snapshot.term,
@@ -118,7 +131,9 @@
         self.send_at(to, self.term(), body, output);
     }
 
-    pub(super) fn take_reply(
+    /// Updates a member's progress from its reply (matched, index, echoed send time, snapshot
+    /// offset) and sends it what follows.
+    pub(super) fn handle_append_reply(
         &mut self,
         from: KeeperId,
         reply: (bool, u64, u64, u64),
@@ -151,6 +166,7 @@
         self.push_transfer(output);
     }
 
+    /// Requests an election from the target of a transfer once it has the whole log.
     pub(super) fn push_transfer(&mut self, output: &mut RaftOutput) {
         let Some((target, _)) = self.transfer else { return };
         let caught_up = self.member_match(target) == Some(self.last_index());
@@ -159,18 +175,20 @@
         }
     }
 
+    /// Commits what a quorum of voters has on disk.
     pub(super) fn advance_commit(&mut self) {
         let voters = self.voters();
         let mut held: Vec<u64> =
             voters.iter().map(|id| self.member_match(*id).unwrap_or(0)).collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
         let quorum = held.get(self.quorum() - 1).copied().unwrap_or(0);
-        // Only entries of the own term are committed by counting (Raft, section 5.4.2).
+        // Only entries of the leader's own term are committed by counting (Raft, section 5.4.2).
         if quorum > self.commit && self.term_at(quorum) == Some(self.term()) {
             self.commit = quorum;
         }
     }
 
+    /// Returns the membership after a change, or why the change is refused.
     pub(super) fn changed_membership(
         &self,
         change: &MemberChange,
@@ -180,7 +198,8 @@
         match change {
             MemberChange::AddLearner(id, incarnation, address) => {
                 let known = next.members.get(id);
-                // A voter that lost its disk must be removed first, so that it never counts twice.
+                // A voter that lost its disk must be removed before it joins again, so that its
+                // lost entries and votes no longer count.
                 if known.is_some_and(|member| member.votes) {
                     return Err(RaftRefusal::NoSuchMember);
                 }
@@ -197,7 +216,7 @@
                 }
                 member.votes = true;
             }
-            // A removed leader could be the only one with the entry that removes it.
+            // A leader that removes itself could be the only member that has that entry.
             MemberChange::Remove(id) if *id == self.id => return Err(RaftRefusal::Leads),
             MemberChange::Remove(id) => {
                 if next.members.remove(id).is_none() {
@@ -228,6 +247,7 @@
     }
 }
 
+/// Estimates the size of an entry in a message, in bytes.
 fn payload_bytes(entry: &LogEntry) -> usize {
     match &entry.payload {
         EntryPayload::Command(bytes) => bytes.len() + 16,
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::coordination::leaving::LeavingMark;
+use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::load_spread::LoadRow;
 use crate::coordination::raft_message::RaftMessage;
 use crate::state::claim_table::{ClaimAnswer, ClaimReport, ClaimRequest};
@@ -117,7 +117,7 @@
         /// Its load.
         rows: Vec<LoadRow>,
         /// Incarnations that the sender knows to be leaving.
-        marks: Vec<LeavingMark>,
+        marks: Vec<LeavingIncarnation>,
     },
 }
 
@@ -150,7 +150,7 @@
     /// Its load.
     pub rows: Vec<LoadRow>,
     /// Incarnations that the router recently learned to be leaving.
-    pub marks: Vec<LeavingMark>,
+    pub marks: Vec<LeavingIncarnation>,
 }
 
 /// The answer to a renewal; see [`Datagram::Grant`].
@@ -169,7 +169,7 @@
     /// The load of all other routers.
     pub rows: Vec<LoadRow>,
     /// Incarnations that were recently published as leaving.
-    pub marks: Vec<LeavingMark>,
+    pub marks: Vec<LeavingIncarnation>,
 }
 
 /// Encodes a message.
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -11,9 +11,9 @@
 use crate::coordination::holder_news::{HolderMark, HolderNote};
 use crate::coordination::raft_message::RaftMessage;
 use crate::coordination::rollout_watch::RolloutNote;
-use crate::coordination::silence::DarkMark;
+use crate::coordination::silence::UnresponsiveRevision;
 use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
-use crate::coordination::vm_roster::{RosterMark, RosterNews, RosterRow};
+use crate::coordination::vm_roster::{RosterRevision, RosterRow, RosterUpdate};
 use crate::state::document_change::DocumentChange;
 use crate::state::ids::{Incarnation, UpstreamKey};
 use crate::state::packed_text::PackedText;
@@ -292,7 +292,7 @@
     /// The requests that the sender has in flight, by upstream.
     pub loads: Vec<UpstreamLoad>,
     /// The revision of the roster that the sender holds.
-    pub roster: RosterMark,
+    pub roster: RosterRevision,
     /// The revision of the list of upstreams that the sender holds.
     pub list: ListRevision,
     /// Shared prompt parts that the sender sent to another engine than rendezvous order gives.
@@ -306,7 +306,7 @@
     /// Upstreams that the sender could not reach.
     pub doubts: Vec<UpstreamKey>,
     /// Identifies the set of unresponsive upstreams that the sender received last; see `silence`.
-    pub dark: DarkMark,
+    pub dark: UnresponsiveRevision,
     /// The number of roll-out changes that the sender has.
     pub rollout_changes: u64,
     /// The incarnation of the sender's process.
@@ -337,7 +337,7 @@
     pub keepers: Vec<VmId>,
     /// The update of the roster. A leader sends it once it has led long enough to have received a
     /// renewal from every VM, and before that only to VMs that have no roster.
-    pub roster: RosterNews,
+    pub roster: RosterUpdate,
     /// The requests that all VMs together have in flight, by upstream.
     pub loads: LoadNews,
     /// Notes of other VMs on the engines that hold shared prompt parts.
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -17,7 +17,7 @@
 use super::keeper_waiter::Waiter;
 use super::vm_disk::{DiskJob, DiskReport};
 use crate::coordination::durable_core::{DurableCore, DurableOutcome};
-use crate::coordination::leaving::LeavingMark;
+use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::load_spread::LoadTable;
 use crate::coordination::order_pace::orders_to_send;
 use crate::coordination::raft::RaftCore;
@@ -155,7 +155,7 @@
     waiters: HashMap<u64, (u64, Waiter)>,
     watch: SessionWatch,
     loads: LoadTable,
-    marks: Vec<(LeavingMark, u64)>,
+    marks: Vec<(LeavingIncarnation, u64)>,
     leads_term: Option<(u64, u64)>,
     lapsing: HashSet<(RouterId, Incarnation)>,
     sending: HashMap<u64, bool>,
@@ -247,7 +247,7 @@
             Some(DiskReport::Done) => {
                 self.syncs += 1;
                 let outcome = self.durable.note_written(now_ms);
-                self.durable.core.allow_for_syncs(self.durable.last_job_ms());
+                self.durable.core.note_sync_time(self.durable.last_job_ms());
                 self.carry_out(outcome)
             }
             Some(DiskReport::Failed(text)) => Err(LoopFailure::Disk { text }),
