--- a/cli/src/bench_rollouts.rs
+++ b/cli/src/bench_rollouts.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use wingshed_lib::coordination::rollout_verdict::{is_enough, VerdictState};
+use wingshed_lib::coordination::rollout_verdict::{has_enough_answers, VerdictState};
 
 use crate::bench_decision::percentile;
 use crate::rollout_play::{play, FaultTime, JudgeWay, PlayCase, PlayEnd, PlaySetting, TargetFault};
@@ -154,7 +154,7 @@
                 verdict = VerdictState::default();
             }
             let found = verdict.judge(sums, now_ms).is_some();
-            found || (now_ms == case.move_ms() && verdict.leans(sums).is_some())
+            found || (now_ms == case.move_ms() && verdict.likely_unsound(sums).is_some())
         }),
         Box::new(|sums, now_ms, begins| {
             if begins {
@@ -184,7 +184,7 @@
 fn is_right(line: &PlayLine, end: &PlayEnd, way: usize) -> bool {
     let found = end.ways[way].found_ms.is_some();
     match line.fault {
-        TargetFault::Sound => !found && is_enough(&end.sums_at_move),
+        TargetFault::Sound => !found && has_enough_answers(&end.sums_at_move),
         _ => found,
     }
 }
--- a/lib/src/coordination/rollout_evidence.rs
+++ b/lib/src/coordination/rollout_evidence.rs
@@ -1,72 +1,78 @@
-//! How the sends of a roll-out went, as one VM counts them and as the leader sums them.
+//! Outcomes of the requests that are sent during a roll-out, as counted by one VM and as summed by
+//! the leader.
 //!
-//! Invariants: a VM's counts begin with the order and only rise, so that a renewal that is lost is
-//! made good by the next one, and a new leader knows everything within one renewal of each VM. What an
-//! earlier life of a VM reported stays in the sums. See `docs/design/rollouts.md`.
+//! Invariants: a VM's counts start with the order and only rise, so the next renewal makes up for
+//! one that was lost, and a new leader has all counts after one renewal of each VM. Counts reported
+//! by an earlier incarnation of a VM stay in the sums. See `docs/design/rollouts.md`.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most routes that one VM reports, those most tried first.
-pub const ROUTES_REPORTED: usize = 16;
-/// An answer that takes so many times as long as is typical of the other versions is late. Where the
-/// logarithms of times spread by 0.5, three answers in a hundred are.
-pub const LATE_TIMES: f64 = 2.5;
-/// What is typical is known after so many answers,
-const LEAST_TYPICAL: u32 = 2;
-/// and is the mean logarithm of about so many of the last ones.
-const TYPICAL_ANSWERS: u32 = 20;
-
-/// Shorter times count as this long, in milliseconds: clocks resolve no more.
-const LEAST_MS: f64 = 0.1;
-
-/// A route, by the hash of its name.
+/// The maximum number of routes in one VM's report. The routes with the most requests to the target
+/// are reported.
+pub const MAX_REPORTED_ROUTES: usize = 16;
+/// An answer is late when its pace is at least this multiple of the typical pace of the other
+/// versions. Where the logarithms of times have a standard deviation of 0.5, three percent of the
+/// answers are late.
+pub const LATE_FACTOR: f64 = 2.5;
+/// The number of answers after which the typical pace of a route is known.
+const MIN_TYPICAL_ANSWERS: u32 = 2;
+/// The approximate number of recent answers over which the typical pace, a mean of logarithms, is
+/// averaged.
+const TYPICAL_WINDOW: u32 = 20;
+
+/// Shorter times are rounded up to this value, in milliseconds, because the clocks have no finer
+/// resolution.
+const MIN_TIME_MS: f64 = 0.1;
+
+/// Identifies a route by the hash of its host and path prefix.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RouteKey(pub u32);
 
 impl RouteKey {
-    /// The key of the route at this host with this prefix.
+    /// Returns the key of the route with this host and path prefix.
     pub fn of(host: &str, prefix: &str) -> RouteKey {
         RouteKey(xxh3_64(format!("{host} {prefix}").as_bytes()) as u32)
     }
 }
 
-/// Which side of a roll-out an upstream is on.
+/// The side of a roll-out that an upstream belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutArm {
-    /// It has another version than the target.
+    /// The upstream runs another version than the target.
     Base,
-    /// It has the target's version.
+    /// The upstream runs the target version.
     Target,
 }
 
-/// How one send ended, as evidence of the version.
+/// The outcome of one request, as evidence for or against the target version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrialOutcome {
-    /// It was answered with success, to its end.
+    /// The answer was successful and complete.
     Well {
-        /// The time between events of a stream, or the whole time of a plain answer, in milliseconds.
+        /// The time between the events of a stream, or the total time of a plain answer, in
+        /// milliseconds.
         pace_ms: Option<f64>,
-        /// The time to the first event, in milliseconds, where the engine surely held the shared parts
-        /// of the prompt and wasn't cold.
+        /// The time to the first event, in milliseconds. Present only if the engine certainly had
+        /// the shared prefix of the prompt in its cache and had finished its cold start.
         first_ms: Option<f64>,
     },
-    /// It broke, was answered with a failure, or not in time.
+    /// The connection broke, the answer was a failure, or the answer came too late.
     Bad,
 }
 
-/// Sums of the logarithms of times.
+/// Sums over the natural logarithms of times in milliseconds, from which mean and variance follow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogSums {
-    /// How many.
+    /// The number of times.
     pub count: u32,
-    /// Of the logarithms.
+    /// The sum of the logarithms.
     pub sum: f32,
-    /// Of their squares.
+    /// The sum of the squared logarithms.
     pub squares: f32,
 }
 
@@ -79,7 +85,7 @@
         self.squares += log * log;
     }
 
-    /// What was added since `before`, which are earlier sums of the same.
+    /// Returns what was added after `before`, an earlier state of the same sums.
     pub fn since(&self, before: &LogSums) -> LogSums {
         LogSums {
             count: self.count.saturating_sub(before.count),
@@ -88,31 +94,32 @@
         }
     }
 
-    /// The mean of the logarithms; 0 without any.
+    /// Returns the mean of the logarithms, or 0 if there are none.
     pub fn mean(&self) -> f64 {
         f64::from(self.sum) / f64::from(self.count.max(1))
     }
 }
 
-/// How the sends of one side of one route went.
+/// The outcomes of the requests that one side of a roll-out got on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ArmSums {
-    /// Answered well.
+    /// The number of successful answers.
     pub well: u32,
-    /// Not.
+    /// The number of failures.
     pub bad: u32,
-    /// See [`TrialOutcome::Well`].
+    /// The paces of the successful answers; see [`TrialOutcome::Well`].
     pub pace: LogSums,
-    /// Likewise.
+    /// The times to the first event; see [`TrialOutcome::Well`].
     pub first: LogSums,
-    /// Those whose pace could be compared with what is typical of the other versions on the route,
+    /// The number of answers that were compared with the typical pace of the other versions on the
+    /// route.
     pub compared: u32,
-    /// and was [`LATE_TIMES`] as long or longer.
+    /// The number of compared answers that took [`LATE_FACTOR`] times the typical pace or longer.
     pub late: u32,
 }
 
 impl ArmSums {
-    /// All that ended.
+    /// Returns the number of requests that ended, successful or not.
     pub fn all(&self) -> u32 {
         self.well + self.bad
     }
@@ -128,7 +135,7 @@
         }
     }
 
-    /// What was added since `before`, which are earlier sums of the same.
+    /// Returns what was added after `before`, an earlier state of the same sums.
     pub fn since(&self, before: &ArmSums) -> ArmSums {
         ArmSums {
             well: self.well.saturating_sub(before.well),
@@ -146,31 +153,32 @@
     }
 }
 
-/// How the sends of one route went.
+/// The outcomes of the requests of one route, by side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteSums {
     /// The route.
     pub route: RouteKey,
-    /// At upstreams of other versions.
+    /// Outcomes at upstreams of other versions.
     pub base: ArmSums,
-    /// At upstreams of the target.
+    /// Outcomes at upstreams of the target version.
     pub target: ArmSums,
 }
 
 impl RouteSums {
-    /// All that ended.
+    /// Returns the number of requests that ended on either side.
     pub fn all(&self) -> u64 {
         u64::from(self.base.all()) + u64::from(self.target.all())
     }
 
-    /// What was added since `before`, which are earlier sums of the same.
+    /// Returns what was added after `before`, an earlier state of the same sums.
     pub fn since(&self, before: &RouteSums) -> RouteSums {
         let (base, target) = (self.base.since(&before.base), self.target.since(&before.target));
         RouteSums { route: self.route, base, target }
     }
 }
 
-/// How long the other versions take on a route, as one VM sees it.
+/// The typical pace of the other versions on a route, as observed by one VM: a moving mean of the
+/// logarithms.
 #[derive(Clone, Copy, Debug, Default)]
 struct TypicalPace {
     count: u32,
@@ -178,29 +186,30 @@
 }
 
 impl TypicalPace {
-    /// Whether this is late; nothing while too little is known.
+    /// Returns whether an answer of this pace is late, or `None` while there are too few answers to
+    /// compare with.
     fn is_late(&self, pace_ms: f64) -> Option<bool> {
-        let late = to_log(pace_ms) >= self.mean_log + LATE_TIMES.ln();
-        (self.count >= LEAST_TYPICAL).then_some(late)
+        let late = to_log(pace_ms) >= self.mean_log + LATE_FACTOR.ln();
+        (self.count >= MIN_TYPICAL_ANSWERS).then_some(late)
     }
 
     fn note(&mut self, pace_ms: f64) {
-        self.count = (self.count + 1).min(TYPICAL_ANSWERS);
+        self.count = (self.count + 1).min(TYPICAL_WINDOW);
         self.mean_log += (to_log(pace_ms) - self.mean_log) / f64::from(self.count);
     }
 }
 
 fn to_log(value_ms: f64) -> f64 {
-    value_ms.max(LEAST_MS).ln()
+    value_ms.max(MIN_TIME_MS).ln()
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct RouteNotes {
+struct RouteRecord {
     sums: RouteSums,
     typical: TypicalPace,
 }
 
-impl RouteNotes {
+impl RouteRecord {
     fn note(&mut self, arm: RolloutArm, outcome: &TrialOutcome) {
         let pace_ms = match outcome {
             TrialOutcome::Well { pace_ms, .. } => *pace_ms,
@@ -221,40 +230,41 @@
     }
 }
 
-/// What one VM counts of one order.
+/// The outcomes that one VM counts for one order, by route.
 #[derive(Clone, Debug)]
 pub struct EvidenceLedger {
     /// The order's number within its service.
     pub number: u64,
-    rows: HashMap<RouteKey, RouteNotes>,
+    rows: HashMap<RouteKey, RouteRecord>,
 }
 
 impl EvidenceLedger {
-    /// A ledger for the order with this number.
+    /// Creates an empty ledger for the order with this number.
     pub fn new(number: u64) -> EvidenceLedger {
         EvidenceLedger { number, rows: HashMap::new() }
     }
 
-    /// A send ended.
+    /// Counts the outcome of a request.
     pub fn note(&mut self, route: RouteKey, arm: RolloutArm, outcome: &TrialOutcome) {
         let notes = self.rows.entry(route).or_default();
         notes.sums.route = route;
         notes.note(arm, outcome);
     }
 
-    /// The rows to report: the routes most tried.
+    /// Returns the rows to report: the routes with the most requests to the target,
+    /// [`MAX_REPORTED_ROUTES`] at most.
     pub fn rows(&self) -> Vec<RouteSums> {
         let mut rows: Vec<RouteSums> = self.rows.values().map(|notes| notes.sums).collect();
         rows.sort_by_key(|row| (std::cmp::Reverse(row.target.all()), row.route));
-        rows.truncate(ROUTES_REPORTED);
+        rows.truncate(MAX_REPORTED_ROUTES);
         rows
     }
 }
 
-/// What all VMs reported of one order to a leader.
+/// The outcomes of one order that all VMs reported to a leader.
 ///
-/// The sums are kept up with each renewal, so that taking one costs its rows and a look at the sums
-/// costs the routes, however many VMs report.
+/// The totals are updated with each renewal. The cost of an update is proportional to its rows, and
+/// the cost of reading the sums to the number of routes, independent of the number of VMs.
 #[derive(Clone, Debug, Default)]
 pub struct EvidenceTable {
     reported: HashMap<(u32, u64, RouteKey), RouteSums>,
@@ -262,12 +272,12 @@
 }
 
 impl EvidenceTable {
-    /// Takes all that a life of a VM has counted. A row that counts fewer sends than the
-    /// one before was overtaken and changes nothing; a route that it reports no more, since others
-    /// are tried more, stays as last reported.
-    pub fn take(&mut self, vm: u32, life: u64, rows: Vec<RouteSums>) {
+    /// Takes the rows that one incarnation of a VM reports. A row that counts fewer requests than
+    /// the previous one arrived out of order and is ignored. A route that is missing from the
+    /// report, because other routes have more requests, keeps its last counts.
+    pub fn take(&mut self, vm: u32, incarnation: u64, rows: Vec<RouteSums>) {
         for row in rows {
-            let known = self.reported.entry((vm, life, row.route)).or_default();
+            let known = self.reported.entry((vm, incarnation, row.route)).or_default();
             if row.all() > known.all() {
                 let total = self.totals.entry(row.route).or_default();
                 total.replace(known, &row);
@@ -276,7 +286,7 @@
         }
     }
 
-    /// The sums over all VMs.
+    /// Returns the sums over all VMs.
     pub fn sums(&self) -> Vec<RouteSums> {
         let to_sums = |(route, total): (&RouteKey, &RouteTotals)| RouteSums {
             route: *route,
@@ -286,13 +296,14 @@
         self.totals.iter().map(to_sums).collect()
     }
 
-    /// Answers of the target that weren't well.
+    /// Returns the number of failures of the target.
     pub fn bad_answers(&self) -> u32 {
         self.totals.values().map(|total| total.target.bad).sum()
     }
 }
 
-/// Sums over VMs, so fine that replacing a part of them again and again shifts nothing.
+/// Sums over VMs. They are kept in double precision, so that rounding errors don't accumulate while
+/// the counts of a VM are replaced many times.
 #[derive(Clone, Copy, Debug, Default)]
 struct LogTotals {
     count: u32,
--- a/lib/src/coordination/rollout_lead.rs
+++ b/lib/src/coordination/rollout_lead.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use super::rollout_evidence::EvidenceTable;
-use super::rollout_verdict::{answer_figures, is_enough, VerdictState};
+use super::rollout_verdict::{answer_figures, has_enough_answers, VerdictState};
 use super::rollout_watch::RolloutNote;
 use super::vm_roster::ROW_KEEP_MS;
 use crate::state::rollout_order::{RolloutPhase, RolloutRow, RolloutStep, VersionKey};
@@ -221,9 +221,9 @@
         RolloutPhase::Trial => {
             let due = left_ms <= standing.move_ms(row.order.duration_ms);
             let asked = sums.iter().any(|row| row.all() > 0);
-            let shown = is_enough(&sums) || !asked;
+            let shown = has_enough_answers(&sums) || !asked;
             if due && heard && shown && standing.has_room() && !late {
-                if let Some(finding) = order.heard.verdict.leans(&sums) {
+                if let Some(finding) = order.heard.verdict.likely_unsound(&sums) {
                     return to(RolloutPhase::RolledBack, format!("it rather {finding}"));
                 }
                 let figures = answer_figures(&sums);
--- a/lib/src/coordination/rollout_odds.rs
+++ b/lib/src/coordination/rollout_odds.rs
@@ -4,7 +4,7 @@
 //! multiplied; a change may have begun with any of them. Invariants: while the target is within the limits
 //! of a sound one, each factor is at most 1 in the mean, as far as the others' part is known; so the odds
 //! pass `1 / a` in about `a` of all orders at most, however often they are looked at. No slice counts for
-//! more than its time allows ([`MOST_A_SLICE`]), so that one upstream that breaks all it runs at once
+//! more than its time allows ([`MAX_SLICE_LOG`]), so that one upstream that breaks all it runs at once
 //! doesn't decide by itself. See
 //! `docs/design/rollouts.md`, "Evidence".
 
@@ -18,10 +18,10 @@
 /// The most that the shortest slice adds to the logarithm of the odds. With 3 an upstream of two that
 /// breaks what it runs and refuses for 0.3 s rolls 14 of 200 sound targets back at most, and few that
 /// fail a little are missed for it (`wingshed bench rollouts`; docs/design/rollouts.md has 2 beside it).
-pub const MOST_A_SLICE: f64 = 3.0;
+pub const MAX_SLICE_LOG: f64 = 3.0;
 /// And the most that it adds where the question is only which is likelier: so much less is asked for there that a
 /// moment in which an upstream breaks what it runs would decide.
-pub const MOST_A_MOMENT: f64 = 1.0;
+pub const MAX_LIKELY_LOG: f64 = 1.0;
 /// The prior that the target is unsound from the start, if it is at all.
 const FROM_START: f64 = 0.4;
 /// The prior that it turns so with a later slice, for each length of the shortest: together 1 over half
--- a/lib/tests/test_rollout_evidence.rs
+++ b/lib/tests/test_rollout_evidence.rs
@@ -3,10 +3,10 @@
 use proptest::prelude::*;
 use wingshed_lib::coordination::rollout_evidence::{
     ArmSums, EvidenceLedger, EvidenceTable, LogSums, RolloutArm, RouteKey, RouteSums, TrialOutcome,
-    LATE_TIMES, ROUTES_REPORTED,
+    LATE_FACTOR, MAX_REPORTED_ROUTES,
 };
 use wingshed_lib::coordination::rollout_verdict::{
-    is_enough, UnsoundFinding, UnsoundSign, VerdictState,
+    has_enough_answers, UnsoundFinding, UnsoundSignal, VerdictState,
 };
 
 const ROUTE: RouteKey = RouteKey(1);
@@ -140,7 +140,7 @@
     let rows = ledger.rows();
 
     let told: Vec<u32> = rows.iter().map(|row| row.route.0).collect();
-    let most: Vec<u32> = (0..40).rev().take(ROUTES_REPORTED).collect();
+    let most: Vec<u32> = (0..40).rev().take(MAX_REPORTED_ROUTES).collect();
     assert_eq!(told, most);
 }
 
@@ -166,8 +166,8 @@
     for _ in 0..10 {
         ledger.note(ROUTE, RolloutArm::Base, &well(100.0));
     }
-    ledger.note(ROUTE, RolloutArm::Target, &well(100.0 * LATE_TIMES * 1.1));
-    ledger.note(ROUTE, RolloutArm::Target, &well(100.0 * LATE_TIMES * 0.9));
+    ledger.note(ROUTE, RolloutArm::Target, &well(100.0 * LATE_FACTOR * 1.1));
+    ledger.note(ROUTE, RolloutArm::Target, &well(100.0 * LATE_FACTOR * 0.9));
 
     let target = ledger.rows()[0].target;
 
@@ -232,7 +232,7 @@
             look += 1;
         }
     }
-    (None, verdict.leans(&rows).is_some())
+    (None, verdict.likely_unsound(&rows).is_some())
 }
 
 #[test]
@@ -254,16 +254,16 @@
 fn each_kind_of_unsoundness_is_found_in_time() {
     let fails = Flow { target: (3, 1), ..SOUND };
     let slow = Flow { target_ms: 320.0, ..SOUND };
-    let cases: [(&str, FlowList, UnsoundSign, u64); 4] = [
-        ("fails from the start", &[(&[fails], 100)], UnsoundSign::Failures, 3000),
-        ("slow from the start", &[(&[slow], 100)], UnsoundSign::Slow, 4000),
-        ("fails late", &[(&[SOUND], 150), (&[fails], 100)], UnsoundSign::Failures, 18_000),
-        ("slow late", &[(&[SOUND], 150), (&[slow], 100)], UnsoundSign::Slow, 19_000),
+    let cases: [(&str, FlowList, UnsoundSignal, u64); 4] = [
+        ("fails from the start", &[(&[fails], 100)], UnsoundSignal::Failures, 3000),
+        ("slow from the start", &[(&[slow], 100)], UnsoundSignal::Slow, 4000),
+        ("fails late", &[(&[SOUND], 150), (&[fails], 100)], UnsoundSignal::Failures, 18_000),
+        ("slow late", &[(&[SOUND], 150), (&[slow], 100)], UnsoundSignal::Slow, 19_000),
     ];
-    for (case, flows, sign, by_ms) in cases {
+    for (case, flows, signal, by_ms) in cases {
         let (found_ms, finding) = judged(flows).unwrap_or_else(|| panic!("{case}: not found"));
 
-        assert_eq!(finding.sign, sign, "{case}");
+        assert_eq!(finding.signal, signal, "{case}");
         assert!(found_ms <= by_ms, "{case}: {found_ms}");
     }
 }
@@ -282,9 +282,9 @@
             finding = finding.or(verdict.judge(&[row], look * LOOK_MS));
         }
 
-        let sign = finding.as_ref().map(|finding| finding.sign);
+        let signal = finding.as_ref().map(|finding| finding.signal);
 
-        assert_eq!(sign, found.then_some(UnsoundSign::Slow), "{case}");
+        assert_eq!(signal, found.then_some(UnsoundSignal::Slow), "{case}");
     }
 }
 
@@ -400,6 +400,6 @@
         ("mostly bad", sums(500, (8, 9)), false),
     ];
     for (case, sums, enough) in cases {
-        assert_eq!(is_enough(&sums), enough, "{case}");
+        assert_eq!(has_enough_answers(&sums), enough, "{case}");
     }
 }
