--- a/cli/src/bench_rollout_cost.rs
+++ b/cli/src/bench_rollout_cost.rs
@@ -6,7 +6,7 @@
     EvidenceLedger, EvidenceTable, RolloutArm, RouteKey, TrialOutcome,
 };
 use wingshed_lib::coordination::rollout_verdict::VerdictState;
-use wingshed_lib::coordination::rollout_watch::RolloutNote;
+use wingshed_lib::coordination::rollout_watch::RolloutReport;
 use wingshed_lib::protocol::vm_wire::encode;
 use wingshed_lib::state::rollout_order::VersionKey;
 
@@ -38,7 +38,7 @@
         for (vm, ledger) in ledgers.iter_mut().enumerate() {
             send_some(ledger, routes, round + vm as u64);
             let rows = ledger.rows();
-            let note = RolloutNote {
+            let note = RolloutReport {
                 service: VersionKey(7),
                 number: 1,
                 step: 1,
--- a/lib/src/coordination/rollout_counts.rs
+++ b/lib/src/coordination/rollout_counts.rs
@@ -1,30 +1,31 @@
-//! What one VM sent while a service is rolled out, and what came back badly, for operators.
+//! Counts of one VM's requests and failures during a roll-out, for operators.
 //!
-//! Invariant: the counts begin with the order and stay after its end until the next one begins, so
-//! that an operator who looks after a roll-back still sees what this VM's part of it was.
+//! Invariant: the counts begin with the order and remain after its end until the next order begins,
+//! so that an operator can still read this VM's part after a roll-back.
 
 use super::rollout_evidence::RolloutArm;
 
-/// What one side of a roll-out got from this VM.
+/// The counts of one side of a roll-out at this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SideCount {
-    /// Requests sent.
+    /// The number of requests sent.
     pub sent: u64,
-    /// Those that broke, were answered with a failure, or not in time.
+    /// The number of requests whose connection broke, whose answer was a failure, or whose answer
+    /// came too late.
     pub bad: u64,
 }
 
-/// What both sides of the last order of a service got from this VM.
+/// The counts of both sides of the last order of a service at this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RolloutCounts {
-    /// Upstreams of the target's version.
+    /// Requests to upstreams of the target version.
     pub target: SideCount,
-    /// Upstreams of other versions.
+    /// Requests to upstreams of other versions.
     pub base: SideCount,
 }
 
 impl RolloutCounts {
-    /// The counts of one side.
+    /// Returns the counts of one side for updates.
     pub fn side(&mut self, arm: RolloutArm) -> &mut SideCount {
         match arm {
             RolloutArm::Base => &mut self.base,
@@ -32,12 +33,13 @@
         }
     }
 
-    /// Requests sent to either side.
+    /// Returns the number of requests sent to both sides.
     pub fn sent(&self) -> u64 {
         self.target.sent + self.base.sent
     }
 
-    /// Percent of the requests that went to the target; 0 before the first.
+    /// Returns the percentage of the requests that went to the target, or 0 before the first
+    /// request.
     pub fn target_percent(&self) -> f64 {
         100.0 * self.target.sent as f64 / self.sent().max(1) as f64
     }
--- a/lib/src/coordination/rollout_desk.rs
+++ b/lib/src/coordination/rollout_desk.rs
@@ -1,76 +1,79 @@
-//! What one VM holds of roll-outs: what it knows, and what its keeper decides while it leads.
+//! The state of roll-outs on one VM: its copy of the orders with its counts, and the decisions of
+//! its keeper while that leads.
 
 use std::collections::BTreeSet;
 
 use super::rollout_evidence::TrialOutcome;
-use super::rollout_lead::{ProposedStep, RolloutLead, TargetStanding};
+use super::rollout_lead::{ProposedStep, RolloutController, TargetStatus};
 use super::rollout_share::ExposureBound;
-use super::rollout_watch::{RolloutNews, RolloutNote, RolloutWatch, TrialTag};
+use super::rollout_watch::{PhaseChange, RolloutReport, RolloutTracker, TrialTag};
 use crate::state::rollout_order::{RolloutRow, RolloutStep, RolloutTable};
 
-/// How often the leader looks at the evidence, in milliseconds.
-const LOOK_MS: u64 = 50;
-/// A step that isn't committed after this long is proposed again, in milliseconds.
+/// How often the leader evaluates the evidence, in milliseconds.
+const EVALUATE_MS: u64 = 50;
+/// A step that isn't committed after this time is proposed again, in milliseconds.
 const PROPOSE_AGAIN_MS: u64 = 500;
 
-/// What a VM knows of roll-outs, and what its keeper decides while it leads.
-pub struct RolloutDesk {
-    life: u64,
-    watch: RolloutWatch,
-    lead: RolloutLead,
-    looked_ms: u64,
-    /// Of each service the step that was proposed last, and when.
+/// The roll-out state of a VM and of its keeper.
+pub struct RolloutState {
+    incarnation: u64,
+    tracker: RolloutTracker,
+    controller: RolloutController,
+    observed_ms: u64,
+    /// The step of each service that was proposed last, with the time of the proposal in
+    /// milliseconds.
     proposed: Vec<(RolloutStep, u64)>,
     renewed_ms: u64,
 }
 
-impl RolloutDesk {
-    /// A desk of a process; `seed` is another one in each of its lives.
-    pub fn new(seed: u64) -> RolloutDesk {
-        RolloutDesk {
-            life: seed,
-            watch: RolloutWatch::default(),
-            lead: RolloutLead::default(),
-            looked_ms: 0,
+impl RolloutState {
+    /// Creates the state of a process. `seed` identifies the incarnation of the process and differs
+    /// between incarnations.
+    pub fn new(seed: u64) -> RolloutState {
+        RolloutState {
+            incarnation: seed,
+            tracker: RolloutTracker::default(),
+            controller: RolloutController::default(),
+            observed_ms: 0,
             proposed: Vec::new(),
             renewed_ms: 0,
         }
     }
 
-    /// This life of the process.
-    pub fn life(&self) -> u64 {
-        self.life
+    /// Returns the incarnation of the process.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    /// What the VM knows.
-    pub fn watch(&self) -> &RolloutWatch {
-        &self.watch
+    /// Returns the orders and counts of the VM.
+    pub fn tracker(&self) -> &RolloutTracker {
+        &self.tracker
     }
 
-    /// The same, to note sends and their ends.
-    pub fn watch_mut(&mut self) -> &mut RolloutWatch {
-        &mut self.watch
+    /// Returns the orders and counts of the VM for updates.
+    pub fn tracker_mut(&mut self) -> &mut RolloutTracker {
+        &mut self.tracker
     }
 
-    /// Takes the orders as a leader sent them; returns what is new.
-    pub fn take(&mut self, table: RolloutTable, bound: ExposureBound) -> Vec<RolloutNews> {
-        self.watch.take(table, bound, self.life)
+    /// Takes the orders that a leader sent, and returns the changes of phases.
+    pub fn take(&mut self, table: RolloutTable, bound: ExposureBound) -> Vec<PhaseChange> {
+        self.tracker.take(table, bound, self.incarnation)
     }
 
-    /// Takes what a life of a VM reports to the leader of `term`.
-    pub fn take_notes(
+    /// Takes the reports of one incarnation of a VM to the leader of `term`.
+    pub fn take_reports(
         &mut self,
         term: u64,
         vm: u32,
-        life: u64,
-        notes: Vec<RolloutNote>,
+        incarnation: u64,
+        reports: Vec<RolloutReport>,
         now_ms: u64,
     ) {
-        self.lead.take(term, vm, life, notes, now_ms);
+        self.controller.take(term, vm, incarnation, reports, now_ms);
     }
 
-    /// A send has ended. True when the leader should be notified at once: something is bad, and it
-    /// wasn't notified within `pause_ms`.
+    /// Counts the outcome of a request. Returns true if the leader should get a report at once: the
+    /// target failed, and there was no extra report within the last `pause_ms`.
     pub fn note_end(
         &mut self,
         tag: &TrialTag,
@@ -78,40 +81,41 @@
         pause_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let soon = self.watch.note_end(tag, outcome) && self.renewed_ms + pause_ms <= now_ms;
+        let soon = self.tracker.note_end(tag, outcome) && self.renewed_ms + pause_ms <= now_ms;
         if soon {
             self.renewed_ms = now_ms;
         }
         soon
     }
 
-    /// How long ago the last order of a service was taken, in milliseconds.
+    /// Returns how long ago the last order of a service was taken, in milliseconds.
     pub fn elapsed_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
-        self.lead.elapsed_ms(service, now_ms)
+        self.controller.elapsed_ms(service, now_ms)
     }
 
-    /// Notes what a keeper's record holds, also while that is nothing: an order that is there at the
-    /// first look is one of before. True when a leader should look at the evidence now.
+    /// Notes the orders in a keeper's record. It is called with an empty record too, because an
+    /// order that is found at the first call counts as older than this process. Returns true if a
+    /// leader should evaluate the evidence now.
     pub fn look(&mut self, rows: &[RolloutRow], now_ms: u64) -> bool {
-        let due = self.looked_ms + LOOK_MS <= now_ms;
+        let due = self.observed_ms + EVALUATE_MS <= now_ms;
         if due {
-            self.looked_ms = now_ms;
-            self.lead.observe(rows, now_ms);
+            self.observed_ms = now_ms;
+            self.controller.observe(rows, now_ms);
         }
         due && !rows.is_empty()
     }
 
-    /// The steps to propose now, but for one that is on its way to the log already; see
-    /// [`RolloutLead::next_steps`].
+    /// Returns the steps to propose now, without those that were proposed recently; see
+    /// [`RolloutController::next_steps`].
     pub fn next_steps(
         &mut self,
         rows: &[RolloutRow],
         vms: &BTreeSet<u32>,
-        standing: impl Fn(&RolloutRow) -> TargetStanding,
+        status: impl Fn(&RolloutRow) -> TargetStatus,
         led_ms: u64,
         now_ms: u64,
     ) -> Vec<ProposedStep> {
-        let mut steps = self.lead.next_steps(rows, vms, standing, led_ms, now_ms);
+        let mut steps = self.controller.next_steps(rows, vms, status, led_ms, now_ms);
         steps.retain(|proposed| !self.is_proposed(&proposed.step, now_ms));
         for proposed in &steps {
             self.proposed.retain(|(known, _)| known.service != proposed.step.service);
--- a/lib/src/coordination/rollout_lead.rs
+++ b/lib/src/coordination/rollout_lead.rs
@@ -1,152 +1,157 @@
-//! Which step a roll-out takes next, as the leader decides from what VMs report.
+//! Decides the next step of a roll-out on the leader, from the reports of the VMs.
 //!
-//! Every keeper notes when it first knew of an order, so that the next leader knows how long it
-//! has run. Invariants: a step follows from the row in the log alone, so that two leaders can't take two
-//! ways; the time spent is rather counted too long than too short, so that an order never outlasts what
-//! its operator granted. See `docs/design/rollouts.md`.
+//! Every keeper notes when it received an order, so that the next leader can derive how long the
+//! order has run. Invariants: a step follows from the row in the log alone, so two leaders can't
+//! take different steps from the same row; the elapsed time is overestimated rather than
+//! underestimated, so an order never runs longer than its operator allowed. See
+//! `docs/design/rollouts.md`.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::rollout_evidence::EvidenceTable;
 use super::rollout_verdict::{answer_figures, has_enough_answers, VerdictState};
-use super::rollout_watch::RolloutNote;
+use super::rollout_watch::RolloutReport;
 use super::vm_roster::ROW_KEEP_MS;
 use crate::state::rollout_order::{RolloutPhase, RolloutRow, RolloutStep, VersionKey};
 
-/// An end is proposed so long before the deadline, in milliseconds: the commit has to come before it,
-/// also where a disk takes 50 ms a sync and a message is lost once.
-const COMMIT_MS: u64 = 400;
-/// A keeper that starts finds the time noted in its log; so much more may have passed since, in
-/// milliseconds: what is between two notes, and its own start.
-const RESTART_MS: u64 = NOTE_MS + 1000;
-/// How often the time spent is noted in the log, in milliseconds.
-const NOTE_MS: u64 = 2000;
-/// A keeper that received an order by the log learned of it after the leader, by this much at most
-/// while it is in contact, in milliseconds.
+/// How long before the deadline the end of an order is proposed, in milliseconds. The step has to
+/// be committed before the deadline, even if a disk takes 50 ms per sync and one message is lost.
+const COMMIT_MARGIN_MS: u64 = 400;
+/// What a restarted keeper adds to the elapsed time that it reads from its log, in milliseconds:
+/// the interval between two records of the time, and its own start.
+const RESTART_LAG_MS: u64 = RECORD_TIME_MS + 1000;
+/// How often the elapsed time is recorded in the log, in milliseconds.
+const RECORD_TIME_MS: u64 = 2000;
+/// How much later than the leader a keeper in contact receives an order through the log, at most,
+/// in milliseconds.
 const LOG_LAG_MS: u64 = 200;
-/// A new leader decides nothing but a roll-back for so long, in milliseconds: two renewals of each VM.
-const HEAR_MS: u64 = 700;
-/// The shortest time for moving traffic, in milliseconds: three renewals, so that each VM hears of it,
-/// sends to the target alone, and reports that nothing runs elsewhere.
-const LEAST_MOVE_MS: u64 = 1500;
-/// Moving takes so many times as long as requests stay at an upstream in the mean: of lengths that
-/// spread by a factor of e few are longer.
-const MOVE_HOLDS: f64 = 4.0;
-
-/// What the leader knows of a service's upstreams.
+/// How long a new leader takes no step but a roll-back, in milliseconds: two renewals of each VM.
+/// Earlier it lacks the reports of some VMs.
+const COLLECT_MS: u64 = 700;
+/// The minimum time for moving the traffic, in milliseconds: three renewals, in which each VM
+/// receives the step, sends to the target only, and reports that nothing is left in flight
+/// elsewhere.
+const MIN_MOVE_MS: u64 = 1500;
+/// The time for moving the traffic, as a multiple of the mean time that a request stays at an
+/// upstream. If durations spread by a factor of e, few requests take longer.
+const MOVE_HOLD_FACTOR: f64 = 4.0;
+
+/// The state of a service's upstreams as far as the leader has it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct TargetStanding {
-    /// Upstreams of the target that take work and aren't cold.
-    pub able: usize,
-    /// Upstreams of other versions that take work.
+pub struct TargetStatus {
+    /// The number of the target's upstreams that take work and have finished their cold start.
+    pub available: usize,
+    /// The number of upstreams of other versions that take work.
     pub others: usize,
-    /// The versions of those that aren't of the target.
+    /// The other versions that the service's upstreams have.
     pub other_versions: Vec<VersionKey>,
-    /// Requests in flight at all of the service.
+    /// The number of requests in flight at all upstreams of the service.
     pub in_flight: u32,
-    /// Requests that one upstream of it runs at once; 0 where that isn't known.
-    pub places: u32,
-    /// How long a request stays at one, in the mean, in milliseconds.
+    /// The number of requests that one upstream runs at once, or 0 if unknown.
+    pub slots: u32,
+    /// The mean time that a request stays at an upstream, in milliseconds.
     pub hold_ms: f64,
 }
 
-impl TargetStanding {
-    /// Whether the target's upstreams can take the traffic.
-    fn has_room(&self) -> bool {
-        let enough_places = match self.places {
-            0 => self.able * 2 >= self.others,
-            places => self.able * places as usize >= self.in_flight as usize,
+impl TargetStatus {
+    /// Returns whether the target's upstreams can take all traffic of the service.
+    fn has_capacity(&self) -> bool {
+        let enough_slots = match self.slots {
+            0 => self.available * 2 >= self.others,
+            slots => self.available * slots as usize >= self.in_flight as usize,
         };
-        self.able > 0 && enough_places
+        self.available > 0 && enough_slots
     }
 
-    /// How long before its deadline an order moves the traffic, in milliseconds.
+    /// Returns how long before its deadline an order starts to move the traffic, in milliseconds.
     fn move_ms(&self, duration_ms: u64) -> u64 {
-        let move_ms = (MOVE_HOLDS * self.hold_ms) as u64 + COMMIT_MS;
-        move_ms.max(LEAST_MOVE_MS).min(duration_ms / 2)
+        let move_ms = (MOVE_HOLD_FACTOR * self.hold_ms) as u64 + COMMIT_MARGIN_MS;
+        move_ms.max(MIN_MOVE_MS).min(duration_ms / 2)
     }
 }
 
-/// A step, and why it is taken.
+/// A step to propose, with its reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposedStep {
     /// The step.
     pub step: RolloutStep,
-    /// For the log; empty when only the time is noted.
+    /// The reason, for the log. Empty if the step only records the elapsed time.
     pub why: String,
 }
 
 #[derive(Clone, Debug)]
-struct VmConfirm {
+struct VmConfirmation {
     step: u64,
     in_flight: u32,
     reported_ms: u64,
 }
 
 #[derive(Clone, Debug)]
-struct LedOrder {
+struct OrderState {
     number: u64,
-    /// When the time spent was `spent_ms`.
+    /// The time at which `spent_ms` was the elapsed time of the order, in milliseconds.
     at_ms: u64,
     spent_ms: u64,
-    heard: HeardOrder,
+    reports: OrderReports,
 }
 
-/// What the VMs reported to the leader of this term.
+/// The reports of the VMs to the leader of the current term, on one order.
 #[derive(Clone, Debug, Default)]
-struct HeardOrder {
+struct OrderReports {
     evidence: EvidenceTable,
     verdict: VerdictState,
-    confirms: HashMap<u32, VmConfirm>,
+    confirmations: HashMap<u32, VmConfirmation>,
 }
 
-impl LedOrder {
+impl OrderState {
     fn elapsed_ms(&self, now_ms: u64) -> u64 {
         self.spent_ms + now_ms.saturating_sub(self.at_ms)
     }
 
-    /// The evidence of a leader that has received none.
-    fn unheard(&self, now_ms: u64) -> HeardOrder {
+    /// Returns the empty reports of a leader that takes over now.
+    fn without_reports(&self, now_ms: u64) -> OrderReports {
         let verdict = VerdictState::of_order(self.elapsed_ms(now_ms));
-        HeardOrder { verdict, ..HeardOrder::default() }
+        OrderReports { verdict, ..OrderReports::default() }
     }
 
-    /// Whether each of these VMs reports that it knows the last step and has nothing in flight at
-    /// upstreams of other versions.
+    /// Returns whether each of these VMs recently reported that it has the last step and no request
+    /// in flight at upstreams of other versions.
     fn all_confirm(&self, step: u64, vms: &BTreeSet<u32>, now_ms: u64) -> bool {
         vms.iter().all(|vm| {
-            self.heard.confirms.get(vm).is_some_and(|confirm| {
-                let fresh = confirm.reported_ms + ROW_KEEP_MS > now_ms;
-                fresh && confirm.step == step && confirm.in_flight == 0
+            self.reports.confirmations.get(vm).is_some_and(|confirmation| {
+                let fresh = confirmation.reported_ms + ROW_KEEP_MS > now_ms;
+                fresh && confirmation.step == step && confirmation.in_flight == 0
             })
         })
     }
 }
 
-/// What one keeper knows of the last order of each service.
+/// One keeper's state of the last order of each service, from which it proposes steps while it
+/// leads.
 #[derive(Clone, Debug, Default)]
-pub struct RolloutLead {
-    orders: HashMap<String, LedOrder>,
-    /// Whether it has looked at the log before.
-    looked: bool,
+pub struct RolloutController {
+    orders: HashMap<String, OrderState>,
+    /// Whether the log was read before. An order found at the first reading was taken before the
+    /// start of this process.
+    has_observed: bool,
     term: u64,
 }
 
-impl RolloutLead {
-    /// Notes which orders run, on every keeper, often.
+impl RolloutController {
+    /// Notes which orders there are and since when. Every keeper calls this frequently.
     pub fn observe(&mut self, rows: &[RolloutRow], now_ms: u64) {
-        let lag_ms = if self.looked { LOG_LAG_MS } else { RESTART_MS };
-        self.looked = true;
+        let lag_ms = if self.has_observed { LOG_LAG_MS } else { RESTART_LAG_MS };
+        self.has_observed = true;
         self.orders.retain(|service, order| {
             let own = |row: &&RolloutRow| row.order.service == *service;
             rows.iter().find(own).is_some_and(|row| row.order.number == order.number)
         });
         for row in rows {
-            let begun = || LedOrder {
+            let begun = || OrderState {
                 number: row.order.number,
                 at_ms: now_ms,
                 spent_ms: row.spent_ms + lag_ms,
-                heard: HeardOrder::default(),
+                reports: OrderReports::default(),
             };
             let order = self.orders.entry(row.order.service.clone()).or_insert_with(begun);
             if order.elapsed_ms(now_ms) < row.spent_ms {
@@ -155,36 +160,51 @@
         }
     }
 
-    /// How long ago the last order of a service was taken, in milliseconds, whether it runs or not.
+    /// Returns how long ago the last order of a service was taken, in milliseconds, whether it
+    /// still runs or not.
     pub fn elapsed_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
         self.orders.get(service).map(|order| order.elapsed_ms(now_ms))
     }
 
-    /// Takes what a life of a VM reports to the leader of `term`.
-    pub fn take(&mut self, term: u64, vm: u32, life: u64, notes: Vec<RolloutNote>, now_ms: u64) {
+    /// Adds the reports of one incarnation of a VM to the leader of `term`. With a new term all
+    /// earlier reports are dropped.
+    pub fn take(
+        &mut self,
+        term: u64,
+        vm: u32,
+        incarnation: u64,
+        reports: Vec<RolloutReport>,
+        now_ms: u64,
+    ) {
         if term != self.term {
             self.term = term;
-            self.orders.values_mut().for_each(|order| order.heard = order.unheard(now_ms));
+            self.orders
+                .values_mut()
+                .for_each(|order| order.reports = order.without_reports(now_ms));
         }
-        for note in notes {
+        for report in reports {
             let named = self.orders.iter_mut();
             let found = named
                 .map(|(service, order)| (VersionKey::of(service), order))
-                .find(|(key, order)| *key == note.service && order.number == note.number);
+                .find(|(key, order)| *key == report.service && order.number == report.number);
             let Some((_, order)) = found else { continue };
-            let confirm =
-                VmConfirm { step: note.step, in_flight: note.base_in_flight, reported_ms: now_ms };
-            order.heard.confirms.insert(vm, confirm);
-            order.heard.evidence.take(vm, life, note.rows);
+            let confirmation = VmConfirmation {
+                step: report.step,
+                in_flight: report.base_in_flight,
+                reported_ms: now_ms,
+            };
+            order.reports.confirmations.insert(vm, confirmation);
+            order.reports.evidence.take(vm, incarnation, report.rows);
         }
     }
 
-    /// The steps to propose now, as a leader that has led for `led_ms` and hears `vms`.
+    /// Returns the steps to propose now. `led_ms` is how long this keeper has led, `vms` the VMs
+    /// that it receives renewals from, and `status` returns the state of an order's upstreams.
     pub fn next_steps(
         &mut self,
         rows: &[RolloutRow],
         vms: &BTreeSet<u32>,
-        standing: impl Fn(&RolloutRow) -> TargetStanding,
+        status: impl Fn(&RolloutRow) -> TargetStatus,
         led_ms: u64,
         now_ms: u64,
     ) -> Vec<ProposedStep> {
@@ -192,8 +212,8 @@
         let mut steps = Vec::new();
         for row in running {
             let Some(order) = self.orders.get_mut(&row.order.service) else { continue };
-            let standing = standing(row);
-            steps.extend(next_step(row, order, vms, &standing, led_ms, now_ms));
+            let status = status(row);
+            steps.extend(next_step(row, order, vms, &status, led_ms, now_ms));
         }
         steps
     }
@@ -201,51 +221,59 @@
 
 fn next_step(
     row: &RolloutRow,
-    order: &mut LedOrder,
+    order: &mut OrderState,
     vms: &BTreeSet<u32>,
-    standing: &TargetStanding,
+    status: &TargetStatus,
     led_ms: u64,
     now_ms: u64,
 ) -> Option<ProposedStep> {
     let elapsed_ms = order.elapsed_ms(now_ms);
     let left_ms = row.order.duration_ms.saturating_sub(elapsed_ms);
-    let sums = order.heard.evidence.sums();
+    let sums = order.reports.evidence.sums();
     let to =
         |phase, why: String| Some(ProposedStep { step: row.next_step(phase, elapsed_ms), why });
-    if let Some(finding) = order.heard.verdict.judge(&sums, now_ms) {
+    if let Some(finding) = order.reports.verdict.judge(&sums, now_ms) {
         return to(RolloutPhase::RolledBack, format!("it {finding}"));
     }
-    let heard = led_ms >= HEAR_MS;
-    let late = left_ms <= COMMIT_MS;
+    let collected = led_ms >= COLLECT_MS;
+    let late = left_ms <= COMMIT_MARGIN_MS;
     match row.phase {
         RolloutPhase::Trial => {
-            let due = left_ms <= standing.move_ms(row.order.duration_ms);
-            let asked = sums.iter().any(|row| row.all() > 0);
-            let shown = has_enough_answers(&sums) || !asked;
-            if due && heard && shown && standing.has_room() && !late {
-                if let Some(finding) = order.heard.verdict.likely_unsound(&sums) {
-                    return to(RolloutPhase::RolledBack, format!("it rather {finding}"));
+            let due = left_ms <= status.move_ms(row.order.duration_ms);
+            let has_requests = sums.iter().any(|row| row.all() > 0);
+            let is_conclusive = has_enough_answers(&sums) || !has_requests;
+            if due && collected && is_conclusive && status.has_capacity() && !late {
+                if let Some(finding) = order.reports.verdict.likely_unsound(&sums) {
+                    return to(
+                        RolloutPhase::RolledBack,
+                        format!("it is likely unsound: it {finding}"),
+                    );
                 }
                 let figures = answer_figures(&sums);
                 let why = format!("nothing shows that it is unsound: {figures}");
                 return to(RolloutPhase::Shift, why);
             }
-            if late && heard {
-                let why = if standing.has_room() { "it answered too little" } else { "no room" };
+            if late && collected {
+                let why =
+                    if status.has_capacity() { "too few answers of the target" } else { "no room" };
                 return to(RolloutPhase::RolledBack, format!("{why} by the deadline"));
             }
         }
         RolloutPhase::Shift => {
-            let confirmed = heard && order.all_confirm(row.step, vms, now_ms);
+            let confirmed = collected && order.all_confirm(row.step, vms, now_ms);
             if confirmed || late {
-                let why = if confirmed { "all VMs have moved" } else { "the deadline is near" };
+                let why = if confirmed {
+                    "all VMs have moved their traffic"
+                } else {
+                    "the deadline is near"
+                };
                 let mut step = row.next_step(RolloutPhase::Complete, elapsed_ms);
-                step.retired = standing.other_versions.clone();
+                step.retired = status.other_versions.clone();
                 return Some(ProposedStep { step, why: why.to_string() });
             }
         }
         RolloutPhase::Complete | RolloutPhase::RolledBack => return None,
     }
-    let due = elapsed_ms >= row.spent_ms + NOTE_MS;
+    let due = elapsed_ms >= row.spent_ms + RECORD_TIME_MS;
     due.then(|| ProposedStep { step: row.next_step(row.phase, elapsed_ms), why: String::new() })
 }
--- a/lib/src/coordination/rollout_watch.rs
+++ b/lib/src/coordination/rollout_watch.rs
@@ -1,10 +1,14 @@
-//! What one VM may send to upstreams of which version, and what it reports of its sends.
+//! Decides which versions of a service's upstreams one VM may send requests to, and collects the
+//! outcomes that it reports.
 //!
-//! Invariants: nothing goes to a version under trial unless the leader proved lately that the trial
-//! still runs; nothing goes to one that was rolled back; a version that this VM saw for the first time
-//! after the last proof waits for the next, since the order that puts it under trial may be on its way.
-//! Where all upstreams of a service have one version there is nothing to prove.
-//! See `docs/design/rollouts.md`.
+//! The VM has a copy of the leader's table of orders. A proof is a grant of the leader that
+//! confirms that this copy was complete when the VM sent the renewal that the grant answers.
+//!
+//! Invariants: a version under trial gets requests only while a recent proof confirms that the
+//! trial still runs; a version that was rolled back gets none; a version that this VM first saw
+//! after the last proof waits for the next proof, because the order that puts it under trial may
+//! not have arrived yet. A service whose upstreams all have one version needs no proof. See
+//! `docs/design/rollouts.md`.
 
 use std::collections::HashMap;
 
@@ -18,84 +22,89 @@
 use crate::state::rollout_order::{RolloutPhase, RolloutRow, RolloutTable, VersionKey};
 use crate::state::upstream_list::UpstreamEntry;
 
-/// A proof of what orders there are holds for so long, in milliseconds: four renewals. It is part of
-/// the time that a roll-back may take to reach a VM that receives nothing, 5,000 ms on the deployments
-/// known.
-pub const PROOF_MS: u64 = 1500;
+/// How long a proof stays valid, in milliseconds: four renewals. A VM that receives nothing sends
+/// to a rolled-back version until its proof expires, so this is part of the time that a roll-back
+/// may take, which is 5,000 ms on the known deployments.
+pub const PROOF_VALID_MS: u64 = 1500;
 
-/// What a VM reports to the leader of one order that runs.
+/// A VM's report to the leader on one running order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RolloutNote {
-    /// The service, hashed as a version is.
+pub struct RolloutReport {
+    /// The hash of the service's name, made like the key of a version.
     pub service: VersionKey,
-    /// The order's number.
+    /// The order's number within its service.
     pub number: u64,
-    /// The last step that the VM knows.
+    /// The last step of the order that the VM received.
     pub step: u64,
-    /// Its requests in flight at upstreams of other versions than the target.
+    /// The number of its requests in flight at upstreams of other versions than the target.
     pub base_in_flight: u32,
-    /// How its sends went since the order.
+    /// The outcomes of its requests since the order, by route.
     pub rows: Vec<RouteSums>,
 }
 
-/// A change of an order, for a VM's log.
+/// A change of an order's phase, for a VM's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RolloutNews {
+pub struct PhaseChange {
     /// The service.
     pub service: String,
-    /// The target's name.
+    /// The name of the target version.
     pub target: String,
     /// The order's number.
     pub number: u64,
-    /// Its phase now.
+    /// The new phase.
     pub phase: RolloutPhase,
 }
 
-/// Which upstreams a request may go to, beside all that holds without roll-outs.
+/// The group of upstreams that a request may be sent to during a roll-out. Rules that don't depend
+/// on versions apply in addition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutLane {
-    /// Those that its service's traffic goes to.
+    /// The upstreams that the service's regular traffic goes to.
     Usual,
-    /// Those of the target that the trial goes to.
+    /// The upstreams of the target that take part in the trial.
     Trial,
-    /// Those that the traffic is being moved away from, since the target's have no room.
-    Back,
+    /// The upstreams that the traffic is being moved away from, used while those of the target have
+    /// no capacity.
+    Fallback,
 }
 
-/// Why a request is sent to an upstream of one side.
+/// The reason for sending a request to an upstream of one side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendReason {
-    /// It isn't one of the trial's.
+    /// The request is regular traffic, not part of the trial.
     Usual,
-    /// The target had less than its share of the route's requests at this VM.
+    /// The target had less than its share of this VM's requests on the route.
     Share,
-    /// It is one of those that are handed out at the start, beside the share.
+    /// The request belongs to the head start: the requests that the target gets at the start in
+    /// addition to its share.
     HeadStart,
-    /// The traffic is moved to the target.
+    /// The service's traffic is being moved to the target.
     Moved,
 }
 
 impl SendReason {
-    /// For logs.
+    /// Returns the reason as text for the log.
     pub fn text(self) -> &'static str {
         match self {
-            SendReason::Usual => "it isn't one of the trial's",
-            SendReason::Share => "the trial's share of this route isn't used up at this VM",
-            SendReason::HeadStart => "it is one of those handed out at the trial's start",
-            SendReason::Moved => "the traffic is moved there",
+            SendReason::Usual => "it isn't part of the trial",
+            SendReason::Share => {
+                "the target is below its share of this route's requests at this VM"
+            }
+            SendReason::HeadStart => "it is part of the trial's head start",
+            SendReason::Moved => "the traffic is being moved there",
         }
     }
 }
 
-/// The order that a send belongs to, to note its end.
+/// Assigns a request to an order, a route and a side, so that its outcome can be counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrialTag {
     service: String,
     number: u64,
     route: RouteKey,
-    /// Which side of the roll-out it is on.
+    /// The side of the roll-out that the upstream belongs to.
     pub arm: RolloutArm,
-    /// Why it goes there.
+    /// The reason for sending the request there.
     pub reason: SendReason,
 }
 
@@ -105,31 +114,31 @@
     evidence: EvidenceLedger,
 }
 
-/// What one VM knows of roll-outs.
+/// One VM's copy of the table of orders, and its counts for the running ones.
 #[derive(Clone, Debug, Default)]
-pub struct RolloutWatch {
+pub struct RolloutTracker {
     table: RolloutTable,
     proved_ms: Option<u64>,
     running: HashMap<String, RunningTrial>,
     counts: HashMap<String, RolloutCounts>,
 }
 
-impl RolloutWatch {
-    /// The orders, as far as this VM received them.
+impl RolloutTracker {
+    /// Returns the orders that this VM received.
     pub fn table(&self) -> &RolloutTable {
         &self.table
     }
 
-    /// Takes the orders as the leader sent them, unless they are older than what is known; returns
-    /// what is new. `seed` is another one in each life of a process.
+    /// Replaces the table by the one that the leader sent, unless that is older, and returns the
+    /// changes of phases. `seed` differs between the incarnations of a process.
     pub fn take(
         &mut self,
         table: RolloutTable,
         bound: ExposureBound,
         seed: u64,
-    ) -> Vec<RolloutNews> {
+    ) -> Vec<PhaseChange> {
         let Some(before) = self.table.take_later(table) else { return Vec::new() };
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for row in self.table.rows() {
             let (service, number) = (&row.order.service, row.order.number);
             let known = before.row(service).map(|row| (row.order.number, row.phase));
@@ -137,7 +146,12 @@
                 continue;
             }
             let target = row.order.target.clone();
-            news.push(RolloutNews { service: service.clone(), target, number, phase: row.phase });
+            changes.push(PhaseChange {
+                service: service.clone(),
+                target,
+                number,
+                phase: row.phase,
+            });
             if known.is_none_or(|(known, _)| known != number) {
                 self.counts.insert(service.clone(), RolloutCounts::default());
             }
@@ -151,56 +165,61 @@
                 self.running.insert(service.clone(), RunningTrial { ledger, evidence });
             }
         }
-        news
+        changes
     }
 
-    /// What is known was surely all there was at `at_ms`.
+    /// Notes that the table was complete at `at_ms`.
     pub fn prove(&mut self, at_ms: u64) {
         self.proved_ms = self.proved_ms.max(Some(at_ms));
     }
 
-    /// When what is known was surely all there was; `None` before the first proof.
+    /// Returns the time at which the table was last proved complete, or `None` before the first
+    /// proof.
     pub fn proved_ms(&self) -> Option<u64> {
         self.proved_ms
     }
 
     fn is_fresh(&self, now_ms: u64) -> bool {
-        self.proved_ms.is_some_and(|proved_ms| proved_ms + PROOF_MS > now_ms)
+        self.proved_ms.is_some_and(|proved_ms| proved_ms + PROOF_VALID_MS > now_ms)
     }
 
     fn running_row(&self, service: &str) -> Option<&RolloutRow> {
         self.table.row(service).filter(|row| !row.phase.is_end())
     }
 
-    /// Whether a service's traffic is being moved.
+    /// Returns whether an order of the service is in progress.
     pub fn is_running(&self, service: &str) -> bool {
         self.running_row(service).is_some()
     }
 
-    /// Where a request on this route goes first.
+    /// Returns the group of upstreams to try first for a request on this route.
     pub fn lane(&self, service: &str, route: RouteKey, now_ms: u64) -> RolloutLane {
-        let tries = self.running_row(service).is_some_and(|row| row.phase == RolloutPhase::Trial);
+        let in_trial =
+            self.running_row(service).is_some_and(|row| row.phase == RolloutPhase::Trial);
         let may_try = || self.running.get(service).is_some_and(|run| run.ledger.may_try(route));
-        match tries && self.is_fresh(now_ms) && may_try() {
+        match in_trial && self.is_fresh(now_ms) && may_try() {
             true => RolloutLane::Trial,
             false => RolloutLane::Usual,
         }
     }
 
-    /// Whether requests that find no upstream may go back to those that the traffic is moved from.
-    pub fn may_go_back(&self, service: &str) -> bool {
+    /// Returns whether a request that finds no available upstream may be sent to the upstreams that
+    /// the traffic is being moved away from.
+    pub fn may_fall_back(&self, service: &str) -> bool {
         self.running_row(service).is_some_and(|row| row.phase == RolloutPhase::Shift)
     }
 
-    /// Whether versions say nothing of a service: it never got an order, and all its upstreams have the
-    /// same. That is so at nearly every choice, and found without a look at when each was seen.
+    /// Returns whether versions are irrelevant for a service: it never had an order, and all its
+    /// upstreams have the same version. This holds for nearly every choice, and is cheaper to check
+    /// than the times at which versions were first seen.
     pub fn is_plain(&self, service: &str, mut versions: impl Iterator<Item = VersionKey>) -> bool {
         let first = versions.next();
         self.table.row(service).is_none() && versions.all(|version| Some(version) == first)
     }
 
-    /// Who of a service's upstreams may get a request; `may_be_tried` selects which upstreams could take
-    /// part in a trial, by their zone and health.
+    /// Returns the rule that selects the upstreams of a service by version. `upstreams` has each
+    /// upstream with the time at which it was first seen; `may_be_tried` returns whether its zone
+    /// and health allow it to take part in a trial.
     pub fn rule<'a>(
         &self,
         service: &str,
@@ -220,7 +239,8 @@
                 let of_target = of_target.filter(|entry| entry.version == target);
                 let able: Vec<&UpstreamEntry> =
                     of_target.clone().filter(|entry| may_be_tried(entry)).collect();
-                rule.only = Some(tried(&able, share, of_target.count(), row.order.number));
+                rule.only =
+                    Some(trial_upstreams(&able, share, of_target.count(), row.order.number));
             }
             (RolloutPhase::Shift, RolloutLane::Usual | RolloutLane::Trial)
                 if self.is_fresh(now_ms) =>
@@ -241,8 +261,8 @@
         rule
     }
 
-    /// A request is sent to an upstream of this version; the tag reports its end to
-    /// [`RolloutWatch::note_end`].
+    /// Counts a request that is sent to an upstream of this version. The returned tag is passed to
+    /// [`RolloutTracker::note_end`] when the request ends.
     pub fn note_sent(
         &mut self,
         service: &str,
@@ -265,7 +285,8 @@
         Some(TrialTag { service: service.to_string(), number, route, arm, reason })
     }
 
-    /// A send has ended. True when the leader should hear of it soon.
+    /// Counts the outcome of a request. Returns true if the leader should get a report soon,
+    /// because the target failed.
     pub fn note_end(&mut self, tag: &TrialTag, outcome: &TrialOutcome) -> bool {
         let Some(run) = self.running.get_mut(&tag.service) else { return false };
         if run.evidence.number != tag.number {
@@ -279,13 +300,13 @@
         bad && tag.arm == RolloutArm::Target
     }
 
-    /// What to report to the leader; `base_in_flight` counts this VM's requests at a service's upstreams of
-    /// other versions than this one.
-    pub fn notes(&self, base_in_flight: impl Fn(&str, VersionKey) -> u32) -> Vec<RolloutNote> {
+    /// Returns the reports to the leader. `base_in_flight` returns the number of this VM's requests
+    /// in flight at the service's upstreams of other versions than the given one.
+    pub fn reports(&self, base_in_flight: impl Fn(&str, VersionKey) -> u32) -> Vec<RolloutReport> {
         let rows = self.table.rows().iter().filter(|row| !row.phase.is_end());
         rows.filter_map(|row| {
             let run = self.running.get(&row.order.service)?;
-            Some(RolloutNote {
+            Some(RolloutReport {
                 service: VersionKey::of(&row.order.service),
                 number: row.order.number,
                 step: row.step,
@@ -296,15 +317,16 @@
         .collect()
     }
 
-    /// For operators: what this VM sent since the last order of a service began, as far as it knew
-    /// of it while it ran.
+    /// Returns the counts of this VM since the last order of a service began, for operators. They
+    /// include only the time in which this VM had the order and it was running.
     pub fn counts(&self, service: &str) -> RolloutCounts {
         self.counts.get(service).copied().unwrap_or_default()
     }
 }
 
-/// The upstreams that a trial goes to: the same at each VM that knows the same list.
-fn tried(
+/// Selects the upstreams that take part in a trial. All VMs with the same list select the same
+/// ones.
+fn trial_upstreams(
     able: &[&UpstreamEntry],
     bound: Option<ExposureBound>,
     of_target: usize,
@@ -319,7 +341,7 @@
 
 struct SeenVersion {
     version: VersionKey,
-    /// When the first of its upstreams that are there was seen.
+    /// When the first of its current upstreams was seen, in milliseconds.
     first_ms: u64,
 }
 
@@ -339,7 +361,7 @@
         SeenVersions { rows }
     }
 
-    /// Those that came after the last proof, unless there is just one.
+    /// Returns the versions first seen after the last proof, or none if there is only one version.
     fn unproved(&self, proved_ms: Option<u64>) -> Vec<VersionKey> {
         if self.rows.len() <= 1 {
             return Vec::new();
@@ -350,7 +372,7 @@
     }
 }
 
-/// Which upstreams of a service get nothing now, on account of their versions.
+/// Selects the upstreams of a service that get no requests because of their version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionRule {
     withheld: Vec<VersionKey>,
@@ -358,7 +380,7 @@
 }
 
 impl VersionRule {
-    /// Whether an upstream gets nothing.
+    /// Returns whether an upstream gets no requests.
     pub fn withholds(&self, entry: &UpstreamEntry) -> bool {
         match &self.only {
             Some(only) => !only.contains(&entry.key()),
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -10,7 +10,7 @@
 use crate::coordination::fleet_health::HealthReport;
 use crate::coordination::holder_news::{HolderMark, HolderNote};
 use crate::coordination::raft_message::RaftMessage;
-use crate::coordination::rollout_watch::RolloutNote;
+use crate::coordination::rollout_watch::RolloutReport;
 use crate::coordination::silence::DarkMark;
 use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
 use crate::coordination::vm_roster::{RosterMark, RosterNews, RosterRow};
@@ -304,7 +304,7 @@
     /// This life of its process; a later one has another number.
     pub life: u64,
     /// What it reports of roll-outs that run.
-    pub rollouts: Vec<RolloutNote>,
+    pub rollouts: Vec<RolloutReport>,
     /// How many changes it knows of requests that end upstreams.
     pub quarantine_changes: u64,
     /// Upstreams that ended under requests.
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -43,8 +43,8 @@
         }
         let pick = self.choose_in(RolloutLane::Usual, service, rule, room, tried);
         match pick {
-            Err(fault) if self.node.may_go_back(&service.name) => {
-                let back = self.choose_in(RolloutLane::Back, service, rule, room, tried);
+            Err(fault) if self.node.may_fall_back(&service.name) => {
+                let back = self.choose_in(RolloutLane::Fallback, service, rule, room, tried);
                 back.map_err(|_| fault)
             }
             pick => pick,
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -129,8 +129,8 @@
             zone_orders: self.zones.borrow().watch.orders.taken(),
             doubts,
             dark,
-            rollout_changes: self.rollouts.borrow().watch().table().changes(),
-            life: self.rollouts.borrow().life(),
+            rollout_changes: self.rollouts.borrow().tracker().table().changes(),
+            life: self.rollouts.borrow().incarnation(),
             rollouts: self.rollout_notes(),
             quarantine_changes,
             crashes,
@@ -266,7 +266,7 @@
     /// The same for orders of zones and roll-outs. Other VMs prove the configuration too, and prove
     /// nothing of orders: only the leader does.
     pub async fn confirm_orders(&self, since_ms: u64, patience: Duration) -> bool {
-        let proved = || self.rollouts.borrow().watch().proved_ms() >= Some(since_ms);
+        let proved = || self.rollouts.borrow().tracker().proved_ms() >= Some(since_ms);
         self.wait_for_proof(patience, proved).await
     }
 
--- a/lib/src/transport/vm_fleet_calls.rs
+++ b/lib/src/transport/vm_fleet_calls.rs
@@ -73,7 +73,7 @@
         return not_sure();
     }
     let desk = node.rollouts.borrow();
-    let watch = desk.watch();
+    let watch = desk.tracker();
     let rows = watch.table().rows().iter();
     let mut views: Vec<RolloutView> =
         rows.map(|row| RolloutView::new(row, &watch.counts(&row.order.service))).collect();
@@ -98,8 +98,8 @@
 
 fn row_answer(node: &Rc<VmNode>, service: &str) -> Response<AnswerBody> {
     let desk = node.rollouts.borrow();
-    match desk.watch().table().row(service) {
-        Some(row) => value_answer(&RolloutView::new(row, &desk.watch().counts(service))),
+    match desk.tracker().table().row(service) {
+        Some(row) => value_answer(&RolloutView::new(row, &desk.tracker().counts(service))),
         None => own_answer(StatusCode::NOT_FOUND, "there was none of this service"),
     }
 }
@@ -114,6 +114,6 @@
 impl VmNode {
     fn last_rollout(&self, service: &str) -> Option<u64> {
         let desk = self.rollouts.borrow();
-        desk.watch().table().row(service).map(|row| row.order.number)
+        desk.tracker().table().row(service).map(|row| row.order.number)
     }
 }
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -160,7 +160,7 @@
     fn take_orders(&self, zones: Option<ZoneOrders>, rollouts: Option<RolloutTable>, sent_ms: u64) {
         zones.into_iter().for_each(|orders| self.take_zones(orders));
         rollouts.into_iter().for_each(|table| self.take_rollouts(table));
-        self.rollouts.borrow_mut().watch_mut().prove(sent_ms);
+        self.rollouts.borrow_mut().tracker_mut().prove(sent_ms);
     }
 
     fn learn_holders(&self, notes: &[HolderNote], now_ms: u64) {
@@ -265,7 +265,7 @@
         let failing = self.take_health_reports(keeper.term(), &own_reports, now_ms);
         let doubts = self.silence.borrow_mut().view.take_doubts();
         self.take_doubts(keeper.term(), self.id, &doubts);
-        let (life, notes) = (self.rollouts.borrow().life(), self.rollout_notes());
+        let (life, notes) = (self.rollouts.borrow().incarnation(), self.rollout_notes());
         self.take_rollout_notes(keeper.term(), self.id, life, notes);
         self.hear_own_crashes(keeper.term(), &keeper.record.quarantine, now_ms);
         let mut view = self.view.borrow_mut();
@@ -280,7 +280,7 @@
         view.vms = view.roster.rows.len();
         view.reports.note(&keeper.roster.loads(), &loads);
         let zones = keeper.record.zones.news(self.zones.borrow().watch.orders.taken());
-        let known = self.rollouts.borrow().watch().table().changes();
+        let known = self.rollouts.borrow().tracker().table().changes();
         self.take_orders(zones, keeper.record.rollouts.news(known), now_ms);
         self.contact.borrow_mut().note_grant(now_ms, keeper.record.document.version);
         self.contact_changed.notify_waiters();
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -273,7 +273,7 @@
         };
         // Engines of a version that is rolled out replace none yet, and need seats before all traffic
         // comes: without seats all prompts would go to the first of them.
-        let runs = |service: &String| self.rollouts.borrow().watch().is_running(service);
+        let runs = |service: &String| self.rollouts.borrow().tracker().is_running(service);
         let patient = patient.into_iter().filter(|service| !runs(service)).collect();
         seats.seat(&mut rows, &self.upstreams.borrow(), &patient, now_ms);
         if seats != before {
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -173,7 +173,9 @@
             "wingshed_leads" => u64::from(self.leads(now_ms)),
             "wingshed_term" => keeper.as_ref().map_or(0, |keeper| keeper.term()),
             "wingshed_voters" => keeper.as_ref().map_or(0, |keeper| keeper.voters() as u64),
-            "wingshed_rollouts_known" => self.rollouts.borrow().watch().table().rows().len() as u64,
+            "wingshed_rollouts_known" => {
+                self.rollouts.borrow().tracker().table().rows().len() as u64
+            }
             other => unreachable!("{other} is no plain figure"),
         }
     }
@@ -190,7 +192,7 @@
 
     fn write_rollout_rows(&self, text: &mut String, name: &str) {
         let desk = self.rollouts.borrow();
-        let watch = desk.watch();
+        let watch = desk.tracker();
         let mut rows: Vec<&RolloutRow> = watch.table().rows().iter().collect();
         rows.sort_unstable_by_key(|row| &row.order.service);
         for row in rows {
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -35,7 +35,7 @@
 use crate::coordination::quarantine_desk::QuarantineDesk;
 use crate::coordination::raft_message::HEARTBEAT_MS;
 use crate::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
-use crate::coordination::rollout_desk::RolloutDesk;
+use crate::coordination::rollout_desk::RolloutState;
 use crate::coordination::silence_desk::SilenceDesk;
 use crate::coordination::upstream_choice::PrefixMemory;
 use crate::coordination::upstream_load::{LoadReports, SharedLoads, UpstreamLoad};
@@ -170,7 +170,7 @@
     /// Orders of operators that a leader elsewhere was asked to take.
     pub orders: RefCell<OrderDesk>,
     /// Roll-outs.
-    pub rollouts: RefCell<RolloutDesk>,
+    pub rollouts: RefCell<RolloutState>,
     /// Requests that end upstreams.
     pub quarantine: RefCell<QuarantineDesk>,
     /// Upstreams that are silent.
@@ -253,7 +253,7 @@
             health: RefCell::default(),
             zones: RefCell::default(),
             orders: RefCell::default(),
-            rollouts: RefCell::new(RolloutDesk::new(seed)),
+            rollouts: RefCell::new(RolloutState::new(seed)),
             quarantine: RefCell::default(),
             silence: RefCell::default(),
             silence_changed: Notify::new(),
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -16,9 +16,9 @@
 use super::vm_orders::{ANSWER_TIME, ORDER_MS};
 use super::vm_relay::AnswerBody;
 use crate::coordination::rollout_evidence::{RolloutArm, RouteKey, TrialOutcome};
-use crate::coordination::rollout_lead::{ProposedStep, TargetStanding};
+use crate::coordination::rollout_lead::{ProposedStep, TargetStatus};
 use crate::coordination::rollout_share::{sharing_vms, ExposureBound};
-use crate::coordination::rollout_watch::{RolloutLane, RolloutNote, TrialTag, VersionRule};
+use crate::coordination::rollout_watch::{RolloutLane, RolloutReport, TrialTag, VersionRule};
 use crate::coordination::vm_roster::overloaded_renew_ms;
 use crate::protocol::vm_wire::{FleetOrder, OrderEnd, RolloutWish, VmDatagram, VmId};
 use crate::protocol::wire_adapter::RolloutCall;
@@ -89,7 +89,7 @@
         return not_sure();
     }
     let desk = node.rollouts.borrow();
-    let Some(row) = desk.watch().table().row(&service) else {
+    let Some(row) = desk.tracker().table().row(&service) else {
         return own_answer(StatusCode::NOT_FOUND, "there was none of this service");
     };
     json_answer(node.adapter.write_rollout(row))
@@ -114,7 +114,7 @@
             service: call.service.clone(),
             target: call.target.clone(),
             duration_ms: call.duration_ms,
-            after: desk.watch().table().row(&call.service).map_or(0, |row| row.order.number),
+            after: desk.tracker().table().row(&call.service).map_or(0, |row| row.order.number),
         }
     }
 
@@ -192,14 +192,14 @@
     }
 
     /// What this VM reports to the leader of roll-outs that run.
-    pub(super) fn rollout_notes(&self) -> Vec<RolloutNote> {
+    pub(super) fn rollout_notes(&self) -> Vec<RolloutReport> {
         let desk = self.rollouts.borrow();
-        if !desk.watch().table().any_runs() {
+        if !desk.tracker().table().any_runs() {
             return Vec::new();
         }
         let upstreams = self.upstreams.borrow();
         let in_flight = self.in_flight.borrow();
-        desk.watch().notes(|service, target| {
+        desk.tracker().reports(|service, target| {
             let others = upstreams.of_service(service).filter(|(_, row)| row.version != target);
             others.map(|(key, _)| in_flight.get(&key).copied().unwrap_or(0)).sum()
         })
@@ -211,10 +211,10 @@
         term: u64,
         vm: VmId,
         life: u64,
-        notes: Vec<RolloutNote>,
+        notes: Vec<RolloutReport>,
     ) {
         let now_ms = self.now_ms();
-        self.rollouts.borrow_mut().take_notes(term, vm, life, notes, now_ms);
+        self.rollouts.borrow_mut().take_reports(term, vm, life, notes, now_ms);
     }
 
     /// A request is sent to an upstream; the tag is for its end, while its service is rolled out.
@@ -226,14 +226,14 @@
         attempt: &str,
     ) -> Option<TrialTag> {
         let mut desk = self.rollouts.borrow_mut();
-        if !desk.watch().is_running(service) {
+        if !desk.tracker().is_running(service) {
             return None;
         }
         let route = RouteKey::of(&rule.host, &rule.prefix);
-        let tag = desk.watch_mut().note_sent(service, route, entry.version)?;
+        let tag = desk.tracker_mut().note_sent(service, route, entry.version)?;
         if tag.arm == RolloutArm::Target {
-            let counts = desk.watch().counts(service);
-            let row = desk.watch().table().row(service)?;
+            let counts = desk.tracker().counts(service);
+            let row = desk.tracker().table().row(service)?;
             info!(
                 target: "rollout", attempt, service, to = row.order.target,
                 number = row.order.number, phase = ?row.phase, why = tag.reason.text(),
@@ -247,22 +247,22 @@
     /// Where a request of this route goes first, `first` saying whether it was sent nowhere before.
     pub(super) fn rollout_lane(&self, service: &str, rule: &RouteRule, first: bool) -> RolloutLane {
         let desk = self.rollouts.borrow();
-        if !first || !desk.watch().is_running(service) {
+        if !first || !desk.tracker().is_running(service) {
             return RolloutLane::Usual;
         }
-        desk.watch().lane(service, RouteKey::of(&rule.host, &rule.prefix), self.now_ms())
+        desk.tracker().lane(service, RouteKey::of(&rule.host, &rule.prefix), self.now_ms())
     }
 
     /// Whether requests for a service that find no room may go back to its old upstreams.
-    pub(super) fn may_go_back(&self, service: &str) -> bool {
-        self.rollouts.borrow().watch().may_go_back(service)
+    pub(super) fn may_fall_back(&self, service: &str) -> bool {
+        self.rollouts.borrow().tracker().may_fall_back(service)
     }
 
     /// Which upstreams of a service get nothing in this lane, on account of their versions.
     pub(super) fn version_rule(&self, service: &str, lane: RolloutLane) -> VersionRule {
         let (upstreams, desk) = (self.upstreams.borrow(), self.rollouts.borrow());
         let versions = upstreams.of_service(service).map(|(_, entry)| entry.version);
-        if desk.watch().is_plain(service, versions) {
+        if desk.tracker().is_plain(service, versions) {
             return VersionRule::default();
         }
         let (zones, outliers) = (self.zones.borrow(), self.outliers.borrow());
@@ -273,7 +273,7 @@
             let reached = !outliers.is_gone(key) && !self.is_dark(key);
             entry.takes_work() && reached && !zones.watch.is_emptied(&entry.zone)
         };
-        desk.watch().rule(service, lane, seen, may_be_tried, self.now_ms())
+        desk.tracker().rule(service, lane, seen, may_be_tried, self.now_ms())
     }
 
     /// A send has ended, as evidence of its version.
@@ -320,23 +320,23 @@
         self.step_keeper(|keeper, now_ms| keeper.order(command, now_ms).1);
     }
 
-    fn target_standing(&self, keeper: &KeeperDriver, row: &RolloutRow) -> TargetStanding {
+    fn target_standing(&self, keeper: &KeeperDriver, row: &RolloutRow) -> TargetStatus {
         let (service, target) = (row.order.service.as_str(), row.target());
         let upstreams = self.upstreams.borrow();
         let zones = self.zones.borrow();
         let now_ms = self.now_ms();
         let silence = self.silence.borrow();
-        let mut standing = TargetStanding {
-            places: self.places(service).unwrap_or(0),
+        let mut standing = TargetStatus {
+            slots: self.places(service).unwrap_or(0),
             hold_ms: self.mean_hold_ms(service),
-            ..TargetStanding::default()
+            ..TargetStatus::default()
         };
         for (key, entry) in upstreams.taking(service) {
             let able = !entry.cold
                 && !zones.watch.is_emptied(&entry.zone)
                 && !silence.view.is_dark(key, now_ms);
             match entry.version == target {
-                true => standing.able += usize::from(able),
+                true => standing.available += usize::from(able),
                 false => standing.others += 1,
             }
         }
--- a/lib/tests/test_rollout_lead.rs
+++ b/lib/tests/test_rollout_lead.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use wingshed_lib::coordination::rollout_evidence::{EvidenceLedger, RolloutArm, TrialOutcome};
-use wingshed_lib::coordination::rollout_lead::{RolloutLead, TargetStanding};
-use wingshed_lib::coordination::rollout_watch::{RolloutNote, RolloutWatch};
+use wingshed_lib::coordination::rollout_lead::{RolloutController, TargetStatus};
+use wingshed_lib::coordination::rollout_watch::{RolloutReport, RolloutTracker};
 use wingshed_lib::state::rollout_order::{
     RolloutCommand, RolloutOrder, RolloutPhase, RolloutRow, RolloutStep, RolloutTable, VersionKey,
 };
@@ -14,23 +14,23 @@
 use testutils::rollouts::{order, step, table, BOUND, ROUTE};
 
 struct LedFleet {
-    lead: RolloutLead,
+    lead: RolloutController,
     table: RolloutTable,
-    standing: TargetStanding,
+    standing: TargetStatus,
     vms: BTreeSet<u32>,
 }
 
 impl LedFleet {
     fn new() -> LedFleet {
-        let mut lead = RolloutLead::default();
+        let mut lead = RolloutController::default();
         // It looked at an empty log before: it hasn't just started.
         lead.observe(&[], 900);
-        let standing = TargetStanding {
-            able: 4,
+        let standing = TargetStatus {
+            available: 4,
             others: 4,
             other_versions: vec![VersionKey::of("v1")],
             in_flight: 2,
-            places: 4,
+            slots: 4,
             hold_ms: 100.0,
         };
         LedFleet { lead, table: table(&[]), standing, vms: BTreeSet::from([1, 2]) }
@@ -42,7 +42,7 @@
         self.lead.observe(self.table.rows(), now_ms);
         let row = &self.table.rows()[0];
         for (vm, base_in_flight) in [1, 2].into_iter().zip(in_flight) {
-            let mut watch = RolloutWatch::default();
+            let mut watch = RolloutTracker::default();
             watch.take(self.table.clone(), BOUND, 1);
             let sent = watch.note_sent("s1", ROUTE, row.target());
             if let Some(tag) = sent {
@@ -52,7 +52,7 @@
                     watch.note_end(&tag, &outcome);
                 }
             }
-            let notes: Vec<RolloutNote> = watch.notes(|_, _| base_in_flight);
+            let notes: Vec<RolloutReport> = watch.reports(|_, _| base_in_flight);
             self.lead.take(5, vm, 1, notes, now_ms);
         }
     }
@@ -119,7 +119,7 @@
 #[test]
 fn a_target_without_room_is_rolled_back_at_the_deadline() {
     let mut fleet = LedFleet::new();
-    fleet.standing.able = 0;
+    fleet.standing.available = 0;
 
     let (phase, ended_ms) = fleet.next_phase(1000, [3, 3]).unwrap();
 
@@ -166,7 +166,7 @@
                 fleet.lead.observe(fleet.table.rows(), now_ms);
                 continue;
             }
-            let note = |step| RolloutNote {
+            let note = |step| RolloutReport {
                 service: VersionKey::of("s1"),
                 number: 1,
                 step,
@@ -242,7 +242,7 @@
 
 #[test]
 fn a_new_leader_counts_the_time_rather_too_long_than_too_short() {
-    let mut follower = RolloutLead::default();
+    let mut follower = RolloutController::default();
     follower.observe(&[], 0);
     let started = table(&[]);
 
@@ -250,7 +250,7 @@
     let elapsed_ms = follower.elapsed_ms("s1", 4000).unwrap();
     assert!((3000..3500).contains(&elapsed_ms), "{elapsed_ms}");
 
-    let mut restarted = RolloutLead::default();
+    let mut restarted = RolloutController::default();
     let mut noted = started.clone();
     let note = RolloutStep { spent_ms: 2000, ..step(1, 1, RolloutPhase::Trial) };
     assert!(noted.take(RolloutCommand::Step(note)));
@@ -274,14 +274,14 @@
 
 #[test]
 fn what_a_vm_told_an_earlier_leader_is_told_the_next_one_whole() {
-    let mut watch = RolloutWatch::default();
+    let mut watch = RolloutTracker::default();
     watch.take(table(&[]), BOUND, 1);
     let tag = watch.note_sent("s1", ROUTE, VersionKey::of("v2")).unwrap();
 
     for _ in 0..3 {
         watch.note_end(&tag, &TrialOutcome::Bad);
     }
-    let (first, second) = (watch.notes(|_, _| 0), watch.notes(|_, _| 0));
+    let (first, second) = (watch.reports(|_, _| 0), watch.reports(|_, _| 0));
 
     assert_eq!(first, second, "what was told once is told again");
     assert_eq!(second[0].rows[0].target.bad, 3);
@@ -292,11 +292,11 @@
     let mut both = table(&[]);
     let second = RolloutOrder { service: "s2".to_string(), ..order(1) };
     assert!(both.take(RolloutCommand::Start(second)));
-    let (mut lead, mut watch) = (RolloutLead::default(), RolloutWatch::default());
+    let (mut lead, mut watch) = (RolloutController::default(), RolloutTracker::default());
     lead.observe(&[], 900);
     watch.take(both.clone(), BOUND, 1);
     let well = TrialOutcome::Well { pace_ms: Some(20.0), first_ms: None };
-    let standing = TargetStanding { able: 4, others: 4, ..TargetStanding::default() };
+    let standing = TargetStatus { available: 4, others: 4, ..TargetStatus::default() };
     let mut ended = Vec::new();
 
     for now_ms in (1000..6000).step_by(300) {
@@ -309,7 +309,7 @@
             }
         }
         lead.observe(both.rows(), now_ms);
-        lead.take(5, 1, 1, watch.notes(|_, _| 0), now_ms);
+        lead.take(5, 1, 1, watch.reports(|_, _| 0), now_ms);
         let vms = BTreeSet::from([1]);
         let steps = lead.next_steps(both.rows(), &vms, |_| standing.clone(), 5000, now_ms);
         for proposed in steps.into_iter().filter(|proposed| proposed.step.phase.is_end()) {
--- a/lib/tests/test_rollouts.rs
+++ b/lib/tests/test_rollouts.rs
@@ -8,7 +8,7 @@
 use wingshed_lib::coordination::rollout_counts::{RolloutCounts, SideCount};
 use wingshed_lib::coordination::rollout_evidence::{RouteKey, TrialOutcome};
 use wingshed_lib::coordination::rollout_share::{sharing_vms, TrialLedger};
-use wingshed_lib::coordination::rollout_watch::{RolloutLane, RolloutWatch, PROOF_MS};
+use wingshed_lib::coordination::rollout_watch::{RolloutLane, RolloutTracker, PROOF_VALID_MS};
 use wingshed_lib::state::fleet_record::{FleetCommand, FleetRecord, RecordChange};
 use wingshed_lib::state::rollout_order::{RolloutCommand, RolloutPhase, VersionKey};
 use wingshed_lib::state::upstream_list::{EntryDoubt, UpstreamEntry};
@@ -39,7 +39,7 @@
 }
 
 /// How many upstreams of each version may get a request.
-fn admitted(watch: &RolloutWatch, lane: RolloutLane, now_ms: u64) -> (usize, usize) {
+fn admitted(watch: &RolloutTracker, lane: RolloutLane, now_ms: u64) -> (usize, usize) {
     let upstreams = upstreams();
     let seen = upstreams.iter().map(|(entry, seen_ms)| (entry, *seen_ms));
     let rule = watch.rule("s1", lane, seen, |_| true, now_ms);
@@ -50,8 +50,8 @@
     (count("v1"), count("v2"))
 }
 
-fn watch_of(phases: &[RolloutPhase], proved_ms: u64) -> RolloutWatch {
-    let mut watch = RolloutWatch::default();
+fn watch_of(phases: &[RolloutPhase], proved_ms: u64) -> RolloutTracker {
+    let mut watch = RolloutTracker::default();
     watch.take(table(phases), BOUND, 1);
     watch.prove(proved_ms);
     watch
@@ -110,7 +110,7 @@
     assert_eq!(usual(&[]), (4, 0), "a trial's usual requests");
     assert_eq!(admitted(&watch_of(&[], now_ms), RolloutLane::Trial, now_ms), (0, 1));
     assert_eq!(usual(&[Shift]), (0, 4));
-    assert_eq!(admitted(&watch_of(&[Shift], now_ms), RolloutLane::Back, now_ms), (4, 0));
+    assert_eq!(admitted(&watch_of(&[Shift], now_ms), RolloutLane::Fallback, now_ms), (4, 0));
     assert_eq!(usual(&[Shift, Complete]), (0, 4));
     assert_eq!(usual(&[RolledBack]), (4, 0));
     assert_eq!(usual(&[Shift, RolledBack]), (4, 0));
@@ -120,15 +120,15 @@
 fn a_vm_that_hears_nobody_stops_the_trial_by_itself() {
     let watch = watch_of(&[], 9000);
 
-    assert_eq!(watch.lane("s1", ROUTE, 9000 + PROOF_MS), RolloutLane::Usual);
+    assert_eq!(watch.lane("s1", ROUTE, 9000 + PROOF_VALID_MS), RolloutLane::Usual);
     let shift = watch_of(&[RolloutPhase::Shift], 9000);
-    let (of_base, of_target) = admitted(&shift, RolloutLane::Usual, 9000 + PROOF_MS);
+    let (of_base, of_target) = admitted(&shift, RolloutLane::Usual, 9000 + PROOF_VALID_MS);
     assert_eq!((of_base, of_target), (4, 0), "it may be rolled back by now");
 }
 
 #[test]
 fn a_version_that_is_new_waits_for_the_next_proof() {
-    let mut watch = RolloutWatch::default();
+    let mut watch = RolloutTracker::default();
     assert_eq!(admitted(&watch, RolloutLane::Usual, 6000), (0, 0), "told nothing since its start");
 
     watch.prove(4900);
@@ -139,7 +139,7 @@
 
 #[test]
 fn one_version_alone_needs_no_proof() {
-    let watch = RolloutWatch::default();
+    let watch = RolloutTracker::default();
     let upstreams = upstreams();
     let of_base = upstreams[..4].iter().map(|(entry, seen_ms)| (entry, *seen_ms));
 
