--- a/cli/src/rollout_play.rs
+++ b/cli/src/rollout_play.rs
@@ -242,7 +242,7 @@
         let key = RouteKey(route as u32 + 1);
         let trial = &mut self.vms[vm].1;
         let moved = tick >= self.case.move_tick();
-        let to_target = moved || trial.may_try(key);
+        let to_target = moved || trial.may_send_to_target(key);
         if !moved {
             trial.note_sent(key, to_target);
         }
--- a/lib/src/coordination/rollout_odds.rs
+++ b/lib/src/coordination/rollout_odds.rs
@@ -1,175 +1,189 @@
-//! How much likelier what a slice of a roll-out shows is when its target is unsound.
+//! Likelihood ratios of the evidence: how much more likely a slice of a roll-out is if its target
+//! is unsound.
 //!
-//! Each slice compares both sides of one route over the same time. The odds of all slices are
-//! multiplied; a change may have begun with any of them. Invariants: while the target is within the limits
-//! of a sound one, each factor is at most 1 in the mean, as far as the others' part is known; so the odds
-//! pass `1 / a` in about `a` of all orders at most, however often they are looked at. No slice counts for
-//! more than its time allows ([`MAX_SLICE_LOG`]), so that one upstream that breaks all it runs at once
-//! doesn't decide by itself. See
-//! `docs/design/rollouts.md`, "Evidence".
+//! Each slice compares both sides of one route over the same period. The odds of all slices are
+//! multiplied, and a version may become unsound with any slice. Invariants: while the target is
+//! within the limits of a sound version, the mean of each factor is at most 1, as far as the
+//! failure rate of the other versions is known; so the odds exceed `1 / a` in at most about `a` of
+//! all orders, however often they are checked. The contribution of a slice is limited by its length
+//! ([`MAX_SLICE_LOG`]), so that one upstream that breaks all its requests at once doesn't decide
+//! alone. See `docs/design/rollouts.md`, "Evidence".
 
 use super::rollout_evidence::{ArmSums, LogSums};
 
-/// How many degrees of unsoundness are weighed beside each other.
+/// The number of degrees of unsoundness that are tested in parallel.
 pub const DEGREES: usize = 3;
-/// Logarithms of odds, one for each degree.
+/// Logarithms of odds, one per degree.
 pub type DegreeLogs = [f64; DEGREES];
 
-/// The most that the shortest slice adds to the logarithm of the odds. With 3 an upstream of two that
-/// breaks what it runs and refuses for 0.3 s rolls 14 of 200 sound targets back at most, and few that
-/// fail a little are missed for it (`wingshed bench rollouts`; docs/design/rollouts.md has 2 beside it).
+/// The maximum that a slice of the shortest length adds to the logarithm of the odds. With 3, an
+/// upstream out of two that breaks its requests and refuses others for 0.3 s causes at most 14 of
+/// 200 sound targets to be rolled back, and few targets with slightly more failures are missed
+/// (`wingshed bench rollouts`; `docs/design/rollouts.md` compares it with 2).
 pub const MAX_SLICE_LOG: f64 = 3.0;
-/// And the most that it adds where the question is only which is likelier: so much less is asked for there that a
-/// moment in which an upstream breaks what it runs would decide.
+/// The same maximum for the check before traffic is moved. That check has a much lower threshold,
+/// so with a higher limit a single moment in which an upstream breaks its requests would decide.
 pub const MAX_LIKELY_LOG: f64 = 1.0;
-/// The prior that the target is unsound from the start, if it is at all.
-const FROM_START: f64 = 0.4;
-/// The prior that it turns so with a later slice, for each length of the shortest: together 1 over half
-/// a minute, so that an order of that time is found unsound wrongly 1.4 times as often as is asked for
-/// at most.
-const FROM_SLICE: f64 = 0.01;
+/// The prior probability that an unsound target is unsound from the start.
+const START_PRIOR: f64 = 0.4;
+/// The prior that the target becomes unsound in a later slice, per slice of the shortest length.
+/// Over half a minute these priors add up to 1, so with the prior of the start an order of that
+/// length is wrongly found unsound at most 1.4 times as often as the accepted rate.
+const SLICE_PRIOR: f64 = 0.01;
 
-/// The odds that the target is unsound since some slice, for each degree.
+/// The odds that the target has been unsound since any of the slices, for each degree.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeOdds {
     odds: DegreeLogs,
-    /// All priors that were added.
+    /// The sum of the priors added so far.
     prior: f64,
 }
 
 impl ChangeOdds {
-    /// Takes the next slice, which lasted `lengths` times as long as the shortest and says `most` at most.
+    /// Updates the odds by the next slice. `lengths` is its length in multiples of the shortest;
+    /// `most` limits the logarithm that it adds.
     pub fn take(&mut self, logs: &DegreeLogs, lengths: f64, most: f64) {
-        let prior = if self.prior > 0.0 { FROM_SLICE * lengths } else { FROM_START };
+        let prior = if self.prior > 0.0 { SLICE_PRIOR * lengths } else { START_PRIOR };
         self.prior += prior;
         for (odds, log) in self.odds.iter_mut().zip(logs) {
             *odds = (*odds + prior) * log.min(most).exp();
         }
     }
 
-    /// The logarithm of the mean over the degrees; below 0 while nothing shows.
+    /// Returns the logarithm of the mean over the degrees. It is below 0 while the evidence doesn't
+    /// point to an unsound target.
     pub fn log(&self) -> f64 {
         (self.odds.iter().sum::<f64>() / DEGREES as f64).max(f64::MIN_POSITIVE).ln()
     }
 
-    /// The same as a part of all priors: how much likelier what was seen is if the target is unsound, whenever
-    /// it may have turned so.
+    /// Returns the same logarithm relative to the sum of the priors: how much more likely the
+    /// evidence is if the target is unsound, whenever it may have become so.
     pub fn likelier_log(&self) -> f64 {
         self.log() - self.prior.max(f64::MIN_POSITIVE).ln()
     }
 }
 
-/// Where the line between sound and unsound is drawn for faults.
+/// The boundary between sound and unsound targets for faults, which are failures or late answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultLimits {
-    /// A sound target has them this many times as often as the others at most,
+    /// The highest rate of faults of a sound target, as a multiple of the rate of the other
+    /// versions.
     pub times: f64,
-    /// and with this part of its answers more.
-    pub beside: f64,
-    /// How much more often an unsound one has them, of the answers that are left, by degrees.
+    /// The additional share of its answers that a sound target may have as faults.
+    pub margin: f64,
+    /// The additional rate of faults of an unsound target, as a share of the remaining answers, by
+    /// degree.
     pub more: DegreeLogs,
 }
 
-/// And for times.
+/// The boundary between sound and unsound targets for times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowLimits {
-    /// A sound target is this many times slower at most.
+    /// How many times slower a sound target may be.
     pub times: f64,
-    /// How many times slower an unsound one is, by degrees.
+    /// How many times slower an unsound target is, by degree.
     pub slower: DegreeLogs,
-    /// How far the logarithms of both sides' times lie apart from slice to slice by the load of the
-    /// few upstreams that are tried.
-    pub apart: f64,
+    /// The standard deviation, from slice to slice, of the difference between the logarithms of
+    /// both sides' times. It arises from the load of the few upstreams in the trial.
+    pub deviation: f64,
 }
 
-/// Failures while both sides answer at the same time: breaks now and then are borne.
-pub const FAILURES_BESIDE: FaultLimits =
-    FaultLimits { times: 1.5, beside: 0.01, more: [0.04, 0.15, 0.45] };
-/// Failures after the other side has ended: what it was before is all there is to compare with, and
-/// what hits everything shows in the target alone.
+/// The limits for failures while both sides answer over the same period. Occasional broken
+/// connections are tolerated.
+pub const FAILURES_DURING: FaultLimits =
+    FaultLimits { times: 1.5, margin: 0.01, more: [0.04, 0.15, 0.45] };
+/// The limits for failures after the other side has stopped answering. Only its earlier answers are
+/// left to compare with, and an incident that affects all versions shows in the target alone.
 pub const FAILURES_AFTER: FaultLimits =
-    FaultLimits { times: 2.0, beside: 0.05, more: [0.15, 0.3, 0.45] };
-/// Late answers while both sides answer. A target whose few upstreams are a third slower by their load
-/// has three times as many; after the others have ended, a burst makes all late, so nothing is said.
-pub const LATE_BESIDE: FaultLimits =
-    FaultLimits { times: 1.5, beside: 0.03, more: [0.08, 0.2, 0.45] };
-/// Times while both sides answer.
-pub const SLOW_BESIDE: SlowLimits = SlowLimits { times: 1.3, slower: [2.0, 3.5, 7.0], apart: 0.2 };
-/// Times after the other side has ended: a burst that makes all three times as slow is borne.
-pub const SLOW_AFTER: SlowLimits = SlowLimits { times: 2.5, slower: [4.0, 6.0, 8.0], apart: 0.3 };
-/// No more faults than this part are taken for sound.
-const MOST_SOUND: f64 = 0.95;
+    FaultLimits { times: 2.0, margin: 0.05, more: [0.15, 0.3, 0.45] };
+/// The limits for late answers while both sides answer. A target whose few upstreams are a third
+/// slower because of their load has three times as many late answers. After the other side has
+/// stopped answering, late answers aren't evaluated, because a burst makes all answers late.
+pub const LATE_DURING: FaultLimits =
+    FaultLimits { times: 1.5, margin: 0.03, more: [0.08, 0.2, 0.45] };
+/// The limits for times while both sides answer.
+pub const SLOW_DURING: SlowLimits =
+    SlowLimits { times: 1.3, slower: [2.0, 3.5, 7.0], deviation: 0.2 };
+/// The limits for times after the other side has stopped answering. A burst that makes all answers
+/// three times as slow is tolerated.
+pub const SLOW_AFTER: SlowLimits =
+    SlowLimits { times: 2.5, slower: [4.0, 6.0, 8.0], deviation: 0.3 };
+/// The upper bound of the rate of faults of a sound target.
+const MAX_SOUND_RATE: f64 = 0.95;
 
-/// How many of the answers of one side failed, or were late.
+/// The number of faults among the answers of one side.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultCount {
-    /// Those that did.
+    /// The number of faulty answers.
     pub faulty: f64,
-    /// Those and the others.
+    /// The number of all answers.
     pub all: f64,
 }
 
 impl FaultCount {
-    /// By failures.
+    /// Counts the failures of one side.
     pub fn of_failures(arm: &ArmSums) -> FaultCount {
         FaultCount { faulty: f64::from(arm.bad), all: f64::from(arm.all()) }
     }
 
-    /// By answers that are late.
+    /// Counts the late answers of one side.
     pub fn of_late(arm: &ArmSums) -> FaultCount {
         FaultCount { faulty: f64::from(arm.late), all: f64::from(arm.compared) }
     }
 
-    fn kept(self, part: f64, beside: FaultCount) -> FaultCount {
+    fn plus_decayed(self, part: f64, beside: FaultCount) -> FaultCount {
         let (faulty, all) = (part * self.faulty + beside.faulty, part * self.all + beside.all);
         FaultCount { faulty, all }
     }
 
-    /// The part that is faulty, where `weight` answers of which `part` is are known beside.
+    /// Returns the rate of faults after adding `weight` assumed answers whose rate of faults is
+    /// `part`.
     fn part(self, part: f64, weight: f64) -> f64 {
         (self.faulty + weight * part) / (self.all + weight)
     }
 }
 
-/// What is known of the other versions' failures on a route, or on all together.
+/// The rate of faults of the other versions, on one route or on all routes together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultReference {
     whole: FaultCount,
     recent: FaultCount,
 }
 
-/// What was seen counts so much less with each further slice.
-const RECENT_KEPT: f64 = 0.7;
-/// Before anything is known one failure in so many answers is taken for granted.
-const TAKEN_FOR_GRANTED: f64 = 50.0;
-/// All routes together weigh as that many answers of a route;
+/// The factor by which recent counts are multiplied in each slice.
+const RECENT_DECAY: f64 = 0.7;
+/// The number of assumed answers, one of them faulty, before any answer is counted.
+const ASSUMED_ANSWERS: f64 = 50.0;
+/// The weight of the rate over all routes in that of one route, in answers.
 const SHARED_WEIGHT: f64 = 10.0;
-/// the whole weighs as that many of its recent answers.
+/// The weight of the overall rate of a route in its recent rate, in answers.
 const RECENT_WEIGHT: f64 = 10.0;
 
 impl FaultReference {
-    /// Takes what the other versions answered in a slice.
+    /// Adds the answers of the other versions in a slice.
     pub fn take(&mut self, base: FaultCount) {
-        self.whole = self.whole.kept(1.0, base);
-        self.recent = self.recent.kept(RECENT_KEPT, base);
+        self.whole = self.whole.plus_decayed(1.0, base);
+        self.recent = self.recent.plus_decayed(RECENT_DECAY, base);
     }
 
-    /// The part of the answers that are faulty on all routes together.
+    /// Returns the rate of faults over all routes together.
     pub fn shared_part(&self) -> f64 {
-        self.whole.part(1.0 / TAKEN_FOR_GRANTED, TAKEN_FOR_GRANTED)
+        self.whole.part(1.0 / ASSUMED_ANSWERS, ASSUMED_ANSWERS)
     }
 
-    /// The part that is faulty on this route, rather more than less: as a whole, or of late if that
-    /// is more, since what hits both sides alike is no evidence against the target.
+    /// Returns an upper estimate of the rate of faults on this route: the higher of the overall and
+    /// the recent rate, because an incident that affects both sides equally is no evidence against
+    /// the target.
     pub fn part(&self, shared: f64) -> f64 {
         let whole = self.whole.part(shared, SHARED_WEIGHT);
         whole.max(self.recent.part(whole, RECENT_WEIGHT))
     }
 }
 
-/// The logarithms of the odds by a slice's faults; `base_part` of the others' answers have them.
+/// Returns the logarithms of the odds that follow from the faults of a slice. `base_part` is the
+/// rate of faults of the other versions.
 pub fn fault_logs(target: FaultCount, base_part: f64, limits: &FaultLimits) -> DegreeLogs {
-    let sound = (limits.times * base_part + limits.beside).min(MOST_SOUND);
+    let sound = (limits.times * base_part + limits.margin).min(MAX_SOUND_RATE);
     let (faulty, good) = (target.faulty, target.all - target.faulty);
     limits.more.map(|more| {
         let unsound = sound + more * (1.0 - sound);
@@ -177,13 +191,13 @@
     })
 }
 
-/// Before anything is known, times are taken to spread that far, as the variance of their logarithms,
-/// and this counts as that many answers.
-const VARIANCE_GRANTED: (f64, f64) = (0.36, 10.0);
-/// The least variance of the logarithms.
-const LEAST_VARIANCE: f64 = 0.06;
+/// The assumed variance of the logarithms of times, and the number of answers that the assumption
+/// counts for.
+const ASSUMED_VARIANCE: (f64, f64) = (0.36, 10.0);
+/// The minimum variance of the logarithms.
+const MIN_VARIANCE: f64 = 0.06;
 
-/// How far the logarithms of times spread around the means of their routes.
+/// The spread of the logarithms of times around the means of their routes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TimeSpread {
     around_means: f64,
@@ -191,7 +205,7 @@
 }
 
 impl TimeSpread {
-    /// That of one more route beside.
+    /// Adds the times of one more route.
     pub fn with(self, route: &TimeReference) -> TimeSpread {
         let (count, sum, squares) = route.whole;
         let around_mean = (squares - sum * sum / count.max(1.0)).max(0.0);
@@ -201,20 +215,21 @@
         }
     }
 
-    /// As a variance, when before anything is known it is taken to be `granted`.
-    fn variance(&self, granted: f64) -> f64 {
-        let weight = VARIANCE_GRANTED.1;
-        let variance = (self.around_means + granted * weight) / (self.count + weight);
-        variance.max(LEAST_VARIANCE)
+    /// Returns the variance, with `assumed` as the assumed variance before any time is counted.
+    fn variance(&self, assumed: f64) -> f64 {
+        let weight = ASSUMED_VARIANCE.1;
+        let variance = (self.around_means + assumed * weight) / (self.count + weight);
+        variance.max(MIN_VARIANCE)
     }
 
-    /// On all routes together.
+    /// Returns the variance over all routes together.
     pub fn shared_variance(&self) -> f64 {
-        self.variance(VARIANCE_GRANTED.0)
+        self.variance(ASSUMED_VARIANCE.0)
     }
 }
 
-/// What is known of the other versions' times on a route.
+/// The times of the other versions on a route. `whole` has the count, the sum and the sum of the
+/// squares of their logarithms, `recent` the decayed count and sum.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TimeReference {
     whole: (f64, f64, f64),
@@ -222,7 +237,7 @@
 }
 
 impl TimeReference {
-    /// Takes the times of the other versions in a slice.
+    /// Adds the times of the other versions in a slice.
     pub fn take(&mut self, base: &LogSums) {
         let (count, sum) = (f64::from(base.count), f64::from(base.sum));
         let squares = f64::from(base.squares);
@@ -230,36 +245,37 @@
         self.whole = (counts + count, sums + sum, all_squares + squares);
         if base.count > 0 {
             let (counts, sums) = self.recent;
-            self.recent = (RECENT_KEPT * counts + count, RECENT_KEPT * sums + sum);
+            self.recent = (RECENT_DECAY * counts + count, RECENT_DECAY * sums + sum);
         }
     }
 
-    /// How many, and the mean of their logarithms, of late.
+    /// Returns the recent count and the mean of the recent logarithms, if there are any.
     fn recent(&self) -> Option<(f64, f64)> {
         let (count, sum) = self.recent;
         (count >= 1.0).then(|| (count, sum / count))
     }
 }
 
-/// The logarithms of the odds by a slice's times: of the difference of the means of logarithms,
-/// against what it may differ by. Where the others gave no answer beside, what they did before stands
-/// in if `else_before`.
+/// Returns the logarithms of the odds that follow from the times of a slice: from the difference
+/// between the means of the logarithms of both sides and its expected variance. If the other
+/// versions gave no answer in the slice, their earlier times are used instead if `use_earlier` is
+/// set.
 pub fn slow_logs(
     (target, base): (&LogSums, &LogSums),
     reference: &TimeReference,
     shared_variance: f64,
     limits: &SlowLimits,
-    else_before: bool,
+    use_earlier: bool,
 ) -> DegreeLogs {
     let beside = (base.count > 0).then(|| (f64::from(base.count), base.mean()));
-    let before = || reference.recent().filter(|_| else_before);
+    let before = || reference.recent().filter(|_| use_earlier);
     let Some((base_count, base_mean)) = beside.or_else(before) else { return [0.0; DEGREES] };
     if target.count == 0 {
         return [0.0; DEGREES];
     }
     let each = 1.0 / f64::from(target.count) + 1.0 / base_count;
     let spread = TimeSpread::default().with(reference).variance(shared_variance);
-    let variance = spread * each + limits.apart * limits.apart;
+    let variance = spread * each + limits.deviation * limits.deviation;
     let slower = target.mean() - base_mean;
     let sound = limits.times.ln();
     limits.slower.map(|times| {
--- a/lib/src/coordination/rollout_verdict.rs
+++ b/lib/src/coordination/rollout_verdict.rs
@@ -13,8 +13,8 @@
 use super::rollout_evidence::{ArmSums, LogSums, RouteKey, RouteSums};
 use super::rollout_odds::{
     fault_logs, slow_logs, ChangeOdds, DegreeLogs, FaultCount, FaultReference, TimeReference,
-    TimeSpread, DEGREES, FAILURES_AFTER, FAILURES_BESIDE, LATE_BESIDE, MAX_LIKELY_LOG,
-    MAX_SLICE_LOG, SLOW_AFTER, SLOW_BESIDE,
+    TimeSpread, DEGREES, FAILURES_AFTER, FAILURES_DURING, LATE_DURING, MAX_LIKELY_LOG,
+    MAX_SLICE_LOG, SLOW_AFTER, SLOW_DURING,
 };
 
 /// The accepted rate of false positives: the share of all orders in which a sound target is found
@@ -172,12 +172,12 @@
     /// stopped answering, so that only their earlier answers are left to compare with.
     fn logs(&self, slice: &RouteSums, shared: &SharedReference, after: bool) -> SignalLogs {
         let (base, target) = (&slice.base, &slice.target);
-        let failures = if after { &FAILURES_AFTER } else { &FAILURES_BESIDE };
-        let slow = if after { &SLOW_AFTER } else { &SLOW_BESIDE };
+        let failures = if after { &FAILURES_AFTER } else { &FAILURES_DURING };
+        let slow = if after { &SLOW_AFTER } else { &SLOW_DURING };
         let late_part = self.late.part(shared.late);
         let late = match after {
             true => [0.0; DEGREES],
-            false => fault_logs(FaultCount::of_late(target), late_part, &LATE_BESIDE),
+            false => fault_logs(FaultCount::of_late(target), late_part, &LATE_DURING),
         };
         let failing = self.failures.part(shared.failing);
         let (pace, first) = ((&target.pace, &base.pace), (&target.first, &base.first));
--- a/lib/src/coordination/rollout_watch.rs
+++ b/lib/src/coordination/rollout_watch.rs
@@ -196,7 +196,8 @@
     pub fn lane(&self, service: &str, route: RouteKey, now_ms: u64) -> RolloutLane {
         let in_trial =
             self.running_row(service).is_some_and(|row| row.phase == RolloutPhase::Trial);
-        let may_try = || self.running.get(service).is_some_and(|run| run.ledger.may_try(route));
+        let may_try =
+            || self.running.get(service).is_some_and(|run| run.ledger.may_send_to_target(route));
         match in_trial && self.is_fresh(now_ms) && may_try() {
             true => RolloutLane::Trial,
             false => RolloutLane::Usual,
@@ -335,7 +336,7 @@
     let Some(bound) = bound else { return Vec::new() };
     let mut keys: Vec<UpstreamKey> = able.iter().map(|entry| entry.key()).collect();
     keys.sort_by_cached_key(|key| std::cmp::Reverse(rendezvous_score(number, key.0)));
-    keys.truncate(bound.tried_upstreams(of_target));
+    keys.truncate(bound.trial_upstream_count(of_target));
     keys
 }
 
--- a/lib/tests/test_rollouts.rs
+++ b/lib/tests/test_rollouts.rs
@@ -208,7 +208,7 @@
             // A few VMs get most, for a while.
             let vm = rng.gen_range(0..vms).min(rng.gen_range(0..vms + at % 7));
             let route = RouteKey(rng.gen_range(0..routes).min(rng.gen_range(0..routes)));
-            let tries = ledgers[vm].may_try(route);
+            let tries = ledgers[vm].may_send_to_target(route);
             ledgers[vm].note_sent(route, tries);
             all += 1;
             target += u64::from(tries);
@@ -224,7 +224,7 @@
         let ledgers = (0..63).map(|seed| TrialLedger::new(BOUND, Some(vms), seed));
         let tried = |mut ledger: TrialLedger| {
             let next = |_| {
-                let tries = ledger.may_try(ROUTE);
+                let tries = ledger.may_send_to_target(ROUTE);
                 ledger.note_sent(ROUTE, tries);
                 u64::from(tries)
             };
