--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -119,11 +119,11 @@
         let outcomes =
             run_cases(&table, &source).map_err(|error| format!("{}: {error}", table.policy))?;
         for outcome in &outcomes {
-            let mark = if outcome.missed.is_empty() { "ok" } else { "MISSED" };
+            let mark = if outcome.differences.is_empty() { "ok" } else { "MISSED" };
             println!("{}: {}: {mark}", path.display(), outcome.name);
-            outcome.missed.iter().for_each(|text| println!("    {text}"));
+            outcome.differences.iter().for_each(|text| println!("    {text}"));
         }
-        good &= outcomes.iter().all(|outcome| outcome.missed.is_empty());
+        good &= outcomes.iter().all(|outcome| outcome.differences.is_empty());
     }
     Ok(good)
 }
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -73,7 +73,7 @@
 fn written(story: &StoryLine) -> String {
     let mark = match story.reason {
         StoryReason::Request => "*",
-        StoryReason::Belief => "believed",
+        StoryReason::VmState => "believed",
         StoryReason::SameVm => "same VM",
         StoryReason::SameUpstream => "same upstream",
         StoryReason::Span => "",
--- a/lib/src/coordination/check.rs
+++ b/lib/src/coordination/check.rs
@@ -1,4 +1,4 @@
-//! Checks a document as a whole: which kind it is, and everything that is wrong with it.
+//! Checks a settings or configuration document: detects its kind and collects all findings.
 
 use serde_json::Value;
 
@@ -9,10 +9,10 @@
 use crate::state::finding::{Finding, FindingList};
 use crate::state::settings::{read_keeper_settings, read_router_settings};
 
-/// Reads a file that a document names; the text says why it cannot.
+/// Reads a file that a document refers to. The error is a text that says why it cannot be read.
 pub type FileReader<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
 
-/// Checks a document; the answer names its kind.
+/// Checks a document and returns its kind.
 pub fn check_text(text: &str, files: &FileReader<'_>) -> Result<&'static str, Vec<Finding>> {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     match value.get("role").and_then(Value::as_str) {
@@ -27,8 +27,8 @@
     }
 }
 
-/// Reads a configuration whose policies may stand in files of their own (`source_file`), and
-/// compiles them.
+/// Reads a configuration and compiles its policies. A policy may be in a file of its own, named by
+/// `source_file`.
 pub fn read_configuration_file(
     text: &str,
     files: &FileReader<'_>,
@@ -51,7 +51,7 @@
         Ok(source) => drop(entry.insert("source".to_string(), Value::String(source))),
         Err(error) => {
             list.add(&path, format!("cannot read `{file}`: {error}"));
-            // An empty policy would be a second finding for the same fault.
+            // A missing or empty source would lead to a second finding for the same fault.
             entry.insert("source".to_string(), Value::String("#{}".to_string()));
         }
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Compiles the policies of a change, so that no router is given one that does not compile.
+/// Compiles the policies of a change, so that a policy that doesn't compile never reaches a router.
 pub fn check_operations(operations: &[EntryOperation]) -> Vec<Finding> {
     let mut list = FindingList::default();
     for operation in operations {
--- a/lib/src/coordination/policy.rs
+++ b/lib/src/coordination/policy.rs
@@ -1,9 +1,9 @@
-//! Policies: short `rhai` programs that say what becomes of a request.
+//! Policies: short `rhai` programs that choose the fleet for a request and how it is handled.
 //!
-//! A program sees the request's facts as constants (`workspace`, `service`,
-//! `method`, `path`, `labels`, `prompt_tokens`) and ends in a map with at least
-//! `fleet`. It is compiled once per version and runs within fixed limits; one that
-//! fails or runs too long refuses that request as not run. See `docs/policies.md`.
+//! A program gets the request's facts as constants (`workspace`, `service`, `method`, `path`,
+//! `labels`, `prompt_tokens`) and ends in a map with at least `fleet`. It is compiled once per
+//! version and runs within fixed limits; if it fails or exceeds them, the request is refused as not
+//! run. See `docs/policies.md`.
 
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
@@ -13,48 +13,48 @@
 
 use super::fair_queue::RequestClass;
 
-/// A program may run this many operations.
-pub const MOST_OPERATIONS: u64 = 20_000;
+/// The maximum number of operations that a program may run for one request.
+pub const MAX_OPERATIONS: u64 = 20_000;
 
-/// The facts of a request that a policy may look at.
+/// The facts of a request that a policy can read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicyFacts {
     /// The workspace's name.
     pub workspace: String,
-    /// The service asked for.
+    /// The requested service.
     pub service: String,
     /// The HTTP method.
     pub method: String,
     /// The path without its query.
     pub path: String,
-    /// Labels that the caller gave.
+    /// The labels that the caller set.
     pub labels: BTreeMap<String, String>,
-    /// The prompt's size in tokens, about.
+    /// The approximate size of the prompt, in tokens.
     pub prompt_tokens: u32,
 }
 
-/// What a policy decided.
+/// The decision of a policy on one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyDecision {
-    /// The fleet that serves it.
+    /// The fleet that serves the request.
     pub fleet: String,
-    /// Its class.
+    /// The class of the request.
     pub class: RequestClass,
-    /// How long it may wait in a queue, in milliseconds.
+    /// The maximum time in a queue, in milliseconds.
     pub wait_ms: u64,
-    /// It must run at most once.
+    /// Whether the request must run at most once.
     pub run_once: bool,
-    /// Output tokens to reckon with when the request does not say.
+    /// The number of output tokens to assume if the request doesn't state a maximum.
     pub expected_output: u32,
 }
 
-/// A policy that cannot be compiled or failed to decide.
+/// The error of a policy that cannot be compiled or failed to decide.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("line {line}: {text}"))]
 pub struct PolicyError {
-    /// The line, from 1; 0 when no line is to blame.
+    /// The line number from 1, or 0 if the error isn't at a line.
     pub line: usize,
-    /// What is wrong.
+    /// The error message.
     pub text: String,
 }
 
@@ -68,7 +68,7 @@
     static ENGINE: OnceLock<Engine> = OnceLock::new();
     ENGINE.get_or_init(|| {
         let mut engine = Engine::new();
-        engine.set_max_operations(MOST_OPERATIONS);
+        engine.set_max_operations(MAX_OPERATIONS);
         engine.set_max_expr_depths(64, 32);
         engine.set_max_call_levels(16);
         engine.set_max_string_size(16 << 10);
@@ -80,7 +80,7 @@
     })
 }
 
-/// Compiles a program; an error names its line.
+/// Compiles a program. The error has the line number.
 pub fn compile_policy(source: &str) -> Result<PolicyProgram, PolicyError> {
     match engine().compile(source) {
         Ok(ast) => Ok(PolicyProgram { ast }),
@@ -110,7 +110,7 @@
     let result = engine().eval_ast_with_scope::<Dynamic>(&mut scope, &program.ast);
     let value = result.map_err(|error| PolicyError {
         line: error.position().line().unwrap_or(0),
-        text: plain_text(&error),
+        text: error_text(&error),
     })?;
     let map = value.try_cast::<Map>().ok_or_else(|| PolicyError {
         line: 0,
@@ -119,10 +119,10 @@
     read_decision(&map)
 }
 
-fn plain_text(error: &rhai::EvalAltResult) -> String {
+fn error_text(error: &rhai::EvalAltResult) -> String {
     match error {
         rhai::EvalAltResult::ErrorTooManyOperations(_) => {
-            format!("ran more than {MOST_OPERATIONS} operations")
+            format!("ran more than {MAX_OPERATIONS} operations")
         }
         other => other.to_string(),
     }
@@ -137,44 +137,44 @@
         expected_output: 256,
     };
     for (key, value) in map {
-        let good = match key.as_str() {
+        let valid = match key.as_str() {
             "fleet" => set(&mut decision.fleet, value.clone().into_string().ok()),
             "class" => {
                 let name = value.clone().into_string().ok();
                 set(&mut decision.class, name.and_then(|name| RequestClass::named(&name)))
             }
-            "wait_ms" => set(&mut decision.wait_ms, whole(value, 86_400_000)),
+            "wait_ms" => set(&mut decision.wait_ms, bounded_int(value, 86_400_000)),
             "run_once" => set(&mut decision.run_once, value.as_bool().ok()),
             "expected_output" => {
-                set(&mut decision.expected_output, whole(value, 1 << 20).map(|n| n as u32))
+                set(&mut decision.expected_output, bounded_int(value, 1 << 20).map(|n| n as u32))
             }
-            _ => return Err(bad(format!("`{key}` is not a part of a decision"))),
+            _ => return Err(decision_error(format!("`{key}` is not a part of a decision"))),
         };
-        if !good {
-            return Err(bad(format!("`{value}` does not do as `{key}`")));
+        if !valid {
+            return Err(decision_error(format!("`{value}` does not do as `{key}`")));
         }
     }
     match decision.fleet.is_empty() {
-        true => Err(bad("the decision names no fleet".to_string())),
+        true => Err(decision_error("the decision names no fleet".to_string())),
         false => Ok(decision),
     }
 }
 
-fn set<T>(place: &mut T, value: Option<T>) -> bool {
+fn set<T>(target: &mut T, value: Option<T>) -> bool {
     match value {
         Some(value) => {
-            *place = value;
+            *target = value;
             true
         }
         None => false,
     }
 }
 
-fn whole(value: &Dynamic, most: u64) -> Option<u64> {
+fn bounded_int(value: &Dynamic, max: u64) -> Option<u64> {
     let number = value.as_int().ok()?;
-    u64::try_from(number).ok().filter(|number| *number <= most)
+    u64::try_from(number).ok().filter(|number| *number <= max)
 }
 
-fn bad(text: String) -> PolicyError {
+fn decision_error(text: String) -> PolicyError {
     PolicyError { line: 0, text }
 }
--- a/lib/src/coordination/policy_cases.rs
+++ b/lib/src/coordination/policy_cases.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for a policy: facts in, decision out.
+//! Tables of test cases for a policy. A case has the facts of a request and the expected decision.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,30 @@
 use super::policy::{compile_policy, decide_policy, PolicyDecision, PolicyError, PolicyFacts};
 use crate::state::finding::Finding;
 
-/// A table of cases.
+/// A table of test cases for one policy.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyTable {
-    /// The policy's file, beside the table.
+    /// The policy's file name, relative to the table.
     pub policy: String,
     /// The cases.
     pub cases: Vec<PolicyCase>,
 }
 
-/// One case.
+/// One test case.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyCase {
-    /// What it shows.
+    /// The name of the case.
     pub name: String,
-    /// The request.
+    /// The facts of the request.
     #[serde(default)]
     pub facts: CaseFacts,
-    /// What must come of it.
+    /// The expected decision.
     pub expect: CaseExpectation,
 }
 
-/// The facts of a case; what is absent is empty.
+/// The facts of a case. An absent fact is empty.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CaseFacts {
@@ -42,7 +42,7 @@
     prompt_tokens: u32,
 }
 
-/// The expected decision; what is absent is not compared.
+/// The expected decision. An absent part isn't compared.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CaseExpectation {
@@ -51,20 +51,20 @@
     wait_ms: Option<u64>,
     run_once: Option<bool>,
     expected_output: Option<u32>,
-    /// The policy must fail, with this in its message.
+    /// If set, the policy must fail with an error message that contains this text.
     error: Option<String>,
 }
 
-/// What came of a case.
+/// The result of a case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CaseOutcome {
     /// The case's name.
     pub name: String,
-    /// What did not come out; empty when all did.
-    pub missed: Vec<String>,
+    /// The differences from the expected decision; empty if the case passed.
+    pub differences: Vec<String>,
 }
 
-/// Reads a table.
+/// Parses a table of cases.
 pub fn read_cases(text: &str) -> Result<PolicyTable, Vec<Finding>> {
     serde_json::from_str(text).map_err(|error| {
         let line = Some(error.line());
@@ -72,7 +72,7 @@
     })
 }
 
-/// Runs a table against the policy's source.
+/// Runs all cases of a table against the policy's source.
 pub fn run_cases(table: &PolicyTable, source: &str) -> Result<Vec<CaseOutcome>, PolicyError> {
     let program = compile_policy(source)?;
     let run = |case: &PolicyCase| {
@@ -84,8 +84,8 @@
             labels: case.facts.labels.clone(),
             prompt_tokens: case.facts.prompt_tokens,
         };
-        let missed = compare(&case.expect, decide_policy(&program, &facts));
-        CaseOutcome { name: case.name.clone(), missed }
+        let differences = compare(&case.expect, decide_policy(&program, &facts));
+        CaseOutcome { name: case.name.clone(), differences }
     };
     Ok(table.cases.iter().map(run).collect())
 }
@@ -100,24 +100,24 @@
         (Err(error), _) => return vec![format!("it failed: {error}")],
         (Ok(_), Some(text)) => return vec![format!("it should have failed with `{text}`")],
     };
-    let mut missed = Vec::new();
+    let mut differences = Vec::new();
     let class = decision.class.name().to_string();
-    compare_one("fleet", expected.fleet.as_ref(), &decision.fleet, &mut missed);
-    compare_one("class", expected.class.as_ref(), &class, &mut missed);
-    compare_one("wait_ms", expected.wait_ms.as_ref(), &decision.wait_ms, &mut missed);
-    compare_one("run_once", expected.run_once.as_ref(), &decision.run_once, &mut missed);
+    compare_part("fleet", expected.fleet.as_ref(), &decision.fleet, &mut differences);
+    compare_part("class", expected.class.as_ref(), &class, &mut differences);
+    compare_part("wait_ms", expected.wait_ms.as_ref(), &decision.wait_ms, &mut differences);
+    compare_part("run_once", expected.run_once.as_ref(), &decision.run_once, &mut differences);
     let output = &decision.expected_output;
-    compare_one("expected_output", expected.expected_output.as_ref(), output, &mut missed);
-    missed
+    compare_part("expected_output", expected.expected_output.as_ref(), output, &mut differences);
+    differences
 }
 
-fn compare_one<T: PartialEq + std::fmt::Debug>(
+fn compare_part<T: PartialEq + std::fmt::Debug>(
     name: &str,
     expected: Option<&T>,
     found: &T,
-    missed: &mut Vec<String>,
+    differences: &mut Vec<String>,
 ) {
     if let Some(expected) = expected.filter(|expected| *expected != found) {
-        missed.push(format!("{name} is {found:?}, expected {expected:?}"));
+        differences.push(format!("{name} is {found:?}, expected {expected:?}"));
     }
 }
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -1,6 +1,6 @@
-//! Replay of a trace through the decision code of N routers, with time taken from
-//! the trace. It replays decisions; it is no simulator of a cluster: messages between
-//! routers arrive at once, engines take the times that the trace states.
+//! Replays a trace through the decision code of N routers, with the time taken from the trace. It
+//! replays decisions and doesn't simulate a cluster: messages between routers arrive at once, and
+//! engines take the times that the trace states.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -21,48 +21,54 @@
 use super::replay_outcome::{ReplayOutcome, ReplaySample};
 use super::replay_truth::TrueEngine;
 use super::router_lease::RENEW_MS;
-use super::trace::{Trace, TraceEvent, TraceRequest, TraceSetup, TraceStanding};
+use super::trace::{Trace, TraceEvent, TraceRequest, TraceSetup, TraceStatus};
 use crate::state::chat_memory::ChatMemory;
 use crate::state::configuration::MoveRates;
 use crate::state::ids::{ChatKey, FleetKey, Incarnation, RouterId, UpstreamKey, WorkspaceKey};
 use crate::state::roster::{RouterRoster, RouterSession};
 
+/// The only fleet of a replay.
 pub(super) const FLEET: FleetKey = FleetKey(1);
+/// The interval between samples of the loads, in milliseconds.
 const SAMPLE_MS: u64 = 1000;
-const CHATS: usize = 200_000;
+/// The capacity of each router's chat memory, in chats.
+const MAX_CHATS: usize = 200_000;
 
-/// How requests are placed in a replay.
+/// The rule by which a replay places requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplayRule {
-    /// wingshed's homes, with these placement rules, and moves of KV at these rates, if any.
+    /// Engines and chats have home routers, as in wingshed, with these placement rules. KV caches
+    /// are transferred between engines if rates are given.
     Home(PlacementRule, Option<MoveRates>),
-    /// Each router alone takes the least reported load.
+    /// Each router takes the engine with the lowest reported load, without coordination.
     LeastReported,
-    /// Each router alone hashes, bounded by its own counts.
+    /// Each router takes an engine by hashing, with a bound by the work that it placed itself.
     BoundedAlone,
-    /// Any engine.
+    /// A random engine.
     Random,
-    /// Cannot be built: one router that knows every cache and load, and prefers reuse.
+    /// An ideal that cannot be built: a single router with complete information on caches and
+    /// loads, which prefers reuse of caches.
     ExactReuse,
-    /// Cannot be built: one router that knows every load, and prefers the least.
+    /// An ideal that cannot be built: a single router with complete information on loads, which
+    /// prefers the least loaded engine.
     ExactSkew,
 }
 
-/// What comes later in a replay.
+/// An event that is scheduled for a later time of a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum LaterEvent {
-    Finish { engine: u32, life: u64, home: u32, work: u64 },
-    CacheReported { engine: u32, life: u64, number: u64, chat: u64, tokens: u32 },
+pub(super) enum ScheduledEvent {
+    Finish { engine: u32, incarnation: u64, home: u32, work: u64 },
+    CacheReported { engine: u32, incarnation: u64, number: u64, chat: u64, tokens: u32 },
     ReadCache { router: u32, engine: u32 },
     Exchange { router: u32 },
-    Pump { router: u32 },
+    Dispatch { router: u32 },
     Sample,
 }
 
 pub(super) struct ReplayRouter {
     pub(super) live: bool,
     pub(super) roster: RouterRoster,
-    pub(super) standings: Vec<TraceStanding>,
+    pub(super) statuses: Vec<TraceStatus>,
     pub(super) view: FleetView,
     pub(super) homes: HomeTable,
     pub(super) memory: ChatMemory,
@@ -72,7 +78,7 @@
     pub(super) events_reported: Vec<u64>,
 }
 
-/// One replay under way.
+/// The state of a replay in progress.
 pub struct ReplayRun<'a> {
     pub(super) setup: &'a TraceSetup,
     pub(super) rule: ReplayRule,
@@ -82,22 +88,22 @@
     pub(super) engines: Vec<TrueEngine>,
     pub(super) keys: HashMap<UpstreamKey, u32>,
     pub(super) keeper_loads: LoadTable,
-    pub(super) later: BinaryHeap<Reverse<(u64, u64, LaterEvent)>>,
+    pub(super) scheduled: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     pub(super) sequence: u64,
     pub(super) event_numbers: Vec<u64>,
     pub(super) waiting: HashMap<u64, (TraceRequest, u64)>,
     pub(super) tickets: u64,
-    pub(super) named: HashMap<ChatKey, u32>,
+    pub(super) last_router: HashMap<ChatKey, u32>,
     pub(super) outcome: ReplayOutcome,
 }
 
-/// The key of an engine of a trace.
+/// Returns the key of an engine of a trace.
 pub fn engine_key(engine: u32) -> UpstreamKey {
     UpstreamKey::of(&format!("engine-{engine}"))
 }
 
-/// Replays a trace under a rule. `seed` serves the random choices of the rule and of the
-/// lost cache events.
+/// Replays a trace with a rule. `seed` determines the random choices of the rule and which cache
+/// events are lost.
 pub fn replay(trace: &Trace, rule: ReplayRule, seed: u64) -> ReplayOutcome {
     let mut run = ReplayRun::new(trace, rule, seed);
     for line in &trace.lines {
@@ -106,7 +112,7 @@
     }
     let last = trace.lines.last().map_or(0, |line| line.at);
     run.advance(last + trace.setup.wait_ms + 1);
-    run.give_up_waiting();
+    run.refuse_waiting();
     run.outcome
 }
 
@@ -118,10 +124,10 @@
         let routers = (0..setup.routers).map(|_| ReplayRouter {
             live: true,
             roster: roster.clone(),
-            standings: vec![TraceStanding::Live; engines],
+            statuses: vec![TraceStatus::Live; engines],
             view: FleetView::default(),
             homes: HomeTable::default(),
-            memory: ChatMemory::new(CHATS),
+            memory: ChatMemory::new(MAX_CHATS),
             others: OtherLoad::default(),
             queue: FairQueue::default(),
             own_work: vec![0; engines],
@@ -136,55 +142,55 @@
             engines: vec![TrueEngine::default(); engines],
             keys: (0..setup.engines).map(|engine| (engine_key(engine), engine)).collect(),
             keeper_loads: LoadTable::default(),
-            later: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             sequence: 0,
             event_numbers: vec![0; engines],
             waiting: HashMap::new(),
             tickets: 0,
-            named: HashMap::new(),
+            last_router: HashMap::new(),
             outcome: ReplayOutcome::new(setup),
         };
         for router in 0..setup.routers {
             run.renew_view(router);
             run.routers[router as usize].homes.settle(1);
             let first = router as u64 * RENEW_MS / setup.routers.max(1) as u64;
-            run.after(first, LaterEvent::Exchange { router });
+            run.after(first, ScheduledEvent::Exchange { router });
         }
-        run.after(SAMPLE_MS, LaterEvent::Sample);
+        run.after(SAMPLE_MS, ScheduledEvent::Sample);
         run
     }
 
     // ---- time ----
 
-    pub(super) fn after(&mut self, delay_ms: u64, event: LaterEvent) {
+    pub(super) fn after(&mut self, delay_ms: u64, event: ScheduledEvent) {
         self.sequence += 1;
-        self.later.push(Reverse((self.now_ms + delay_ms, self.sequence, event)));
+        self.scheduled.push(Reverse((self.now_ms + delay_ms, self.sequence, event)));
     }
 
     fn advance(&mut self, until_ms: u64) {
-        while let Some(Reverse((at, ..))) = self.later.peek() {
+        while let Some(Reverse((at, ..))) = self.scheduled.peek() {
             if *at > until_ms {
                 break;
             }
-            let Some(Reverse((at, _, event))) = self.later.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.scheduled.pop() else { break };
             self.now_ms = at;
-            self.take_later(event);
+            self.handle_scheduled(event);
         }
         self.now_ms = self.now_ms.max(until_ms);
     }
 
-    fn take_later(&mut self, event: LaterEvent) {
+    fn handle_scheduled(&mut self, event: ScheduledEvent) {
         match event {
-            LaterEvent::Finish { engine, life, home, work } => {
-                self.finish(engine, life, home, work);
+            ScheduledEvent::Finish { engine, incarnation, home, work } => {
+                self.finish(engine, incarnation, home, work);
             }
-            LaterEvent::CacheReported { engine, life, number, chat, tokens } => {
-                self.take_cache_event(engine, life, number, chat, tokens);
+            ScheduledEvent::CacheReported { engine, incarnation, number, chat, tokens } => {
+                self.apply_cache_event(engine, incarnation, number, chat, tokens);
             }
-            LaterEvent::ReadCache { router, engine } => self.read_cache(router, engine),
-            LaterEvent::Exchange { router } => self.exchange(router),
-            LaterEvent::Pump { router } => self.pump(router),
-            LaterEvent::Sample => self.sample(),
+            ScheduledEvent::ReadCache { router, engine } => self.read_cache(router, engine),
+            ScheduledEvent::Exchange { router } => self.exchange(router),
+            ScheduledEvent::Dispatch { router } => self.dispatch_waiting(router),
+            ScheduledEvent::Sample => self.sample(),
         }
     }
 
@@ -192,29 +198,29 @@
         match event {
             TraceEvent::Setup(_) | TraceEvent::Expect(_) => {}
             TraceEvent::Request(request) => self.request(request),
-            TraceEvent::Engine { engine, standing } => {
+            TraceEvent::Engine { engine, status } => {
                 let at = *engine as usize;
-                if *standing == TraceStanding::Gone {
+                if *status == TraceStatus::Gone {
                     self.outcome.cut += self.engines[at].requests as u64;
                 }
-                self.engines[at].set_standing(*standing);
-                if *standing == TraceStanding::Gone {
+                self.engines[at].set_status(*status);
+                if *status == TraceStatus::Gone {
                     self.event_numbers[at] = 0;
                 }
             }
-            TraceEvent::List { router, engine, standing } => {
+            TraceEvent::List { router, engine, status } => {
                 let view = &mut self.routers[*router as usize];
-                view.standings[*engine as usize] = *standing;
-                if *standing != TraceStanding::Leaving {
-                    // A life that is over, or a new one: what the old one held is gone.
-                    let life = Incarnation(self.engines[*engine as usize].life);
-                    view.memory.set_life(engine_key(*engine), life);
+                view.statuses[*engine as usize] = *status;
+                if *status != TraceStatus::Leaving {
+                    // The previous incarnation has ended and its cache is lost.
+                    let incarnation = Incarnation(self.engines[*engine as usize].incarnation);
+                    view.memory.set_life(engine_key(*engine), incarnation);
                     view.events_reported[*engine as usize] = 0;
                 }
                 self.renew_view(*router);
             }
-            TraceEvent::Router { router, standing } => {
-                self.routers[*router as usize].live = *standing != TraceStanding::Gone;
+            TraceEvent::Router { router, status } => {
+                self.routers[*router as usize].live = *status != TraceStatus::Gone;
             }
             TraceEvent::Roster { router, epoch, routers } => {
                 let view = &mut self.routers[*router as usize];
@@ -237,14 +243,15 @@
     }
 
     pub(super) fn true_load(&self) -> FleetLoad {
-        let live = self.engines.iter().filter(|e| e.standing == TraceStanding::Live);
+        let live = self.engines.iter().filter(|e| e.status == TraceStatus::Live);
         let work = self.engines.iter().map(|engine| engine.work).sum();
         FleetLoad { work, engines: live.count() as u32, ..FleetLoad::default() }
     }
 
-    /// The router that the caller comes to: the one that served the chat last, as the reply
-    /// named it; else the home that some router's directory names, when it is live.
-    fn entry_of(&mut self, chat: ChatKey, fresh: bool) -> Option<u32> {
+    /// Returns the router to which the caller sends the request: the one named in the reply to the
+    /// chat's last request; else the home in the directory of a random router, if it is live; else
+    /// that random router. A new chat goes to a lightly loaded home.
+    fn entry_router(&mut self, chat: ChatKey, fresh: bool) -> Option<u32> {
         let live: Vec<u32> =
             (0..self.setup.routers).filter(|router| self.routers[*router as usize].live).collect();
         if live.is_empty() {
@@ -262,9 +269,11 @@
             let light = light_home(&view.view, &question).map(|home| home.0);
             return Some(light.filter(|h| self.routers[*h as usize].live).unwrap_or(asked));
         }
-        let named = self.named.get(&chat).copied();
-        if let Some(named) = named.filter(|named| self.routers[*named as usize].live) {
-            return Some(named);
+        let last_router = self.last_router.get(&chat).copied();
+        if let Some(last_router) =
+            last_router.filter(|last_router| self.routers[*last_router as usize].live)
+        {
+            return Some(last_router);
         }
         let asked = live[self.rng.gen_range(0..live.len())];
         let home = self.routers[asked as usize].view.chat_home(chat).map(|home| home.0);
@@ -272,7 +281,7 @@
         Some(reached.unwrap_or(asked))
     }
 
-    fn known(&self, router: u32, work: u64) -> PlacementKnowledge<'_> {
+    fn placement_knowledge(&self, router: u32, work: u64) -> PlacementKnowledge<'_> {
         let view = &self.routers[router as usize];
         let own_work = view.homes.fleet_work(FLEET);
         let engines = view.view.engines.len() as u32;
@@ -298,11 +307,11 @@
     ) {
         let chat = ChatKey(request.chat);
         let cold_work = request_work(request.prompt, request.output, 0);
-        let Some(mut entry) = self.entry_of(chat, request.turn == 1) else {
+        let Some(mut entry) = self.entry_router(chat, request.turn == 1) else {
             self.outcome.refused += 1;
             return;
         };
-        if request.turn > 1 && !holds_chat(chat, &self.known(entry, cold_work)) {
+        if request.turn > 1 && !holds_chat(chat, &self.placement_knowledge(entry, cold_work)) {
             let home = self.routers[entry as usize].view.chat_home(chat).map_or(entry, |h| h.0);
             if home != entry && self.routers[home as usize].live {
                 self.outcome.hops += 1;
@@ -312,7 +321,7 @@
         self.place(entry, request, rule, rates, 0);
     }
 
-    /// Tries the candidates in order; `waited_ms` is 0 at the first time.
+    /// Tries the candidates in order. `waited_ms` is 0 in the first attempt.
     fn place(
         &mut self,
         entry: u32,
@@ -323,7 +332,7 @@
     ) {
         let chat = ChatKey(request.chat);
         let cold_work = request_work(request.prompt, request.output, 0);
-        let places = place_candidates(chat, &self.known(entry, cold_work), rule);
+        let places = place_candidates(chat, &self.placement_knowledge(entry, cold_work), rule);
         let holder = places.first().filter(|place| place.cached_tokens > 0).copied();
         let ahead = self.routers[entry as usize].queue.has_rank(request.class);
         let mut choice = MoveChoice::Recompute;
@@ -339,8 +348,8 @@
                 continue;
             }
             if self.admit(place.home.0, engine, work) {
-                let known = holder.is_some_and(|holder| holder.engine != place.engine);
-                self.outcome.missed_at_bound += u64::from(known && request.turn > 1);
+                let holder_known = holder.is_some_and(|holder| holder.engine != place.engine);
+                self.outcome.missed_at_bound += u64::from(holder_known && request.turn > 1);
                 self.outcome.hops += u64::from(place.home.0 != entry);
                 let moved = import.then_some((held, rates));
                 self.start(request, engine, place.home.0, work, waited_ms, moved);
@@ -350,35 +359,36 @@
             if holder.is_some_and(|holder| holder.engine == place.engine) {
                 let wait = self.holder_wait(entry, &place, work).filter(|_| waited_ms == 0);
                 choice = rates.map_or(choice, |rates| choose_move(&rates, held, wait));
-                if let MoveChoice::Wait(patience) = choice {
-                    return self.wait(entry, request, work, Some(place.engine), patience);
+                if let MoveChoice::Wait(max_wait_ms) = choice {
+                    return self.wait(entry, request, work, Some(place.engine), max_wait_ms);
                 }
             }
         }
         self.wait(entry, request, cold_work, None, self.setup.wait_ms);
     }
 
-    /// How long an engine of this router is expected to stay at its bound.
+    /// Returns how long an engine of this router is expected to stay at its bound, in milliseconds.
     fn holder_wait(&self, entry: u32, place: &PlaceCandidate, work: u64) -> Option<f64> {
-        let known = self.known(entry, work);
-        let slot = known.homes.slot(place.engine).filter(|_| place.home.0 == entry)?;
-        slot.wait_ms(admission_bound(&known.load, known.multiple, work))
+        let knowledge = self.placement_knowledge(entry, work);
+        let slot = knowledge.homes.slot(place.engine).filter(|_| place.home.0 == entry)?;
+        slot.wait_ms(admission_bound(&knowledge.load, knowledge.multiple, work))
     }
 
-    /// The placing router, the chat's home and the caller learn where it went.
+    /// Records the engine of a chat at the placing router, at the chat's home and at the caller.
     fn note_chat(&mut self, entry: u32, request: &TraceRequest, engine: u32, engine_home: u32) {
         let chat = ChatKey(request.chat);
-        self.named.insert(chat, engine_home);
+        self.last_router.insert(chat, engine_home);
         let chat_home = self.routers[entry as usize].view.chat_home(chat);
-        let life = Incarnation(self.engines[engine as usize].life);
+        let incarnation = Incarnation(self.engines[engine as usize].incarnation);
         let tokens = request.prompt + request.output;
         for router in [entry, chat_home.map_or(entry, |home| home.0)] {
             let memory = &mut self.routers[router as usize].memory;
-            memory.note(chat, engine_key(engine), life, tokens);
+            memory.note(chat, engine_key(engine), incarnation, tokens);
         }
     }
 
-    /// Admission at an engine's home, by what that router believes; the truth is compared.
+    /// Decides on admission at an engine's home by that router's information, and compares it with
+    /// the actual loads.
     fn admit(&mut self, home: u32, engine: u32, work: u64) -> bool {
         let now_ms = self.now_ms;
         let truth = self.true_load();
@@ -395,8 +405,8 @@
             return false;
         }
         let true_engine = &self.engines[engine as usize];
-        if true_engine.standing == TraceStanding::Gone {
-            // The connection is refused: nothing was sent.
+        if true_engine.status == TraceStatus::Gone {
+            // The engine has ended and refuses the connection, so the request was not sent.
             view.homes.release(key, work, now_ms);
             self.outcome.dead_tries += 1;
             return false;
@@ -440,17 +450,17 @@
         match only {
             Some(_) => {
                 self.outcome.holder_waits += 1;
-                self.after(wait_ms.max(1), LaterEvent::Pump { router: home });
+                self.after(wait_ms.max(1), ScheduledEvent::Dispatch { router: home });
             }
             None => self.outcome.queued += 1,
         }
-        self.pump(home);
+        self.dispatch_waiting(home);
     }
 
-    pub(super) fn pump(&mut self, home: u32) {
+    pub(super) fn dispatch_waiting(&mut self, home: u32) {
         let now_ms = self.now_ms;
-        for over in self.routers[home as usize].queue.expire(now_ms) {
-            self.end_wait(home, &over);
+        for expired in self.routers[home as usize].queue.expire(now_ms) {
+            self.end_wait(home, &expired);
         }
         loop {
             let mut queue = std::mem::take(&mut self.routers[home as usize].queue);
@@ -477,10 +487,11 @@
         open.iter().map(|(_, key)| self.keys[key]).collect()
     }
 
-    /// Who waited for its holder in vain goes on to the other candidates.
-    fn end_wait(&mut self, home: u32, over: &WaitingRequest) {
-        let Some((request, since_ms)) = self.waiting.remove(&over.ticket) else { return };
-        match (over.only, self.rule) {
+    /// A request that waited for the engine with its prefix in vain goes on to the other
+    /// candidates; any other is refused.
+    fn end_wait(&mut self, home: u32, expired: &WaitingRequest) {
+        let Some((request, since_ms)) = self.waiting.remove(&expired.ticket) else { return };
+        match (expired.only, self.rule) {
             (Some(_), ReplayRule::Home(rule, rates)) => {
                 let waited_ms = (self.now_ms - since_ms).max(1);
                 self.place(home, &request, &rule, rates, waited_ms);
@@ -489,7 +500,7 @@
         }
     }
 
-    /// The request runs; what it finds in the cache is the truth.
+    /// Starts a request on an engine. What it finds in the cache is the actual content.
     pub(super) fn start(
         &mut self,
         request: &TraceRequest,
@@ -513,22 +524,22 @@
         self.outcome.placed.insert(request.chat, engine);
         self.engines[at].requests += 1;
         self.engines[at].work += work;
-        let life = self.engines[at].life;
+        let incarnation = self.engines[at].incarnation;
         self.store(engine, request.chat, request.prompt + request.output);
         let run_ms = prefill as u64 + request.decode_ms;
-        self.after(run_ms.max(1), LaterEvent::Finish { engine, life, home, work });
+        self.after(run_ms.max(1), ScheduledEvent::Finish { engine, incarnation, home, work });
     }
 
-    fn finish(&mut self, engine: u32, life: u64, home: u32, work: u64) {
+    fn finish(&mut self, engine: u32, incarnation: u64, home: u32, work: u64) {
         let truth = &mut self.engines[engine as usize];
-        if truth.life == life {
+        if truth.incarnation == incarnation {
             truth.requests -= 1;
             truth.work -= work;
         }
         if let ReplayRule::Home(..) = self.rule {
             let now_ms = self.now_ms;
             self.routers[home as usize].homes.release(engine_key(engine), work, now_ms);
-            self.pump(home);
+            self.dispatch_waiting(home);
         } else {
             let own = &mut self.routers[home as usize].own_work[engine as usize];
             *own = own.saturating_sub(work);
@@ -542,14 +553,14 @@
         for engine in &mut self.engines {
             engine.note_report(self.now_ms, lag);
         }
-        let live = self.engines.iter().filter(|e| e.standing == TraceStanding::Live);
+        let live = self.engines.iter().filter(|e| e.status == TraceStatus::Live);
         let loads: Vec<u64> = live.map(|engine| engine.work).collect();
         let requests: u32 = self.engines.iter().map(|engine| engine.requests).sum();
         self.outcome.note_sample(ReplaySample::of(self.now_ms, &loads, requests));
-        self.after(SAMPLE_MS, LaterEvent::Sample);
+        self.after(SAMPLE_MS, ScheduledEvent::Sample);
     }
 
-    fn give_up_waiting(&mut self) {
+    fn refuse_waiting(&mut self) {
         self.outcome.refused += self.waiting.len() as u64;
         self.waiting.clear();
     }
--- a/lib/src/coordination/replay_alone.rs
+++ b/lib/src/coordination/replay_alone.rs
@@ -1,11 +1,12 @@
-//! The rules that a replay compares with: each router alone, and two that cannot be built.
+//! The rules that a replay compares with: routers without coordination, and two ideals that cannot
+//! be built.
 
 use rand::Rng;
 
 use super::admission::{admission_bound, FleetLoad};
 use super::placement::request_work;
 use super::replay::{engine_key, ReplayRule, ReplayRun};
-use super::trace::{TraceRequest, TraceStanding};
+use super::trace::{TraceRequest, TraceStatus};
 use crate::state::ids::UpstreamKey;
 use crate::state::rendezvous::rendezvous_order;
 
@@ -20,8 +21,8 @@
         let router = live[self.rng.gen_range(0..live.len())];
         let seen: Vec<u32> = (0..self.setup.engines)
             .filter(|e| {
-                self.routers[router as usize].standings[*e as usize] == TraceStanding::Live
-                    && self.engines[*e as usize].standing != TraceStanding::Gone
+                self.routers[router as usize].statuses[*e as usize] == TraceStatus::Live
+                    && self.engines[*e as usize].status != TraceStatus::Gone
             })
             .collect();
         let Some(engine) = self.choose_alone(router, &seen, request) else {
--- a/lib/src/coordination/replay_outcome.rs
+++ b/lib/src/coordination/replay_outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a replay, and whether it is what the trace states.
+//! The outcome of a replay, and its comparison with the expectations of the trace.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,29 +7,29 @@
 
 use super::trace::{TraceExpectation, TraceRequest, TraceSetup};
 
-/// The loads at one moment.
+/// The loads at one time of a replay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReplaySample {
-    /// When, in milliseconds.
+    /// The time, in milliseconds.
     pub at_ms: u64,
-    /// The largest load, in work.
+    /// The largest load of an engine, in work.
     pub most: u64,
-    /// The mean.
+    /// The mean load, in work.
     pub mean: f64,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub requests: u32,
-    /// Each live engine's load.
+    /// The load of each live engine, in work.
     pub loads: Vec<u64>,
-    /// Returning requests so far.
+    /// The number of returning requests so far.
     pub returning: u64,
-    /// Those of them that found their prefix.
+    /// The number of them that found their prefix in the cache.
     pub reused: u64,
-    /// Renewals and tries at other routers so far.
+    /// The number of renewals and of attempts at other routers so far.
     pub messages: u64,
 }
 
 impl ReplaySample {
-    /// The sample of the live engines' loads.
+    /// Creates the sample from the loads of the live engines.
     pub fn of(at_ms: u64, loads: &[u64], requests: u32) -> ReplaySample {
         let mean = loads.iter().sum::<u64>() as f64 / loads.len().max(1) as f64;
         ReplaySample {
@@ -43,60 +43,64 @@
     }
 }
 
-/// Counts and figures of one replay.
+/// Counts and statistics of one replay.
 #[derive(Clone, Debug)]
 pub struct ReplayOutcome {
-    /// Requests that came.
+    /// The number of requests that arrived.
     pub requests: u64,
-    /// Those that were never started.
+    /// The number of requests that were never started.
     pub refused: u64,
-    /// Those that waited in a queue.
+    /// The number of requests that waited in a queue.
     pub queued: u64,
-    /// Those whose engine went away under them.
+    /// The number of requests whose engine ended before they did.
     pub cut: u64,
-    /// Starts.
+    /// The number of requests admitted by an engine.
     pub admissions: u64,
-    /// Starts on an engine that truly was at or above the bound.
+    /// The number of admissions on an engine whose actual load was at or above the bound.
     pub above_bound: u64,
-    /// The worst of them, as load over bound.
+    /// The highest of these loads, as a multiple of the bound.
     pub worst_over: f64,
-    /// Requests of chats that returned.
+    /// The number of returning requests, those after the first of a chat.
     pub returning: u64,
-    /// Those that found at least nine tenths of their earlier context.
+    /// The number of returning requests that found at least nine tenths of their earlier context in
+    /// the cache.
     pub reused: u64,
-    /// Those for which it was imported.
+    /// The number of returning requests that did so only with an import.
     pub reused_by_import: u64,
-    /// Those for which some live engine had it at all.
+    /// The number of returning requests whose chat was cached on any engine.
     pub held_anywhere: u64,
-    /// Those that did not, though another live engine had it.
+    /// The number of returning requests that did not find their context, although an engine had
+    /// their chat cached.
     pub missed_elsewhere: u64,
-    /// Of those, the ones whose holder the placing router knew, and found at its bound.
+    /// The number of returning requests that went to another engine than the one that the placing
+    /// router had as the holder of their prefix, because that was at its bound.
     pub missed_at_bound: u64,
-    /// Requests that waited for the engine that holds their prefix.
+    /// The number of requests that waited for the engine that has their prefix in its cache.
     pub holder_waits: u64,
-    /// Imports made.
+    /// The number of imports of a cached prefix.
     pub imports: u64,
-    /// Requests that went on to another router.
+    /// The number of requests that were passed on to another router.
     pub hops: u64,
-    /// Tries at another router, room or not.
+    /// The number of attempts at another router, successful or not.
     pub remote_tries: u64,
-    /// Tries on an engine that was gone.
+    /// The number of attempts on an engine that had ended.
     pub dead_tries: u64,
-    /// Renewals of routers.
+    /// The number of renewals of routers.
     pub exchanges: u64,
-    /// Loads over time.
+    /// The loads over time.
     pub samples: Vec<ReplaySample>,
-    /// Where each chat's latest request went.
+    /// The engine of each chat's latest request.
     pub placed: HashMap<u64, u32>,
-    /// Time before the first token, prefill and wait, in milliseconds.
+    /// The time to the first token, which is the sum of the waiting and the prefill time, in
+    /// milliseconds.
     pub first_token_ms: Histogram<u64>,
     waits: BTreeMap<u32, Histogram<u64>>,
-    contexts: HashMap<u64, u32>,
+    context_tokens: HashMap<u64, u32>,
     multiple: f64,
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(3_600_000, 3).expect("the bounds are constant and good")
+    Histogram::new_with_max(3_600_000, 3).expect("the bounds are constant and valid")
 }
 
 impl ReplayOutcome {
@@ -125,7 +129,7 @@
             placed: HashMap::new(),
             first_token_ms: histogram(),
             waits: BTreeMap::new(),
-            contexts: HashMap::new(),
+            context_tokens: HashMap::new(),
             multiple: setup.multiple,
         }
     }
@@ -143,7 +147,7 @@
             self.returning += 1;
             self.held_anywhere += u64::from(anywhere);
             let context =
-                self.contexts.get(&request.chat).copied().unwrap_or(0).min(request.prompt);
+                self.context_tokens.get(&request.chat).copied().unwrap_or(0).min(request.prompt);
             let enough = |tokens: u32| tokens > 0 && tokens as f64 >= 0.9 * context as f64;
             if !enough(held) && anywhere {
                 self.missed_elsewhere += 1;
@@ -154,7 +158,7 @@
                 self.reused_by_import += 1;
             }
         }
-        self.contexts.insert(request.chat, request.prompt + request.output);
+        self.context_tokens.insert(request.chat, request.prompt + request.output);
         self.first_token_ms.saturating_record(waited_ms + prefill_ms as u64);
         let waits = self.waits.entry(request.workspace).or_insert_with(histogram);
         waits.saturating_record(waited_ms);
@@ -166,17 +170,18 @@
         self.samples.push(ReplaySample { returning, reused, messages, ..sample });
     }
 
-    /// The share of returning requests that landed where their prefix was cached.
+    /// Returns the share of returning requests that were placed where their prefix was cached.
     pub fn reuse(&self) -> f64 {
         self.reused as f64 / self.returning.max(1) as f64
     }
 
-    /// The same, imports counted in.
+    /// Returns the same share, including requests whose prefix was imported.
     pub fn reuse_with_imports(&self) -> f64 {
         (self.reused + self.reused_by_import) as f64 / self.returning.max(1) as f64
     }
 
-    /// A percentile over time of the largest load over the mean, while there is load.
+    /// Returns a quantile over time of the largest load divided by the mean load, while there is
+    /// load.
     pub fn skew(&self, quantile: f64) -> f64 {
         let busy = self.samples.iter().filter(|sample| sample.mean > 0.0 && sample.requests > 0);
         let mut ratios: Vec<f64> = busy.map(|sample| sample.most as f64 / sample.mean).collect();
@@ -185,33 +190,33 @@
         ratios.get(at).copied().unwrap_or(0.0)
     }
 
-    /// The share of requests that were never started.
+    /// Returns the share of requests that were never started.
     pub fn refused_share(&self) -> f64 {
         self.refused as f64 / self.requests.max(1) as f64
     }
 
-    /// The share of requests that hopped between routers.
+    /// Returns the number of hops between routers relative to the number of requests.
     pub fn hop_share(&self) -> f64 {
         self.hops as f64 / self.requests.max(1) as f64
     }
 
-    /// A percentile of a workspace's wait, in milliseconds.
+    /// Returns a quantile of a workspace's waiting times, in milliseconds.
     pub fn wait_ms(&self, workspace: u32, quantile: f64) -> u64 {
         self.waits.get(&workspace).map_or(0, |waits| waits.value_at_quantile(quantile))
     }
 
-    /// The workspaces seen.
+    /// Returns the workspaces that sent requests.
     pub fn workspaces(&self) -> Vec<u32> {
         self.waits.keys().copied().collect()
     }
 
-    /// The multiple that was in force.
+    /// Returns the bound's multiple of the mean load.
     pub fn multiple(&self) -> f64 {
         self.multiple
     }
 
-    /// Checks what a trace states; `best_reuse` is that of exact knowledge. Each sentence
-    /// returned is an outcome that did not come.
+    /// Checks the expectations of a trace. `best_reuse` is the share of reuse with complete
+    /// information. Returns a text for each expectation that wasn't met.
     pub fn check(&self, expectations: &[TraceExpectation], best_reuse: f64) -> Vec<String> {
         expectations.iter().filter_map(|e| self.check_one(e, best_reuse)).collect()
     }
--- a/lib/src/coordination/replay_truth.rs
+++ b/lib/src/coordination/replay_truth.rs
@@ -1,24 +1,25 @@
-//! What is true in a replay: each engine's load and cache, whatever routers believe.
+//! The actual state in a replay: each engine's load and cache, regardless of the routers'
+//! information.
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::trace::TraceStanding;
+use super::trace::TraceStatus;
 
-/// One engine.
+/// The actual state of one engine.
 #[derive(Clone, Debug)]
 pub struct TrueEngine {
-    /// How it stands.
-    pub standing: TraceStanding,
-    /// Its life; rises when it comes back.
-    pub life: u64,
-    /// Requests in flight.
+    /// Its status.
+    pub status: TraceStatus,
+    /// Its incarnation, which increases when it ends.
+    pub incarnation: u64,
+    /// The number of requests in flight.
     pub requests: u32,
-    /// Their work.
+    /// The work of the requests in flight.
     pub work: u64,
-    /// Loads as reported: the time, requests and work, oldest first.
+    /// The reported loads, oldest first: the time in milliseconds, the requests and the work.
     pub reports: std::collections::VecDeque<(u64, u32, u64)>,
     cache: HashMap<u64, (u32, u64)>,
-    by_use: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     cached_tokens: u64,
     uses: u64,
 }
@@ -26,13 +27,13 @@
 impl Default for TrueEngine {
     fn default() -> TrueEngine {
         TrueEngine {
-            standing: TraceStanding::Live,
-            life: 1,
+            status: TraceStatus::Live,
+            incarnation: 1,
             requests: 0,
             work: 0,
             reports: Default::default(),
             cache: HashMap::new(),
-            by_use: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             cached_tokens: 0,
             uses: 0,
         }
@@ -40,46 +41,48 @@
 }
 
 impl TrueEngine {
-    /// Tokens of a chat's prompt that are cached here.
+    /// Returns the number of tokens of a chat's prompt that are cached on this engine.
     pub fn cached(&self, chat: u64) -> u32 {
         self.cache.get(&chat).map_or(0, |(tokens, _)| *tokens)
     }
 
-    /// The chat is cached with `tokens`; returns the chats that were dropped for room.
+    /// Caches `tokens` tokens of a chat, and returns the chats that were evicted, the least
+    /// recently used ones, to stay within `capacity` tokens.
     pub fn store(&mut self, chat: u64, tokens: u32, capacity: u64) -> Vec<u64> {
         self.uses += 1;
         if let Some((before, used)) = self.cache.insert(chat, (tokens, self.uses)) {
-            self.by_use.remove(&used);
+            self.by_last_use.remove(&used);
             self.cached_tokens -= before as u64;
         }
-        self.by_use.insert(self.uses, chat);
+        self.by_last_use.insert(self.uses, chat);
         self.cached_tokens += tokens as u64;
-        let mut dropped = Vec::new();
+        let mut evicted = Vec::new();
         while self.cached_tokens > capacity {
-            let Some((_, oldest)) = self.by_use.pop_first() else { break };
+            let Some((_, oldest)) = self.by_last_use.pop_first() else { break };
             if let Some((tokens, _)) = self.cache.remove(&oldest) {
                 self.cached_tokens -= tokens as u64;
             }
-            dropped.push(oldest);
+            evicted.push(oldest);
         }
-        dropped
+        evicted
     }
 
-    /// Every chat cached here, with its tokens.
+    /// Returns every cached chat with its tokens.
     pub fn cache(&self) -> impl Iterator<Item = (u64, u32)> + '_ {
         self.cache.iter().map(|(chat, (tokens, _))| (*chat, *tokens))
     }
 
-    /// Changes its standing; one that is gone loses its cache, and comes back as a new life.
-    pub fn set_standing(&mut self, standing: TraceStanding) {
-        if standing == TraceStanding::Gone {
-            let life = self.life + 1;
-            *self = TrueEngine { standing, life, ..TrueEngine::default() };
+    /// Changes the status. An engine that ends loses its cache and gets the next incarnation.
+    pub fn set_status(&mut self, status: TraceStatus) {
+        if status == TraceStatus::Gone {
+            let incarnation = self.incarnation + 1;
+            *self = TrueEngine { status, incarnation, ..TrueEngine::default() };
         }
-        self.standing = standing;
+        self.status = status;
     }
 
-    /// Notes the load for later reports.
+    /// Adds the current load to the reports, and drops reports that are older than needed for a lag
+    /// of `lag_ms`.
     pub fn note_report(&mut self, now_ms: u64, lag_ms: u64) {
         self.reports.push_back((now_ms, self.requests, self.work));
         while self.reports.get(1).is_some_and(|(at, ..)| at + lag_ms <= now_ms) {
@@ -87,7 +90,8 @@
         }
     }
 
-    /// The work as reported, late.
+    /// Returns the oldest report of the work that was kept: the one that is in effect after the
+    /// lag.
     pub fn reported_work(&self) -> u64 {
         self.reports.front().map_or(0, |(_, _, work)| *work)
     }
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -1,16 +1,16 @@
-//! What the routers of a replay believe: their views of the fleet, the exchange of loads, and what
-//! engines report of their caches.
+//! The routers' information in a replay: their views of the fleet, the exchange of loads, and the
+//! cache events of engines.
 
 use rand::Rng;
 
 use super::fair_queue::RequestClass;
 use super::placement::FleetView;
-use super::replay::{engine_key, LaterEvent, ReplayRun, FLEET};
+use super::replay::{engine_key, ReplayRun, ScheduledEvent, FLEET};
 use super::router_lease::RENEW_MS;
-use super::trace::TraceStanding;
+use super::trace::TraceStatus;
 use crate::state::ids::{ChatKey, Incarnation, RouterId};
 
-/// A new home reads its engines' caches after this long, in milliseconds.
+/// How long after a change of the roster a new home reads its engines' caches, in milliseconds.
 const NEW_HOME_READS_CACHE_MS: u64 = 2000;
 
 impl ReplayRun<'_> {
@@ -19,27 +19,28 @@
     pub(super) fn renew_view(&mut self, router: u32) {
         let view = &mut self.routers[router as usize];
         let live = (0..self.setup.engines)
-            .filter(|engine| view.standings[*engine as usize] == TraceStanding::Live);
+            .filter(|engine| view.statuses[*engine as usize] == TraceStatus::Live);
         view.view = FleetView::new(live.map(engine_key), &view.roster);
         let epoch = view.roster.epoch;
-        let mut newly = Vec::new();
+        let mut new_engines = Vec::new();
         for engine in 0..self.setup.engines {
             let key = engine_key(engine);
             let home = view.roster.home(key) == Some(RouterId(router));
             let before = view.homes.slot(key).is_some_and(|slot| slot.home_since_epoch.is_some());
             view.homes.assign(key, FLEET, home, epoch);
-            let closed = view.standings[engine as usize] != TraceStanding::Live;
+            let closed = view.statuses[engine as usize] != TraceStatus::Live;
             view.homes.close(key, closed);
             if home && !before && epoch > 1 {
-                newly.push(engine);
+                new_engines.push(engine);
             }
         }
-        for engine in newly {
-            self.after(NEW_HOME_READS_CACHE_MS, LaterEvent::ReadCache { router, engine });
+        for engine in new_engines {
+            self.after(NEW_HOME_READS_CACHE_MS, ScheduledEvent::ReadCache { router, engine });
         }
     }
 
-    /// What the keeper does with a renewal: it sums, and sends the epoch that all have seen.
+    /// Does what the keeper does with a renewal: it sums the loads and returns the highest epoch
+    /// that all routers have.
     pub(super) fn exchange(&mut self, router: u32) {
         let at = router as usize;
         if self.routers[at].live {
@@ -60,24 +61,24 @@
             view.others.note(&rows, now_ms);
             view.homes.settle(settled);
             for engine in 0..self.setup.engines {
-                let truth = &self.engines[engine as usize];
-                let life = Incarnation(truth.life);
-                let work = truth.reported_work();
-                view.homes.report(engine_key(engine), life, work, now_ms);
+                let actual = &self.engines[engine as usize];
+                let incarnation = Incarnation(actual.incarnation);
+                let work = actual.reported_work();
+                view.homes.report(engine_key(engine), incarnation, work, now_ms);
             }
             self.outcome.exchanges += 1;
-            self.pump(router);
+            self.dispatch_waiting(router);
         }
-        self.after(RENEW_MS, LaterEvent::Exchange { router });
+        self.after(RENEW_MS, ScheduledEvent::Exchange { router });
     }
 
     // ---- caches ----
 
     pub(super) fn store(&mut self, engine: u32, chat: u64, tokens: u32) {
         let at = engine as usize;
-        let dropped = self.engines[at].store(chat, tokens, self.setup.cache_tokens);
+        let evicted = self.engines[at].store(chat, tokens, self.setup.cache_tokens);
         self.cache_event(engine, chat, tokens);
-        for chat in dropped {
+        for chat in evicted {
             self.cache_event(engine, chat, 0);
         }
     }
@@ -89,21 +90,21 @@
         if lost > 0 && self.rng.gen_range(0..lost) == 0 {
             return;
         }
-        let (life, number) = (self.engines[at].life, self.event_numbers[at]);
-        let event = LaterEvent::CacheReported { engine, life, number, chat, tokens };
+        let (incarnation, number) = (self.engines[at].incarnation, self.event_numbers[at]);
+        let event = ScheduledEvent::CacheReported { engine, incarnation, number, chat, tokens };
         self.after(self.setup.event_lag_ms, event);
     }
 
-    pub(super) fn take_cache_event(
+    pub(super) fn apply_cache_event(
         &mut self,
         engine: u32,
-        life: u64,
+        incarnation: u64,
         number: u64,
         chat: u64,
         tokens: u32,
     ) {
         let key = engine_key(engine);
-        if self.engines[engine as usize].life != life {
+        if self.engines[engine as usize].incarnation != incarnation {
             return;
         }
         for view in self.routers.iter_mut().filter(|view| view.homes.is_home(key)) {
@@ -115,24 +116,25 @@
             let chat = ChatKey(chat);
             match tokens {
                 0 => view.memory.drop_holder(chat, key),
-                tokens => view.memory.note(chat, key, Incarnation(life), tokens),
+                tokens => view.memory.note(chat, key, Incarnation(incarnation), tokens),
             }
         }
     }
 
-    /// A new home reads the cache events that the engine has kept.
+    /// Adds an engine's cached chats to the memory of its new home, which reads them from the cache
+    /// events that the engine kept.
     pub(super) fn read_cache(&mut self, router: u32, engine: u32) {
         let key = engine_key(engine);
-        let truth = &self.engines[engine as usize];
+        let actual = &self.engines[engine as usize];
         let view = &mut self.routers[router as usize];
         if view.homes.slot(key).is_none() {
             return;
         }
-        view.memory.set_life(key, Incarnation(truth.life));
-        let mut held: Vec<(u64, u32)> = truth.cache().collect();
+        view.memory.set_life(key, Incarnation(actual.incarnation));
+        let mut held: Vec<(u64, u32)> = actual.cache().collect();
         held.sort_unstable();
         for (chat, tokens) in held {
-            view.memory.note(ChatKey(chat), key, Incarnation(truth.life), tokens);
+            view.memory.note(ChatKey(chat), key, Incarnation(actual.incarnation), tokens);
         }
         view.events_reported[engine as usize] = self.event_numbers[engine as usize];
     }
--- a/lib/src/coordination/trace.rs
+++ b/lib/src/coordination/trace.rs
@@ -1,166 +1,173 @@
-//! Recorded traces: JSON lines of requests, views, churn, and the outcomes they state.
+//! Recorded traces: JSON lines of requests, of changes of engines and routers and when routers
+//! receive them, and of expected outcomes.
 //!
-//! `docs/traces.md` documents the format. Times are milliseconds from the trace's
-//! start and never fall. A trace carries no placements: those are what a replay decides.
+//! `docs/traces.md` documents the format. Times are milliseconds from the start of the trace and
+//! never decrease. A trace contains no placements, because a replay decides them.
 
 use serde::{Deserialize, Serialize};
 
 use super::fair_queue::RequestClass;
 use crate::state::finding::Finding;
 
-/// The first line of a trace.
+/// The first line of a trace: the size of the system and its parameters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceSetup {
-    /// Routers, numbered from 0.
+    /// The number of routers, which are numbered from 0.
     pub routers: u32,
-    /// Engines, numbered from 0.
+    /// The number of engines, which are numbered from 0.
     pub engines: u32,
-    /// No engine is admitted to at or above this multiple of the mean.
+    /// The admission bound as a multiple of the mean load. An engine at or above it admits no
+    /// request.
     pub multiple: f64,
-    /// Tokens that each engine's prefix cache holds.
+    /// The capacity of each engine's prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// Engines' load reports are this old.
+    /// The age of the load reports of engines, in milliseconds.
     pub report_lag_ms: u64,
-    /// Cache events arrive this late.
+    /// The delay of cache events, in milliseconds.
     pub event_lag_ms: u64,
-    /// Of so many cache events, one is lost; 0 loses none.
+    /// One of this many cache events is lost, or none if this is 0.
     pub event_loss_one_in: u64,
-    /// Requests wait this long at the most.
+    /// The maximum time that a request waits, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// One request.
+/// A request of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceRequest {
-    /// The workspace.
+    /// The number of the workspace.
     pub workspace: u32,
-    /// The chat.
+    /// The number of the chat.
     pub chat: u64,
-    /// The chat's how manieth request, from 1; from 2 on it returns.
+    /// The number of this request within its chat, from 1. From 2 on it is a returning request.
     pub turn: u32,
-    /// Prompt tokens, all turns before included.
+    /// The number of prompt tokens, including all earlier turns.
     pub prompt: u32,
-    /// Output tokens.
+    /// The number of output tokens.
     pub output: u32,
     /// The class.
     pub class: RequestClass,
-    /// Time to compute the whole prompt.
+    /// The time to compute the whole prompt without cache, in milliseconds.
     pub prefill_ms: u64,
-    /// Time to generate the output.
+    /// The time to generate the output, in milliseconds.
     pub decode_ms: u64,
 }
 
-/// How a VM stands in somebody's view, or in truth.
+/// The status of an engine or a router, either its actual one or the one that a router has
+/// received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum TraceStanding {
-    /// It takes work.
+pub enum TraceStatus {
+    /// It accepts requests.
     Live,
-    /// It finishes what it has.
+    /// It finishes its requests and accepts no new ones.
     Leaving,
-    /// It is gone, with its cache.
+    /// It has ended, and its cache is lost.
     Gone,
 }
 
-/// What a trace may state of its outcome.
+/// An expected outcome of a replay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceExpectation {
-    /// No admission at or above the bound, by the true loads.
+    /// No request is admitted to an engine whose actual load is at or above the bound.
     NeverAboveBound,
-    /// The share of returning requests that found their prefix.
+    /// The minimum share of returning requests that find their prefix in the cache.
     ReuseAtLeast(f64),
-    /// That share, of the best that exact knowledge reaches under the same bound.
+    /// The minimum of that share relative to the best that complete information reaches under the
+    /// same bound.
     ReuseOfBestAtLeast(f64),
-    /// The 99th percentile over time of the largest load over the mean.
+    /// The maximum of the 99th percentile over time of the highest load divided by the mean load.
     SkewP99AtMost(f64),
-    /// The share of requests refused.
+    /// The maximum share of refused requests.
     RefusedAtMost(f64),
-    /// A workspace's 99th percentile of the wait, in milliseconds.
+    /// The maximum of the 99th percentile of a workspace's waiting time.
     WaitP99AtMost {
-        /// The workspace.
+        /// The number of the workspace.
         workspace: u32,
-        /// The wait.
+        /// The waiting time, in milliseconds.
         wait_ms: u64,
     },
-    /// A chat's latest request went to this engine.
+    /// The latest request of a chat ran on this engine.
     Placed {
-        /// The chat.
+        /// The number of the chat.
         chat: u64,
-        /// The engine.
+        /// The number of the engine.
         engine: u32,
     },
 }
 
-/// What happens at one line.
+/// The event of one line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceEvent {
-    /// The first line.
+    /// The setup, in the first line.
     Setup(TraceSetup),
-    /// A request comes.
+    /// A request arrives.
     Request(TraceRequest),
-    /// An engine changes, in truth.
+    /// The actual status of an engine changes.
     Engine {
-        /// Which.
+        /// The number of the engine.
         engine: u32,
-        /// To what.
-        standing: TraceStanding,
+        /// The new status.
+        #[serde(rename = "standing")]
+        status: TraceStatus,
     },
-    /// A router learns of an engine's standing.
+    /// A router receives the status of an engine.
     List {
-        /// Who learns.
+        /// The number of the receiving router.
         router: u32,
-        /// Of which engine.
+        /// The number of the engine.
         engine: u32,
-        /// What.
-        standing: TraceStanding,
+        /// The received status.
+        #[serde(rename = "standing")]
+        status: TraceStatus,
     },
-    /// A router joins or is gone, in truth.
+    /// The actual status of a router changes.
     Router {
-        /// Which.
+        /// The number of the router.
         router: u32,
-        /// To what.
-        standing: TraceStanding,
+        /// The new status.
+        #[serde(rename = "standing")]
+        status: TraceStatus,
     },
-    /// A router learns of a roster.
+    /// A router receives a roster.
     Roster {
-        /// Who learns.
+        /// The number of the receiving router.
         router: u32,
-        /// The epoch.
+        /// The epoch of the roster.
         epoch: u64,
-        /// The routers in it.
+        /// The routers of the roster.
         routers: Vec<u32>,
     },
-    /// What must come out.
+    /// An expected outcome.
     Expect(TraceExpectation),
 }
 
-/// One line.
+/// One line of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceLine {
-    /// When, in milliseconds.
+    /// The time, in milliseconds from the start of the trace.
     pub at: u64,
-    /// What.
+    /// The event.
     #[serde(rename = "do")]
     pub event: TraceEvent,
 }
 
-/// A trace, read and checked.
+/// A trace that was read and checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// Its first line.
+    /// The setup.
     pub setup: TraceSetup,
-    /// The others, in order.
+    /// The other events, in order of time.
     pub lines: Vec<TraceLine>,
-    /// The outcomes that it states.
+    /// The expected outcomes.
     pub expectations: Vec<TraceExpectation>,
 }
 
-/// Reads a trace, or says all that is wrong with it.
+/// Reads a trace. The error has a finding for each fault.
 pub fn read_trace(text: &str) -> Result<Trace, Vec<Finding>> {
     let mut findings = Vec::new();
     let mut setup: Option<TraceSetup> = None;
@@ -183,7 +190,7 @@
             note(format!("time falls from {last_at} to {}", line.at));
         }
         last_at = last_at.max(line.at);
-        if let Some(text) = setup.as_ref().and_then(|setup| out_of_range(setup, &line.event)) {
+        if let Some(text) = setup.as_ref().and_then(|setup| range_error(setup, &line.event)) {
             note(text);
         }
         match line.event {
@@ -204,7 +211,7 @@
     }
 }
 
-fn out_of_range(setup: &TraceSetup, event: &TraceEvent) -> Option<String> {
+fn range_error(setup: &TraceSetup, event: &TraceEvent) -> Option<String> {
     let (router, engine) = match event {
         TraceEvent::Engine { engine, .. } => (0, *engine),
         TraceEvent::List { router, engine, .. } => (*router, *engine),
--- a/lib/tests/test_explaining.rs
+++ b/lib/tests/test_explaining.rs
@@ -102,7 +102,7 @@
     let told: Vec<(StoryReason, f64)> =
         story.iter().map(|told| (told.reason, told.line.at_s)).collect();
     let expected = [
-        (StoryReason::Belief, -1.0),
+        (StoryReason::VmState, -1.0),
         (StoryReason::SameUpstream, 4.0),
         (StoryReason::SameVm, 4.5),
         (StoryReason::Request, 5.0),
@@ -130,7 +130,7 @@
     let told: Vec<(StoryReason, f64)> =
         story.iter().map(|told| (told.reason, told.line.at_s)).collect();
     let expected =
-        [(StoryReason::Belief, 1.0), (StoryReason::Request, 9.0), (StoryReason::SameVm, 9.2)];
+        [(StoryReason::VmState, 1.0), (StoryReason::Request, 9.0), (StoryReason::SameVm, 9.2)];
     assert_eq!(told, expected, "the order's own lines, what came of it, nothing of x2 and s2");
 }
 
--- a/standin/src/trace.rs
+++ b/standin/src/trace.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use wingshed_lib::coordination::fair_queue::RequestClass;
 use wingshed_lib::coordination::trace::{
-    Trace, TraceEvent, TraceExpectation, TraceLine, TraceRequest, TraceSetup, TraceStanding,
+    Trace, TraceEvent, TraceExpectation, TraceLine, TraceRequest, TraceSetup, TraceStatus,
 };
 
 /// The churn of a trace.
@@ -286,8 +286,8 @@
     }
     if make.case == TraceCase::FifthLeaves {
         for engine in 0..make.engines / 5 {
-            change(make, engine, TraceStanding::Leaving, end_ms / 2, 2500, rng, &mut lines);
-            change(make, engine, TraceStanding::Gone, end_ms / 2 + 40_000, 2500, rng, &mut lines);
+            change(make, engine, TraceStatus::Leaving, end_ms / 2, 2500, rng, &mut lines);
+            change(make, engine, TraceStatus::Gone, end_ms / 2 + 40_000, 2500, rng, &mut lines);
         }
     }
     if make.case == TraceCase::ListsDiffer {
@@ -300,22 +300,25 @@
 fn change(
     make: &TraceMake,
     engine: u32,
-    standing: TraceStanding,
+    standing: TraceStatus,
     at: u64,
     learn_ms: u64,
     rng: &mut StdRng,
     lines: &mut Vec<TraceLine>,
 ) {
-    lines.push(TraceLine { at, event: TraceEvent::Engine { engine, standing } });
+    lines.push(TraceLine { at, event: TraceEvent::Engine { engine, status: standing } });
     for router in 0..make.routers {
         let learned = at + 1 + rng.gen_range(0..learn_ms);
-        lines.push(TraceLine { at: learned, event: TraceEvent::List { router, engine, standing } });
+        lines.push(TraceLine {
+            at: learned,
+            event: TraceEvent::List { router, engine, status: standing },
+        });
     }
 }
 
 fn flap(make: &TraceMake, engine: u32, at: u64, rng: &mut StdRng, lines: &mut Vec<TraceLine>) {
-    change(make, engine, TraceStanding::Gone, at, 1000, rng, lines);
-    change(make, engine, TraceStanding::Live, at + 15_000, 1000, rng, lines);
+    change(make, engine, TraceStatus::Gone, at, 1000, rng, lines);
+    change(make, engine, TraceStatus::Live, at + 15_000, 1000, rng, lines);
 }
 
 /// A router is gone; the others learn of it, and of four leaving engines, over 5 s.
@@ -324,7 +327,7 @@
     let routers: Vec<u32> = (0..gone).collect();
     lines.push(TraceLine {
         at,
-        event: TraceEvent::Router { router: gone, standing: TraceStanding::Gone },
+        event: TraceEvent::Router { router: gone, status: TraceStatus::Gone },
     });
     for router in 0..gone {
         let learned = at + 1 + rng.gen_range(0..5000);
@@ -334,6 +337,6 @@
         });
     }
     for engine in 0..4 {
-        change(make, engine, TraceStanding::Leaving, at, 5000, rng, lines);
+        change(make, engine, TraceStatus::Leaving, at, 5000, rng, lines);
     }
 }
