--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -10,7 +10,7 @@
 use crate::coordination::fleet_health::HealthReport;
 use crate::coordination::holder_news::{HolderMark, HolderNote};
 use crate::coordination::raft_message::RaftMessage;
-use crate::coordination::rollout_watch::RolloutNote;
+use crate::coordination::rollout_watch::RolloutReport;
 use crate::coordination::silence::UnresponsiveRevision;
 use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
 use crate::coordination::vm_roster::{RosterRevision, RosterRow, RosterUpdate};
@@ -312,7 +312,7 @@
     /// The incarnation of the sender's process.
     pub life: u64,
     /// The sender's observations of roll-outs in progress.
-    pub rollouts: Vec<RolloutNote>,
+    pub rollouts: Vec<RolloutReport>,
     /// The number of quarantine changes that the sender has.
     pub quarantine_changes: u64,
     /// Upstreams that ended while they ran a request.
