--- a/lib/src/coordination/engine_room.rs
+++ b/lib/src/coordination/engine_room.rs
@@ -1,68 +1,75 @@
-//! Whether the engines of a service still have room for a request, and when to come back if not.
+//! Decides whether the engines of a service have capacity for a request, and when a refused caller
+//! should retry.
 //!
-//! An engine takes far more requests than it can serve in time: what waits there can't be taken
-//! back or put in another order, and every answer becomes late. So a VM sends a request only
-//! while some engine has a place for it, or will have one within a part of the time in which
-//! answers of this service count in full; otherwise it refuses at once. Two things are learned
-//! from what this VM sees: how long a request holds its place, and how many of the answers were
-//! late while engines were busy, which lowers the places that are used. See
+//! An engine accepts far more requests than it can serve in time. What waits there can't be
+//! withdrawn or reordered, and every answer becomes late. A VM therefore sends a request only while
+//! some engine has a free slot for it, or will have one within a fraction of the time in which
+//! answers of this service count in full; otherwise it refuses the request at once. Two values are
+//! learned from what this VM observes: how long a request holds its slot, and what fraction of the
+//! answers were late while engines were busy, which lowers the number of slots in use. See
 //! `docs/design/overload.md`.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// The part of an answer's goal for which a request may wait at an engine for a place. Half of it
-/// cost 0.03 of worth in a burst of five times the usual traffic: more answers came late.
+/// The fraction of an answer's goal for which a request may wait at an engine for a slot. Half of
+/// its goal instead costs 0.03 of worth in a burst of five times the usual traffic, because more
+/// answers are late.
 pub const WAIT_PART: f64 = 0.25;
-/// Requests beyond that which an engine takes, times the root of its places: so much its load
-/// varies by chance, and a place that stands empty meanwhile is lost. With 12 places an engine, a
-/// day at capacity refused 70 tries in place of 178 and earned 0.778 in place of 0.767; with 48 it
-/// made no difference (0.690 and 0.692 at five times the usual traffic).
+/// Requests beyond its slots that an engine takes, as a multiple of the square root of its slots.
+/// Its load varies at random by about that much, and a slot that is empty in the meantime is lost.
+/// With 12 slots an engine, this lowers the refused attempts in a day at capacity from 178 to 70
+/// and raises the worth from 0.767 to 0.778; with 48 slots it makes no difference (0.690 and 0.692
+/// at five times the usual traffic).
 const CHANCE_PART: f64 = 1.0;
-/// The places that stay for others when a kind or a workspace is ahead of its share, or an answer
-/// can only be late, as a part. The last of these brought 0.014 of worth in a burst of eight times.
+/// The fraction of the slots that is reserved for other requests when a rank or a workspace is
+/// ahead of its share, or when an answer can only be late. The last of these rules adds 0.014 of
+/// worth in a burst of eight times the usual traffic.
 pub const KEPT_FOR_OTHERS: f64 = 0.12;
-/// A kind may be served this much more often than a more urgent one before it counts as ahead, as
-/// a part of what was asked.
+/// How much higher the admitted fraction of a rank's requests may be than that of a more urgent
+/// rank before the rank counts as ahead.
 pub const AHEAD_PART: f64 = 0.02;
-/// Requests of a kind, weighted by age, below which its share says nothing yet.
+/// The number of a rank's requests, weighted by age, below which its admitted fraction is not used.
 const LEAST_ASKED: f64 = 8.0;
-/// Votes from which what most callers wait is believed, and the most that are counted.
+/// The number of votes from which the most common wait of callers is used, and the maximum that is
+/// counted.
 const LEAST_VOTES: u32 = 8;
 const MOST_VOTES: u32 = 64;
-/// Shares of kinds are counted with this half-life, in milliseconds.
+/// The half-life with which the requests of each rank are counted, in milliseconds.
 const SHARE_HALF_LIFE_MS: f64 = 4000.0;
-/// Never fewer than this part of the places is used: below it engines have room by any measure.
+/// The least fraction of the slots in use. Below it, engines have free capacity by any measure.
 pub const LEAST_USED: f64 = 0.6;
-/// The part of late answers that is borne before fewer places are used.
+/// The fraction of late answers that is tolerated before fewer slots are used.
 pub const LATE_BORNE: f64 = 0.10;
-/// How fast the part of late answers is learned, by answer.
+/// The weight of one answer in the moving average of late answers.
 const LATE_WEIGHT: f64 = 0.04;
-/// By how much the used part falls or rises with each answer.
+/// By how much the used fraction falls or rises with each answer.
 const USED_STEP: f64 = 0.01;
-/// How fast the time that a request holds a place is learned, by request.
+/// The weight of one request in the moving average of the time that a request holds a slot.
 const HOLD_WEIGHT: f64 = 0.05;
-/// The time that a request holds a place before any has ended, in milliseconds; a guess that the
-/// first twenty requests replace.
+/// The assumed time that a request holds a slot before any has ended, in milliseconds. Its
+/// influence has mostly gone after twenty requests.
 const FIRST_HOLD_MS: f64 = 1500.0;
-/// No VM stands for more than this many others when its own change since the last news is taken
-/// for theirs: with few requests a VM the change is mostly chance.
+/// The maximum number of other VMs to which the change of this VM's own load since the last report
+/// is extrapolated. With few requests for each VM that change is mostly random.
 const MOST_ALIKE: f64 = 16.0;
-/// Loads that were reported longer ago refuse nothing, in milliseconds: the VM has lost its leader, and
-/// what was a crowd then may have gone.
+/// The maximum age, in milliseconds, of loads by which a request may be refused. Older loads mean
+/// that the VM has lost its leader, and the overload that they show may be over.
 const FRESH_MS: u64 = 1000;
-/// The part of the places that come free that refused callers are promised; the rest is for new
-/// ones. Half in place of a tenth cost 0.02 of worth in a burst of five times.
+/// The fraction of the slots that become free that is promised to refused callers; the rest is for
+/// new requests. Half instead of a tenth costs 0.02 of worth in a burst of five times the usual
+/// traffic.
 const RETURN_PART: f64 = 0.1;
-/// The shortest and the longest time after which a refused caller is asked to come back, in
+/// The shortest and the longest time after which a refused caller is asked to retry, in
 /// milliseconds.
 pub const RETURN_MS: (u64, u64) = (200, 30000);
-/// An engine counts as busy from this part of its places, so that lateness says something of them.
+/// An engine counts as busy from this fraction of its slots on. Only the answers of busy engines
+/// show whether too many slots are used.
 const BUSY_PART: f64 = 0.5;
 
-/// What the VM sees of a request that asks for a place.
+/// The properties of a request that needs a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct RoomRequest<'a> {
-    /// Its route's rank; 0 is the most urgent.
+    /// The rank of its route; 0 is the most urgent.
     pub rank: u8,
     /// Its workspace.
     pub workspace: Option<&'a str>,
@@ -72,30 +79,31 @@
     pub wait_ms: u64,
 }
 
-/// What is known of a service's load at the moment.
+/// The present load of a service, as far as this VM has received it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RoomNews {
-    /// Requests in flight at the service, as reported, with this VM's own as they are now.
+    /// Requests in flight at the service: those of other VMs as reported, and this VM's own as of
+    /// now.
     pub reported: u32,
     /// Requests that this VM has in flight there.
     pub own: u32,
-    /// What it had at its last report.
+    /// Requests that this VM had in flight there at its last report.
     pub own_reported: u32,
-    /// VMs of the fleet.
+    /// The number of VMs in the fleet.
     pub vms: usize,
-    /// Engines that take work.
+    /// The number of engines that take work.
     pub engines: usize,
-    /// How long ago the others' load was reported, in milliseconds.
+    /// The age of the reported load of the other VMs, in milliseconds.
     pub age_ms: u64,
 }
 
 impl RoomNews {
-    /// Whether anything may be refused by this: not by news of a load that has long passed.
+    /// Whether the load is recent enough to refuse requests by it.
     pub fn is_fresh(&self) -> bool {
         self.age_ms <= FRESH_MS
     }
 
-    /// The load of an engine in the mean.
+    /// The mean load of an engine.
     pub fn mean(&self) -> f64 {
         self.reported_mean() + self.growth()
     }
@@ -104,9 +112,10 @@
         f64::from(self.reported) / self.engines.max(1) as f64
     }
 
-    /// By how many requests an engine's load has likely grown since it was reported: news is some
-    /// 300 ms old, and what this VM sent since then others likely sent too. A fall isn't counted
-    /// on, since all VMs would fill the same places; nor does a load more than double meanwhile.
+    /// The estimated growth of an engine's load since it was reported. Reports are about 300 ms
+    /// old, and other VMs have probably sent as much as this VM in the meantime. A decrease isn't
+    /// extrapolated, since all VMs would fill the same slots, and the estimate at most doubles the
+    /// load.
     pub fn growth(&self) -> f64 {
         let others = (self.vms.saturating_sub(1) as f64).min(MOST_ALIKE);
         let sent = f64::from(self.own.saturating_sub(self.own_reported));
@@ -121,8 +130,8 @@
     patience: UsualPatience,
 }
 
-/// How long most callers of a kind will wait: the value that the majority of them gives, found
-/// with one counter.
+/// How long most callers of a rank will wait: the value that the majority of them gives, found by
+/// majority vote with one counter.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsualPatience {
     wait_ms: u64,
@@ -138,7 +147,8 @@
         }
     }
 
-    /// How much less than usual a caller will wait: the time it has spent elsewhere.
+    /// How much shorter than usual a caller's wait is, in milliseconds: the time that it has
+    /// already spent elsewhere.
     fn spent_ms(&self, wait_ms: u64) -> u64 {
         match self.votes >= LEAST_VOTES {
             true => self.wait_ms.saturating_sub(wait_ms),
@@ -147,7 +157,7 @@
     }
 }
 
-/// What one VM has learned of one service of engines.
+/// What one VM has learned about one service of engines.
 #[derive(Clone, Debug)]
 pub struct ServiceRoom {
     hold_ms: f64,
@@ -157,7 +167,7 @@
     kinds: BTreeMap<u8, KindShare>,
     kinds_ms: u64,
     in_flight: HashMap<String, u32>,
-    /// Places that this VM's requests hold, those without a workspace included.
+    /// Slots that this VM's requests hold, including those without a workspace.
     held: u32,
     return_due_ms: f64,
 }
@@ -179,7 +189,7 @@
 }
 
 impl ServiceRoom {
-    /// A request asks for the first time.
+    /// Counts a request that needs a slot for the first time.
     pub fn note_asked(&mut self, request: &RoomRequest, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(self.kinds_ms) as f64;
         self.kinds_ms = now_ms;
@@ -198,12 +208,12 @@
         }
     }
 
-    /// It was given a place.
+    /// Counts a request that was given a slot.
     pub fn note_taken(&mut self, request: &RoomRequest) {
         self.kinds.entry(request.rank).or_default().taken += 1.0;
     }
 
-    /// A workspace's request begins at an engine.
+    /// Records that a request of a workspace begins at an engine.
     pub fn enter(&mut self, workspace: Option<&str>) {
         self.held += 1;
         let Some(workspace) = workspace else { return };
@@ -213,7 +223,7 @@
         }
     }
 
-    /// It ends, after `held_ms` at the engine.
+    /// Records that a request of a workspace ends, after `held_ms` at the engine.
     pub fn leave(&mut self, workspace: Option<&str>, held_ms: u64) {
         self.held = self.held.saturating_sub(1);
         self.hold_ms += HOLD_WEIGHT * (held_ms as f64 - self.hold_ms);
@@ -226,8 +236,8 @@
         }
     }
 
-    /// An answer's first event came, in time or late, from an engine with this many requests in
-    /// flight of so many places.
+    /// Records whether the first event of an answer was late. It came from an engine with `load`
+    /// requests in flight and `places` slots.
     pub fn note_first_event(&mut self, late: bool, load: u32, places: u32) {
         if f64::from(load) < BUSY_PART * f64::from(places) {
             return;
@@ -237,7 +247,7 @@
         self.used_part = (self.used_part + step).clamp(LEAST_USED, 1.0);
     }
 
-    /// An engine with so many places takes a request while its load is below this.
+    /// The load below which an engine with `places` slots takes a request.
     pub fn bound(&self, places: u32, request: &RoomRequest) -> f64 {
         let places = f64::from(places) * self.used_part;
         let waiting =
@@ -246,11 +256,11 @@
             || self.is_heavy(request.workspace)
             || self.is_late(request);
         let kept = if yields { KEPT_FOR_OTHERS * places } else { 0.0 };
-        // An engine that runs nothing takes one whatever was learned.
+        // An idle engine takes one request, whatever was learned.
         (places + waiting - kept).max(1.0)
     }
 
-    /// Whether requests of this rank were lately served more often than more urgent ones.
+    /// Whether requests of this rank were lately admitted more often than more urgent ones.
     fn kind_is_ahead(&self, rank: u8) -> bool {
         let share = |kind: &KindShare| (kind.asked >= LEAST_ASKED).then(|| kind.taken / kind.asked);
         let Some(own) = self.kinds.get(&rank).and_then(share) else { return false };
@@ -258,16 +268,16 @@
         urgent.any(|other| own > other + AHEAD_PART)
     }
 
-    /// Whether an answer would come after its goal even if it came at once: it earns less than one
-    /// that can still be in time, and so leaves the last places to those.
+    /// Whether an answer would exceed its goal even if it came at once. It is worth less than an
+    /// answer that can still be in time, so the last slots are left to those.
     fn is_late(&self, request: &RoomRequest) -> bool {
         let kind = self.kinds.get(&request.rank);
         let spent_ms = kind.map_or(0, |kind| kind.patience.spent_ms(request.wait_ms));
         request.goal_ms > 0 && spent_ms >= request.goal_ms
     }
 
-    /// Whether a workspace holds more places here than twice an equal share, while others hold
-    /// some too.
+    /// Whether a workspace holds more than twice an equal share of the slots here, while other
+    /// workspaces hold some too.
     fn is_heavy(&self, workspace: Option<&str>) -> bool {
         let Some(own) = workspace.and_then(|name| self.in_flight.get(name)) else { return false };
         let total: u32 = self.in_flight.values().sum();
@@ -275,9 +285,9 @@
         present > 1 && own * present > 2 * total
     }
 
-    /// When a refused caller should come back, in milliseconds from now: when a place that no caller
-    /// was promised yet will likely be free. Callers get places one after the other, so that they
-    /// don't come back as one crowd.
+    /// In how many milliseconds a refused caller should retry: when a slot that was promised to no
+    /// other caller will probably be free. Refused callers get successive times, so that they don't
+    /// all retry at once.
     pub fn return_ms(&mut self, now_ms: u64) -> u64 {
         let (least, most) = (RETURN_MS.0 as f64, RETURN_MS.1 as f64);
         let free_each_ms = self.hold_ms / f64::from(self.held.max(1));
@@ -287,12 +297,12 @@
         (self.return_due_ms - now).clamp(least, most) as u64
     }
 
-    /// The time that a request holds a place, as learned, in milliseconds.
+    /// The learned time that a request holds a slot, in milliseconds.
     pub fn hold_ms(&self) -> f64 {
         self.hold_ms
     }
 
-    /// The part of the places that is used.
+    /// The fraction of the slots that is in use.
     pub fn used_part(&self) -> f64 {
         self.used_part
     }
--- a/lib/src/coordination/holder_news.rs
+++ b/lib/src/coordination/holder_news.rs
@@ -21,7 +21,7 @@
 /// The same is sent again after this long, in milliseconds: engines drop what isn't used.
 const SEND_AGAIN_MS: u64 = 10_000;
 /// Shared prompts shorter than this aren't reported, in tokens: reading them takes milliseconds.
-pub const LEAST_REPORTED_TOKENS: u32 = 512;
+pub const MIN_REPORTED_TOKENS: u32 = 512;
 
 /// An engine was sent a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/lib/src/coordination/plain_choice.rs
+++ b/lib/src/coordination/plain_choice.rs
@@ -1,29 +1,30 @@
-//! Which plain upstream takes a request.
+//! Chooses the plain upstream that takes a request.
 //!
-//! Loads are reported every [`RENEW_MS`]. Where requests stay at an upstream for longer than that, the least
-//! loaded as reported takes the next one. Where they take some ten milliseconds, a report is long over
-//! when it is heard, and all VMs that go by it send to the same upstream, which then rejects while
-//! others rest; there a VM goes by what it has in flight itself, and by its zone. It finds out which
-//! is so by what requests take. See `docs/design/shifted-work.md`.
+//! Loads are reported every [`RENEW_MS`]. If requests stay at an upstream for longer than that, the
+//! least loaded upstream as reported takes the next one. If they take about ten milliseconds, a
+//! report is outdated when it is received: all VMs that use it send to the same upstream, which
+//! then rejects requests while others are idle. In that case a VM uses its own requests in flight,
+//! and its zone. It tells the two cases apart by how long requests take. See
+//! `docs/design/shifted-work.md`.
 
-use super::upstream_candidate::{no_choice, usable, ChoiceFault, UpstreamCandidate};
+use super::upstream_candidate::{choice_error, usable, ChoiceError, UpstreamCandidate};
 use super::upstream_load::NEARLY_IDLE_MEAN;
 use super::vm_roster::{MANY_VMS, RENEW_MS};
 use crate::state::ids::UpstreamKey;
 use crate::state::rendezvous::rendezvous_score;
 
-/// How fast the time that requests stay is learned, by request.
+/// The weight of one request in the moving average of the time that requests stay.
 const HOLD_WEIGHT: f64 = 0.05;
 
-/// How long requests stay at the upstreams of a service, as one VM sees it.
+/// How long requests stay at the upstreams of a service, as one VM observes it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainHold {
-    /// In milliseconds; 0 before there was any.
+    /// The moving average in milliseconds; 0 before the first request has ended.
     mean_ms: f64,
 }
 
 impl PlainHold {
-    /// A request was there for so long.
+    /// Records that a request stayed for `held_ms` milliseconds.
     pub fn note(&mut self, held_ms: u64) {
         let held_ms = held_ms as f64;
         match self.mean_ms > 0.0 {
@@ -32,23 +33,25 @@
         }
     }
 
-    /// The mean, in milliseconds; 0 before there was any.
+    /// The moving average in milliseconds; 0 before the first request has ended.
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms
     }
 
-    /// Whether reported loads say something of the present.
+    /// Whether requests stay longer than the interval between load reports, so that reported loads
+    /// still describe the present.
     pub fn outlasts_news(&self) -> bool {
         self.mean_ms > RENEW_MS as f64
     }
 }
 
-/// From [`MANY_VMS`] on a request that stays long goes to the less loaded of so many that are drawn:
-/// the least loaded of all, as reported, is the one to which every VM sends until the next report. Fewer
-/// VMs know most of it by themselves.
+/// In a fleet of at least [`MANY_VMS`], a request that stays long goes to the least loaded of this
+/// many upstreams, drawn at random. Otherwise every VM would send to the least loaded upstream of
+/// all until the next report. Smaller fleets don't need this, because each VM has a large part of
+/// the load itself.
 const PLAIN_CHOICES: usize = 2;
 
-/// Of how many plain upstreams, drawn at random, one of `vms` VMs takes the least loaded.
+/// How many plain upstreams one of `vms` VMs draws at random, to take the least loaded of them.
 pub fn plain_choices(vms: usize) -> usize {
     match vms < MANY_VMS {
         true => usize::MAX,
@@ -56,52 +59,56 @@
     }
 }
 
-/// The least loaded, as reported, of `choices` that `draw` names; the near one of equals.
+/// The least loaded, as reported, of `choices` upstreams that `draw` selects; of equally loaded
+/// ones, one in this VM's zone.
 pub fn choose_plain(
     candidates: &[UpstreamCandidate],
     choices: usize,
     draw: u64,
-) -> Result<UpstreamKey, ChoiceFault> {
+) -> Result<UpstreamKey, ChoiceError> {
     let usable = usable(candidates);
     let taking = || usable.iter().filter(|candidate| candidate.takes_work());
     let mut drawn: Vec<_> = taking().filter(|candidate| !candidate.full).collect();
     drawn.sort_by_cached_key(|candidate| rendezvous_score(draw, candidate.key.0));
     drawn.truncate(choices);
-    let best = drawn.into_iter().min_by_key(|candidate| (candidate.load, !candidate.near));
-    best.map(|candidate| candidate.key).ok_or_else(|| no_choice(taking().count(), candidates))
+    let best = drawn.into_iter().min_by_key(|candidate| (candidate.load, !candidate.same_zone));
+    best.map(|candidate| candidate.key).ok_or_else(|| choice_error(taking().count(), candidates))
 }
 
-/// An upstream above twice the mean of all and this many more, as reported, is left to others.
+/// How far above twice the mean the reported load of an upstream must be for it to count as
+/// crowded.
 const CROWDED_ABOVE: f64 = 4.0;
 
-/// The one at which this VM has least in flight; of equals one that isn't crowded, then one in its
-/// zone, then one that is drawn.
+/// The upstream at which this VM has the fewest requests in flight. Ties go to one that isn't
+/// crowded, then to one in this VM's zone, then to the one that `draw` selects.
 pub fn choose_by_own(
     candidates: &[UpstreamCandidate],
     draw: u64,
-) -> Result<UpstreamKey, ChoiceFault> {
+) -> Result<UpstreamKey, ChoiceError> {
     let usable = usable(candidates);
     let taking = || usable.iter().filter(|candidate| candidate.takes_work() && !candidate.full);
     let mean = mean_load(taking().copied());
     let crowded = |c: &UpstreamCandidate| f64::from(c.load) > 2.0 * mean + CROWDED_ABOVE;
     let best = taking().min_by_key(|candidate| {
         let drawn = rendezvous_score(draw, candidate.key.0);
-        (candidate.own, crowded(candidate), !candidate.near, drawn)
+        (candidate.own_load, crowded(candidate), !candidate.same_zone, drawn)
     });
-    best.map(|candidate| candidate.key).ok_or_else(|| no_choice(taking().count(), candidates))
+    best.map(|candidate| candidate.key).ok_or_else(|| choice_error(taking().count(), candidates))
 }
 
-/// So many upstreams a VM meets again soon whichever of them it takes.
+/// The number of upstreams up to which a VM reuses its connections soon, whichever upstream it
+/// chooses.
 const FEW_UPSTREAMS: usize = 8;
 
-/// The same, but of many upstreams that are nearly idle VM `vm` takes the first of an order of its own
-/// in place of one that is drawn. It would hardly meet one again before the connection there has
-/// rested for its time, and would open one for each request.
+/// Like [`choose_by_own_load`], but among many upstreams that are nearly idle, VM `vm` breaks ties
+/// by a fixed order of its own instead of at random. With random choices it would rarely return to
+/// an upstream before the connection there has passed its idle time, and would open a connection
+/// for each request.
 pub fn choose_kept(
     candidates: &[UpstreamCandidate],
     vm: u32,
     draw: u64,
-) -> Result<UpstreamKey, ChoiceFault> {
+) -> Result<UpstreamKey, ChoiceError> {
     let taking = || candidates.iter().filter(|candidate| candidate.takes_work());
     let keeps = taking().count() > FEW_UPSTREAMS && mean_load(taking()) < NEARLY_IDLE_MEAN;
     match keeps {
--- a/lib/src/coordination/upstream_candidate.rs
+++ b/lib/src/coordination/upstream_candidate.rs
@@ -1,4 +1,4 @@
-//! One upstream as a choice among them sees it.
+//! The upstreams among which a request's upstream is chosen.
 
 use std::collections::BTreeSet;
 
@@ -7,49 +7,49 @@
 /// One upstream that could take a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamCandidate {
-    /// Its life.
+    /// The upstream's incarnation.
     pub key: UpstreamKey,
-    /// Requests in flight from all VMs, as far as known.
+    /// Requests in flight from all VMs, as far as reported.
     pub load: u32,
     /// Requests in flight from this VM.
-    pub own: u32,
-    /// Set aside on passive health checks.
-    pub aside: bool,
-    /// It has no room for this request, as far as known; see [`super::engine_room`].
+    pub own_load: u32,
+    /// Ejected by passive health checks.
+    pub ejected: bool,
+    /// It has no capacity for this request, as far as reported; see [`super::engine_room`].
     pub full: bool,
-    /// The request was sent there before.
+    /// The request was sent to it before.
     pub tried: bool,
-    /// It takes no new work, but may still be asked for what it keeps.
+    /// It takes no new work, but other engines may still fetch cached prompts from it.
     pub leaving: bool,
-    /// It stays, but this VM sends it nothing now: its zone is emptied, or it is cold. It counts in
-    /// the mean load, by which a deployment bounds the others.
+    /// It isn't leaving, but this VM sends it nothing now, because its zone is evacuated or it is
+    /// cold. It counts in the mean load by which a deployment limits the load of the others.
     pub withheld: bool,
-    /// It asked this VM for rest, and wants nothing from it for so long, in milliseconds; 0 for none. It counts
-    /// in the mean like one that is withheld.
+    /// How long the upstream has asked this VM to send it nothing, in milliseconds; 0 if it hasn't.
+    /// Such an upstream counts in the mean load like a withheld one.
     pub rest_ms: u64,
-    /// Its place in the order of engines.
-    pub seat: Option<u64>,
-    /// In this VM's zone.
-    pub near: bool,
+    /// Its slot on the ring from which the order of engines is computed.
+    pub ring_slot: Option<u64>,
+    /// It is in this VM's zone.
+    pub same_zone: bool,
     /// When it was first seen, in milliseconds.
     pub first_seen_ms: u64,
 }
 
 impl UpstreamCandidate {
-    /// One that takes work and has none, of which nothing more is known.
+    /// A candidate that takes work and has none, with all else at its default.
     pub fn idle(key: UpstreamKey) -> UpstreamCandidate {
         UpstreamCandidate {
             key,
             load: 0,
-            own: 0,
-            aside: false,
+            own_load: 0,
+            ejected: false,
             full: false,
             tried: false,
             leaving: false,
             withheld: false,
             rest_ms: 0,
-            seat: None,
-            near: false,
+            ring_slot: None,
+            same_zone: false,
             first_seen_ms: 0,
         }
     }
@@ -59,32 +59,32 @@
         !self.leaving && !self.is_held_back()
     }
 
-    /// Whether it stays, and this VM sends it nothing now.
+    /// Whether this VM sends it nothing now although it isn't leaving.
     pub fn is_held_back(&self) -> bool {
         self.withheld || self.rest_ms > 0
     }
 }
 
-/// Candidates in the order of their keys, to be changed by key.
+/// A set of candidates, sorted by key so that one can be found and changed by its key.
 #[derive(Clone, Debug)]
 pub struct CandidateSet {
     rows: Vec<UpstreamCandidate>,
 }
 
 impl CandidateSet {
-    /// The set of candidates that come in the order of their keys.
+    /// Creates a set from candidates that are sorted by key.
     pub fn new(rows: impl Iterator<Item = UpstreamCandidate>) -> CandidateSet {
         CandidateSet { rows: rows.collect() }
     }
 
-    /// Changes a candidate, if it is one.
+    /// Changes the candidate with this key, if there is one.
     pub fn change(&mut self, key: UpstreamKey, change: impl FnOnce(&mut UpstreamCandidate)) {
         if let Ok(at) = self.rows.binary_search_by_key(&key, |candidate| candidate.key) {
             change(&mut self.rows[at]);
         }
     }
 
-    /// Takes candidates out.
+    /// Removes the candidates with these keys.
     pub fn remove_all(&mut self, keys: impl Iterator<Item = UpstreamKey>) {
         let removed: BTreeSet<UpstreamKey> = keys.collect();
         if !removed.is_empty() {
@@ -92,46 +92,48 @@
         }
     }
 
-    /// The candidates, in the order of their keys.
+    /// The candidates, sorted by key.
     pub fn into_rows(self) -> Vec<UpstreamCandidate> {
         self.rows
     }
 }
 
-/// Why there is no choice.
+/// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChoiceFault {
-    /// No upstream takes work that wasn't tried before.
+pub enum ChoiceError {
+    /// No upstream that wasn't tried before takes work.
     NoUpstream,
-    /// Some would take it, and none has room.
+    /// Some upstreams take work, but none of them has capacity.
     Full,
-    /// All that would take it want rest; the first of them for so long, in milliseconds.
+    /// All upstreams that would take the request asked for rest; the first of them takes requests
+    /// again after this many milliseconds.
     Resting(u64),
 }
 
-/// Why none of `candidates` was chosen, of which so many were `taking` work.
-pub(super) fn no_choice(taking: usize, candidates: &[UpstreamCandidate]) -> ChoiceFault {
+/// Why none of `candidates` was chosen; `taking` is how many of them take work.
+pub(super) fn choice_error(taking: usize, candidates: &[UpstreamCandidate]) -> ChoiceError {
     match (taking, earliest_return(candidates)) {
-        (0, Some(rest_ms)) => ChoiceFault::Resting(rest_ms),
-        (0, None) => ChoiceFault::NoUpstream,
-        _ => ChoiceFault::Full,
+        (0, Some(rest_ms)) => ChoiceError::Resting(rest_ms),
+        (0, None) => ChoiceError::NoUpstream,
+        _ => ChoiceError::Full,
     }
 }
 
-/// How long it is until the first upstream has rested, in milliseconds, where all that this VM might send
-/// work to rest. A caller that comes sooner is refused again, at any attempt.
+/// How long it is until the first upstream takes requests again, in milliseconds, if all upstreams
+/// to which this VM might send work asked for rest. A caller that retries sooner is refused again,
+/// at any attempt.
 pub fn earliest_return(candidates: &[UpstreamCandidate]) -> Option<u64> {
     let mut staying = candidates.iter().filter(|c| !c.leaving && !c.withheld).peekable();
     staying.peek()?;
     staying.map(|candidate| candidate.rest_ms).min().filter(|rest_ms| *rest_ms > 0)
 }
 
-/// Those not set aside, or all when all are; never one that was tried.
+/// The untried candidates that aren't ejected, or all untried ones if no other takes work.
 pub(super) fn usable(candidates: &[UpstreamCandidate]) -> Vec<&UpstreamCandidate> {
     let fresh: Vec<&UpstreamCandidate> =
         candidates.iter().filter(|candidate| !candidate.tried).collect();
-    match fresh.iter().any(|candidate| !candidate.aside && candidate.takes_work()) {
-        true => fresh.into_iter().filter(|candidate| !candidate.aside).collect(),
+    match fresh.iter().any(|candidate| !candidate.ejected && candidate.takes_work()) {
+        true => fresh.into_iter().filter(|candidate| !candidate.ejected).collect(),
         false => fresh,
     }
 }
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -11,7 +11,7 @@
 use super::seen::SeenPhase;
 use crate::coordination::plain_choice::choose_by_own;
 use crate::coordination::retry::may_retry;
-use crate::coordination::upstream_candidate::{ChoiceFault, UpstreamCandidate};
+use crate::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
 use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
 use crate::protocol::http::HttpReply;
 use crate::protocol::peer_wire::RouteDecision;
@@ -109,8 +109,8 @@
     let candidates = candidates(&desk, sight, tried, now_ms);
     let chosen = choose_by_own(&candidates, UpstreamKey::of(request_id).0);
     let chosen = chosen.map_err(|fault| match fault {
-        ChoiceFault::Resting(rest_ms) => Some(rest_ms),
-        ChoiceFault::NoUpstream | ChoiceFault::Full => None,
+        ChoiceError::Resting(rest_ms) => Some(rest_ms),
+        ChoiceError::NoUpstream | ChoiceError::Full => None,
     })?;
     desk.outliers.begin_trial(chosen, now_ms);
     *desk.plain_in_flight.entry(chosen).or_default() += 1;
@@ -127,7 +127,7 @@
     let candidate = |key: UpstreamKey| {
         let own = desk.plain_in_flight.get(&key).copied().unwrap_or(0);
         UpstreamCandidate {
-            own,
+            own_load: own,
             tried: tried.contains(&key),
             rest_ms: desk.notices.rest_ms(key, now_ms),
             ..UpstreamCandidate::idle(key)
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -6,7 +6,7 @@
 use crate::coordination::plain_choice::{choose_kept, choose_plain, plain_choices};
 use crate::coordination::rollout_watch::RolloutLane;
 use crate::coordination::upstream_candidate::{
-    earliest_return, CandidateSet, ChoiceFault, UpstreamCandidate,
+    earliest_return, CandidateSet, ChoiceError, UpstreamCandidate,
 };
 use crate::coordination::upstream_choice::{choose_engine, EngineRules, UpstreamPick};
 use crate::state::ids::UpstreamKey;
@@ -34,7 +34,7 @@
         rule: &RouteRule,
         room: Option<&RoomRequest>,
         tried: &[UpstreamKey],
-    ) -> Result<UpstreamPick, ChoiceFault> {
+    ) -> Result<UpstreamPick, ChoiceError> {
         let lane = self.node.rollout_lane(&service.name, rule, tried.is_empty());
         if lane == RolloutLane::Trial {
             if let Ok(pick) = self.choose_in(lane, service, rule, room, tried) {
@@ -65,7 +65,7 @@
         rule: &RouteRule,
         room: Option<&RoomRequest>,
         tried: &[UpstreamKey],
-    ) -> Result<UpstreamPick, ChoiceFault> {
+    ) -> Result<UpstreamPick, ChoiceError> {
         let now_ms = self.node.now_ms();
         let mut candidates = self.candidates(lane, service, tried, now_ms);
         let engine = service.engine.as_ref().filter(|_| rule.prompt_parts);
@@ -79,14 +79,14 @@
         if held_back as f64 >= WITHHELD_OVERLOADS * candidates.len() as f64 {
             self.node.overloaded_ms.set(now_ms);
         }
-        let spread = if overloaded { OVERLOADED_SPREAD } else { usize::MAX };
+        let max_engines = if overloaded { OVERLOADED_SPREAD } else { usize::MAX };
         let memory = self.node.prefixes.borrow();
         let vms = self.node.view.borrow().roster.rows.len().max(1);
-        let rate = memory.fleet_rate(&self.caller.prompt, vms, now_ms);
+        let rate = memory.estimated_fleet_rate(&self.caller.prompt, vms, now_ms);
         let hold_ms = self.node.with_room(&service.name, |room| room.hold_ms());
         let rules = EngineRules {
-            moves: engine.moves,
-            spread,
+            kv_transfer: engine.moves,
+            max_engines,
             load_limit: self.node.settings.borrow().bounds.load_limit,
             part_load: rate * hold_ms / 1000.0,
             draw: self.draw,
@@ -98,7 +98,7 @@
         &self,
         service: &ServiceEntry,
         candidates: &[UpstreamCandidate],
-    ) -> Result<UpstreamKey, ChoiceFault> {
+    ) -> Result<UpstreamKey, ChoiceError> {
         let holds = self.node.plain_holds.borrow();
         let hold = holds.get(&service.name).copied().unwrap_or_default();
         match hold.outlasts_news() {
@@ -143,10 +143,10 @@
             age_ms: self.node.now_ms().saturating_sub(view.heard_ms),
             ..RoomNews::default()
         };
-        let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.aside;
+        let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.ejected;
         for candidate in candidates.iter().filter(counts) {
             news.reported += candidate.load;
-            news.own += candidate.own;
+            news.own += candidate.own_load;
             news.engines += 1;
         }
         let counted = |key: &UpstreamKey| {
@@ -179,8 +179,8 @@
             UpstreamCandidate {
                 leaving: entry.leaving,
                 withheld,
-                seat: entry.seat,
-                near: entry.zone == settings.zone,
+                ring_slot: entry.seat,
+                same_zone: entry.zone == settings.zone,
                 first_seen_ms,
                 ..UpstreamCandidate::idle(key)
             }
@@ -191,7 +191,7 @@
         self.note_faults(&mut candidates, now_ms);
         for key in notices.known() {
             candidates.change(key, |candidate| {
-                candidate.aside |= notices.is_spared(key, now_ms);
+                candidate.ejected |= notices.is_spared(key, now_ms);
                 candidate.leaving |= notices.is_leaving(key);
                 candidate.rest_ms = notices.rest_ms(key, now_ms);
             });
@@ -213,7 +213,8 @@
     fn note_loads(&self, candidates: &mut CandidateSet) {
         let view = self.node.view.borrow();
         for (key, own) in self.node.in_flight.borrow().iter() {
-            candidates.change(*key, |candidate| (candidate.own, candidate.load) = (*own, *own));
+            candidates
+                .change(*key, |candidate| (candidate.own_load, candidate.load) = (*own, *own));
         }
         for key in view.reports.known() {
             candidates.change(key, |candidate| candidate.load += view.reports.others(key));
@@ -230,7 +231,7 @@
         let failing = view.failing.iter().copied().filter(|_| fresh);
         let aside = outliers.known().filter(|key| outliers.is_aside(*key, now_ms));
         for key in failing.chain(silence.view.dark(now_ms)).chain(aside) {
-            candidates.change(key, |candidate| candidate.aside = true);
+            candidates.change(key, |candidate| candidate.ejected = true);
         }
         candidates.remove_all(outliers.known().filter(|key| outliers.is_gone(*key)));
     }
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -27,7 +27,7 @@
 use crate::coordination::crash_table::FIRST_HELD_MS;
 use crate::coordination::engine_room::RoomRequest;
 use crate::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
-use crate::coordination::upstream_candidate::ChoiceFault;
+use crate::coordination::upstream_candidate::ChoiceError;
 use crate::state::route_table::{pick_share, RequestKind, RouteDecision, RouteRule, ServiceEntry};
 use crate::state::vm_figures::RequestEnd;
 
@@ -337,20 +337,20 @@
         &self,
         count: &AttemptCount,
         service: &str,
-        fault: ChoiceFault,
+        fault: ChoiceError,
     ) -> Response<AnswerBody> {
         let why = match fault {
-            ChoiceFault::NoUpstream => "no upstream",
-            ChoiceFault::Full => "no room",
-            ChoiceFault::Resting(_) => "all upstreams rest",
+            ChoiceError::NoUpstream => "no upstream",
+            ChoiceError::Full => "no room",
+            ChoiceError::Resting(_) => "all upstreams rest",
         };
         if count.may_have_run {
             return self.fail(count, why);
         }
         let retry_ms = match fault {
-            ChoiceFault::NoUpstream => RETRY_MS,
-            ChoiceFault::Resting(rest_ms) => rest_ms,
-            ChoiceFault::Full => {
+            ChoiceError::NoUpstream => RETRY_MS,
+            ChoiceError::Resting(rest_ms) => rest_ms,
+            ChoiceError::Full => {
                 self.node.with_room(service, |room| room.return_ms(self.node.now_ms()))
             }
         };
--- a/lib/src/transport/vm_place.rs
+++ b/lib/src/transport/vm_place.rs
@@ -23,8 +23,8 @@
     pub(super) watched: bool,
     /// When it was placed, by the node's clock.
     pub(super) sent_ms: u64,
-    /// See [`UpstreamPick::against_order`].
-    pub(super) against_order: Option<u64>,
+    /// See [`UpstreamPick::off_order_part`].
+    pub(super) off_order_part: Option<u64>,
     /// See [`UpstreamPick::new_root`].
     pub(super) new_root: Option<u64>,
     /// What the send shows of the upstream's version.
@@ -71,7 +71,7 @@
             watched: self.is_watched(send.workspace.as_deref()),
             sent_ms: self.node.now_ms(),
             send,
-            against_order: pick.against_order,
+            off_order_part: pick.off_order_part,
             new_root: pick.new_root,
             trial: TrialGuard::new(self.node.clone(), tag, stream, !entry.cold, held),
         })
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -44,7 +44,7 @@
                 let now_ms = self.node.now_ms();
                 let mut prefixes = self.node.prefixes.borrow_mut();
                 prefixes.note_sent(&self.caller.prompt, place.upstream, now_ms);
-                for part in place.against_order.into_iter().chain(place.new_root) {
+                for part in place.off_order_part.into_iter().chain(place.new_root) {
                     let note = HolderNote { part, engine: place.upstream };
                     self.node.holders.borrow_mut().outbox.add(note, now_ms);
                 }
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -12,7 +12,7 @@
 use wingshed_lib::coordination::news_source::{asks_holder, choose_source, NewsAsker};
 use wingshed_lib::coordination::upstream_candidate::{CandidateSet, UpstreamCandidate};
 use wingshed_lib::coordination::upstream_choice::{
-    choose_engine, EngineRules, PrefixMemory, ROOT_HOLDERS_REPORTED,
+    choose_engine, EngineRules, PrefixMemory, MAX_ROOT_HOLDERS_REPORTED,
 };
 use wingshed_lib::coordination::upstream_load::{LoadNews, SharedLoads, UpstreamLoad};
 use wingshed_lib::coordination::vm_roster::{
@@ -281,7 +281,7 @@
 
 #[test]
 fn notes_of_a_roots_holders_do_not_grow_with_the_engines() {
-    assert_eq!([200, 400].map(root_notes), [ROOT_HOLDERS_REPORTED; 2]);
+    assert_eq!([200, 400].map(root_notes), [MAX_ROOT_HOLDERS_REPORTED; 2]);
 }
 
 #[test]
--- a/lib/tests/test_holder_news.rs
+++ b/lib/tests/test_holder_news.rs
@@ -28,10 +28,15 @@
     all: &[UpstreamCandidate],
     memory: &PrefixMemory,
 ) -> (UpstreamKey, Option<UpstreamKey>, Option<u64>) {
-    let rules =
-        EngineRules { moves: true, spread: usize::MAX, load_limit: 2.0, part_load: 0.0, draw: 0 };
+    let rules = EngineRules {
+        kv_transfer: true,
+        max_engines: usize::MAX,
+        load_limit: 2.0,
+        part_load: 0.0,
+        draw: 0,
+    };
     let pick = choose_engine(all, &prompt(), memory, &rules, LATE).unwrap();
-    (pick.upstream, pick.fetch_from, pick.against_order)
+    (pick.upstream, pick.fetch_from, pick.off_order_part)
 }
 
 #[test]
@@ -42,12 +47,12 @@
 
     // One VM finds the first two of the order dead, and sends the part to the third.
     let mut broken = calm.clone();
-    let aside = |all: &mut Vec<UpstreamCandidate>, key| {
-        all.iter_mut().filter(|c| c.key == key).for_each(|c| c.aside = true);
+    let eject = |all: &mut Vec<UpstreamCandidate>, key| {
+        all.iter_mut().filter(|c| c.key == key).for_each(|c| c.ejected = true);
     };
-    aside(&mut broken, home);
+    eject(&mut broken, home);
     let second = pick(&broken, &PrefixMemory::default()).0;
-    aside(&mut broken, second);
+    eject(&mut broken, second);
     let (third, _, told) = pick(&broken, &PrefixMemory::default());
     assert_eq!(told, Some(2));
 
--- a/lib/tests/test_hot_part.rs
+++ b/lib/tests/test_hot_part.rs
@@ -71,16 +71,16 @@
                         let seated = at + case.unseated < used;
                         UpstreamCandidate {
                             withheld: at >= used,
-                            seat: (seated || at >= used).then_some(at as u64 + 1),
+                            ring_slot: (seated || at >= used).then_some(at as u64 + 1),
                             ..candidate(at as u64 + 1, load)
                         }
                     })
                     .collect();
                 memories[vm].note_asked(&prompt, now_ms);
-                let rate = memories[vm].fleet_rate(&prompt, case.vms, now_ms);
+                let rate = memories[vm].estimated_fleet_rate(&prompt, case.vms, now_ms);
                 let rules = EngineRules {
-                    moves: true,
-                    spread: usize::MAX,
+                    kv_transfer: true,
+                    max_engines: usize::MAX,
                     load_limit: LIMIT,
                     part_load: rate * HOLD_MS as f64 / 1000.0,
                     draw: random.gen(),
@@ -93,7 +93,7 @@
                     asked += 1.0;
                     over += f64::from(u8::from(f64::from(held[at]) > LIMIT * mean + 3.0));
                     others += f64::from(u8::from(!hot));
-                    moved += f64::from(u8::from(!hot && pick.against_order.is_some()));
+                    moved += f64::from(u8::from(!hot && pick.off_order_part.is_some()));
                 }
                 (own[vm][at], held[at]) = (own[vm][at] + 1, held[at] + 1);
                 ends.push_back((now_ms + HOLD_MS, vm, at));
--- a/lib/tests/test_notices.rs
+++ b/lib/tests/test_notices.rs
@@ -11,7 +11,7 @@
 use wingshed_lib::coordination::plain_choice::{choose_by_own, choose_plain};
 use wingshed_lib::coordination::silence::SilenceTable;
 use wingshed_lib::coordination::upstream_candidate::{
-    earliest_return, ChoiceFault, UpstreamCandidate,
+    earliest_return, ChoiceError, UpstreamCandidate,
 };
 use wingshed_lib::coordination::upstream_choice::{choose_engine, PrefixMemory};
 use wingshed_lib::coordination::upstream_notice::ApproachPurpose::{Request, Trial};
@@ -203,8 +203,8 @@
     };
     assert_eq!(engine(&mixed), Ok(UpstreamKey(2)));
     let refusals = [engine(&all), choose_plain(&all, usize::MAX, 1), choose_by_own(&all, 1)];
-    assert_eq!(refusals, [Err(ChoiceFault::Resting(30)); 3]);
-    assert_eq!(engine(&tried), Err(ChoiceFault::NoUpstream), "another attempt may go there");
+    assert_eq!(refusals, [Err(ChoiceError::Resting(30)); 3]);
+    assert_eq!(engine(&tried), Err(ChoiceError::NoUpstream), "another attempt may go there");
 }
 
 #[test]
--- a/lib/tests/test_plain_spread.rs
+++ b/lib/tests/test_plain_spread.rs
@@ -69,8 +69,8 @@
             let candidates: Vec<UpstreamCandidate> = (0..case.upstreams)
                 .map(|at| UpstreamCandidate {
                     load: own[vm][at] + told[vm][at].saturating_sub(told_own[vm][at]),
-                    own: own[vm][at],
-                    near: at % case.zones == vm % case.zones,
+                    own_load: own[vm][at],
+                    same_zone: at % case.zones == vm % case.zones,
                     ..UpstreamCandidate::idle(UpstreamKey(at as u64 + 1))
                 })
                 .collect();
@@ -158,14 +158,14 @@
 
 #[test]
 fn a_crowded_upstream_in_the_own_zone_is_left_to_others() {
-    let near = UpstreamCandidate { near: true, ..candidate(1, 3) };
+    let near = UpstreamCandidate { same_zone: true, ..candidate(1, 3) };
     let far = [candidate(2, 3), candidate(3, 3)];
     assert_eq!(choose_by_own(&[near, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 
     let crowded = UpstreamCandidate { load: 30, ..near };
     assert_ne!(choose_by_own(&[crowded, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 
-    let busy = UpstreamCandidate { own: 1, ..near };
+    let busy = UpstreamCandidate { own_load: 1, ..near };
     assert_ne!(choose_by_own(&[busy, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 }
 
@@ -188,9 +188,9 @@
             let own = |at: u64| u32::from(used_ms[vm as usize][at as usize].is_some_and(is_busy));
             let candidates: Vec<UpstreamCandidate> = (0..upstreams)
                 .map(|at| UpstreamCandidate {
-                    own: own(at),
+                    own_load: own(at),
                     load: own(at),
-                    near: at % 5 == vm % 5,
+                    same_zone: at % 5 == vm % 5,
                     ..UpstreamCandidate::idle(UpstreamKey(at + 1))
                 })
                 .collect();
--- a/lib/tests/test_rest_spread.rs
+++ b/lib/tests/test_rest_spread.rs
@@ -69,9 +69,9 @@
                 let own = flying.iter().filter(|sent| sent.upstream == at).count() as u32;
                 let rest_ms = notices.rest_ms(key, now_ms);
                 UpstreamCandidate {
-                    own,
+                    own_load: own,
                     rest_ms: if way == RestWay::Unheeded { 0 } else { rest_ms },
-                    aside: way == RestWay::OneFirst && notices.is_spared(key, now_ms),
+                    ejected: way == RestWay::OneFirst && notices.is_spared(key, now_ms),
                     ..candidate(key.0, own)
                 }
             })
--- a/lib/tests/test_vm_decisions.rs
+++ b/lib/tests/test_vm_decisions.rs
@@ -18,7 +18,7 @@
 use wingshed_lib::coordination::outlier::OutlierTable;
 use wingshed_lib::coordination::plain_choice::choose_plain;
 use wingshed_lib::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
-use wingshed_lib::coordination::upstream_candidate::{ChoiceFault, UpstreamCandidate};
+use wingshed_lib::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
 use wingshed_lib::coordination::upstream_choice::{
     choose_engine, EngineRules, PrefixMemory, NEW_ENGINE_MS,
 };
@@ -199,7 +199,7 @@
     let spill = choose_engine(&busy, &prompt(), &memory, &RULES, LATE).unwrap();
     assert_ne!(spill.upstream, first.upstream);
     assert_eq!(spill.fetch_from, Some(first.upstream));
-    let fixed = EngineRules { moves: false, ..RULES };
+    let fixed = EngineRules { kv_transfer: false, ..RULES };
     let alone = choose_engine(&busy, &prompt(), &memory, &fixed, LATE).unwrap();
     assert_eq!(alone.fetch_from, None, "no fetch where engines can't move memory");
 }
@@ -231,8 +231,8 @@
 fn a_prompt_is_refused_when_the_engines_of_its_spread_have_no_room() {
     let memory = PrefixMemory::default();
     let calm: Vec<UpstreamCandidate> = (1..=6).map(|key| candidate(key, 2)).collect();
-    let choose = |all: &[UpstreamCandidate], spread| {
-        let rules = EngineRules { spread, ..RULES };
+    let choose = |all: &[UpstreamCandidate], max_engines| {
+        let rules = EngineRules { max_engines, ..RULES };
         choose_engine(all, &prompt(), &memory, &rules, LATE).map(|pick| pick.upstream)
     };
     let mut busy = calm.clone();
@@ -246,13 +246,13 @@
         }
     }
 
-    assert_eq!(choose(&busy, 3), Err(ChoiceFault::Full), "three of its order are full");
+    assert_eq!(choose(&busy, 3), Err(ChoiceError::Full), "three of its order are full");
     assert!(!taken.contains(&choose(&busy, ALL).unwrap()), "a fourth has room");
     for candidate in &mut busy {
         candidate.full = true;
     }
-    assert_eq!(choose(&busy, ALL), Err(ChoiceFault::Full));
-    assert_eq!(choose(&[], ALL), Err(ChoiceFault::NoUpstream));
+    assert_eq!(choose(&busy, ALL), Err(ChoiceError::Full));
+    assert_eq!(choose(&[], ALL), Err(ChoiceError::NoUpstream));
 }
 
 #[test]
@@ -289,7 +289,7 @@
     }
     let heir = UpstreamCandidate {
         key: UpstreamKey(99),
-        seat: Some(first.0),
+        ring_slot: Some(first.0),
         first_seen_ms: LATE - 1000,
         ..candidate(99, 0)
     };
@@ -304,7 +304,7 @@
 #[test]
 fn upstreams_set_aside_are_used_only_when_nothing_else_is_left() {
     let mut all = vec![candidate(1, 9), candidate(2, 0), candidate(3, 1)];
-    all[1].aside = true;
+    all[1].ejected = true;
     assert_eq!(choose_plain(&all, usize::MAX, 5), Ok(UpstreamKey(3)));
     all[0].tried = true;
     all[2].tried = true;
@@ -312,7 +312,7 @@
     all[1].leaving = true;
     assert_eq!(
         choose_plain(&all, usize::MAX, 5),
-        Err(ChoiceFault::NoUpstream),
+        Err(ChoiceError::NoUpstream),
         "one that leaves takes nothing"
     );
 }
--- a/lib/tests/test_zones.rs
+++ b/lib/tests/test_zones.rs
@@ -6,7 +6,7 @@
 use testutils::engines::{candidate, prompt, RULES};
 use wingshed_lib::coordination::cold_share::{cold_plan, ColdSends, FleetStanding};
 use wingshed_lib::coordination::plain_choice::choose_plain;
-use wingshed_lib::coordination::upstream_candidate::{ChoiceFault, UpstreamCandidate};
+use wingshed_lib::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
 use wingshed_lib::coordination::upstream_choice::{choose_engine, PrefixMemory};
 use wingshed_lib::coordination::vm_roster::RosterRow;
 use wingshed_lib::coordination::zone_watch::{ZoneChange, ZoneWatch};
@@ -103,8 +103,8 @@
 
     let none = [withheld(1), withheld(2)];
     let refused = choose_engine(&none, &prompt, &memory, &RULES, 100_000);
-    assert_eq!(refused, Err(ChoiceFault::NoUpstream));
-    assert_eq!(choose_plain(&none, usize::MAX, 1), Err(ChoiceFault::NoUpstream));
+    assert_eq!(refused, Err(ChoiceError::NoUpstream));
+    assert_eq!(choose_plain(&none, usize::MAX, 1), Err(ChoiceError::NoUpstream));
     let one = [withheld(1), candidate(2, 90)];
     assert_eq!(choose_plain(&one, usize::MAX, 1), Ok(UpstreamKey(2)));
 }
--- a/lib/tests/testutils/engines.rs
+++ b/lib/tests/testutils/engines.rs
@@ -11,11 +11,21 @@
 }
 
 /// Rules that leave no engine out, with twice the mean and three for a limit.
-pub const RULES: EngineRules =
-    EngineRules { moves: true, spread: usize::MAX, load_limit: 2.0, part_load: 0.0, draw: 0 };
+pub const RULES: EngineRules = EngineRules {
+    kv_transfer: true,
+    max_engines: usize::MAX,
+    load_limit: 2.0,
+    part_load: 0.0,
+    draw: 0,
+};
 
 /// An engine that takes work, with so many requests in flight, seen long ago.
 pub fn candidate(key: u64, load: u32) -> UpstreamCandidate {
-    let seat = Some(key);
-    UpstreamCandidate { load, seat, first_seen_ms: 1, ..UpstreamCandidate::idle(UpstreamKey(key)) }
+    let ring_slot = Some(key);
+    UpstreamCandidate {
+        load,
+        ring_slot,
+        first_seen_ms: 1,
+        ..UpstreamCandidate::idle(UpstreamKey(key))
+    }
 }
