--- a/lib/src/coordination/engine_room.rs
+++ b/lib/src/coordination/engine_room.rs
@@ -14,36 +14,36 @@
 /// The fraction of an answer's goal for which a request may wait at an engine for a slot. Half of
 /// its goal instead costs 0.03 of worth in a burst of five times the usual traffic, because more
 /// answers are late.
-pub const WAIT_PART: f64 = 0.25;
+pub const WAIT_FRACTION: f64 = 0.25;
 /// Requests beyond its slots that an engine takes, as a multiple of the square root of its slots.
 /// Its load varies at random by about that much, and a slot that is empty in the meantime is lost.
 /// With 12 slots an engine, this lowers the refused attempts in a day at capacity from 178 to 70
 /// and raises the worth from 0.767 to 0.778; with 48 slots it makes no difference (0.690 and 0.692
 /// at five times the usual traffic).
-const CHANCE_PART: f64 = 1.0;
+const VARIANCE_FACTOR: f64 = 1.0;
 /// The fraction of the slots that is reserved for other requests when a rank or a workspace is
 /// ahead of its share, or when an answer can only be late. The last of these rules adds 0.014 of
 /// worth in a burst of eight times the usual traffic.
-pub const KEPT_FOR_OTHERS: f64 = 0.12;
+pub const RESERVED_FRACTION: f64 = 0.12;
 /// How much higher the admitted fraction of a rank's requests may be than that of a more urgent
 /// rank before the rank counts as ahead.
-pub const AHEAD_PART: f64 = 0.02;
+pub const AHEAD_MARGIN: f64 = 0.02;
 /// The number of a rank's requests, weighted by age, below which its admitted fraction is not used.
-const LEAST_ASKED: f64 = 8.0;
+const MIN_RANK_REQUESTS: f64 = 8.0;
 /// The number of votes from which the most common wait of callers is used, and the maximum that is
 /// counted.
-const LEAST_VOTES: u32 = 8;
-const MOST_VOTES: u32 = 64;
+const MIN_VOTES: u32 = 8;
+const MAX_VOTES: u32 = 64;
 /// The half-life with which the requests of each rank are counted, in milliseconds.
 const SHARE_HALF_LIFE_MS: f64 = 4000.0;
 /// The least fraction of the slots in use. Below it, engines have free capacity by any measure.
-pub const LEAST_USED: f64 = 0.6;
+pub const MIN_USED_FRACTION: f64 = 0.6;
 /// The fraction of late answers that is tolerated before fewer slots are used.
-pub const LATE_BORNE: f64 = 0.10;
+pub const TOLERATED_LATE_FRACTION: f64 = 0.10;
 /// The weight of one answer in the moving average of late answers.
 const LATE_WEIGHT: f64 = 0.04;
 /// By how much the used fraction falls or rises with each answer.
-const USED_STEP: f64 = 0.01;
+const USED_FRACTION_STEP: f64 = 0.01;
 /// The weight of one request in the moving average of the time that a request holds a slot.
 const HOLD_WEIGHT: f64 = 0.05;
 /// The assumed time that a request holds a slot before any has ended, in milliseconds. Its
@@ -51,24 +51,24 @@
 const FIRST_HOLD_MS: f64 = 1500.0;
 /// The maximum number of other VMs to which the change of this VM's own load since the last report
 /// is extrapolated. With few requests for each VM that change is mostly random.
-const MOST_ALIKE: f64 = 16.0;
+const MAX_EXTRAPOLATED_VMS: f64 = 16.0;
 /// The maximum age, in milliseconds, of loads by which a request may be refused. Older loads mean
 /// that the VM has lost its leader, and the overload that they show may be over.
-const FRESH_MS: u64 = 1000;
+const MAX_LOAD_AGE_MS: u64 = 1000;
 /// The fraction of the slots that become free that is promised to refused callers; the rest is for
 /// new requests. Half instead of a tenth costs 0.02 of worth in a burst of five times the usual
 /// traffic.
-const RETURN_PART: f64 = 0.1;
-/// The shortest and the longest time after which a refused caller is asked to retry, in
+const PROMISED_FRACTION: f64 = 0.1;
+/// The shortest and the longest time after which a refused caller is requested to retry, in
 /// milliseconds.
-pub const RETURN_MS: (u64, u64) = (200, 30000);
+pub const RETRY_AFTER_RANGE_MS: (u64, u64) = (200, 30000);
 /// An engine counts as busy from this fraction of its slots on. Only the answers of busy engines
 /// show whether too many slots are used.
-const BUSY_PART: f64 = 0.5;
+const BUSY_FRACTION: f64 = 0.5;
 
 /// The properties of a request that needs a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct RoomRequest<'a> {
+pub struct CapacityRequest<'a> {
     /// The rank of its route; 0 is the most urgent.
     pub rank: u8,
     /// Its workspace.
@@ -81,7 +81,7 @@
 
 /// The present load of a service, as far as this VM has received it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RoomNews {
+pub struct ReportedLoad {
     /// Requests in flight at the service: those of other VMs as reported, and this VM's own as of
     /// now.
     pub reported: u32,
@@ -97,10 +97,10 @@
     pub age_ms: u64,
 }
 
-impl RoomNews {
+impl ReportedLoad {
     /// Whether the load is recent enough to refuse requests by it.
     pub fn is_fresh(&self) -> bool {
-        self.age_ms <= FRESH_MS
+        self.age_ms <= MAX_LOAD_AGE_MS
     }
 
     /// The mean load of an engine.
@@ -117,32 +117,32 @@
     /// extrapolated, since all VMs would fill the same slots, and the estimate at most doubles the
     /// load.
     pub fn growth(&self) -> f64 {
-        let others = (self.vms.saturating_sub(1) as f64).min(MOST_ALIKE);
+        let others = (self.vms.saturating_sub(1) as f64).min(MAX_EXTRAPOLATED_VMS);
         let sent = f64::from(self.own.saturating_sub(self.own_reported));
         (sent * others / self.engines.max(1) as f64).min(self.reported_mean() + 1.0)
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct KindShare {
-    asked: f64,
-    taken: f64,
-    patience: UsualPatience,
+struct RankShare {
+    requested: f64,
+    admitted: f64,
+    usual_wait: UsualWait,
 }
 
 /// How long most callers of a rank will wait: the value that the majority of them gives, found by
 /// majority vote with one counter.
 #[derive(Clone, Copy, Debug, Default)]
-struct UsualPatience {
+struct UsualWait {
     wait_ms: u64,
     votes: u32,
 }
 
-impl UsualPatience {
+impl UsualWait {
     fn note(&mut self, wait_ms: u64) {
         match (wait_ms == self.wait_ms, self.votes) {
-            (true, votes) => self.votes = (votes + 1).min(MOST_VOTES),
-            (false, 0) => *self = UsualPatience { wait_ms, votes: 1 },
+            (true, votes) => self.votes = (votes + 1).min(MAX_VOTES),
+            (false, 0) => *self = UsualWait { wait_ms, votes: 1 },
             (false, _) => self.votes -= 1,
         }
     }
@@ -150,7 +150,7 @@
     /// How much shorter than usual a caller's wait is, in milliseconds: the time that it has
     /// already spent elsewhere.
     fn spent_ms(&self, wait_ms: u64) -> u64 {
-        match self.votes >= LEAST_VOTES {
+        match self.votes >= MIN_VOTES {
             true => self.wait_ms.saturating_sub(wait_ms),
             false => 0,
         }
@@ -159,48 +159,48 @@
 
 /// What one VM has learned about one service of engines.
 #[derive(Clone, Debug)]
-pub struct ServiceRoom {
+pub struct ServiceCapacity {
     hold_ms: f64,
     goal_ms: f64,
-    late_part: f64,
-    used_part: f64,
-    kinds: BTreeMap<u8, KindShare>,
-    kinds_ms: u64,
+    late_fraction: f64,
+    used_fraction: f64,
+    ranks: BTreeMap<u8, RankShare>,
+    ranks_ms: u64,
     in_flight: HashMap<String, u32>,
     /// Slots that this VM's requests hold, including those without a workspace.
     held: u32,
-    return_due_ms: f64,
+    retry_due_ms: f64,
 }
 
-impl Default for ServiceRoom {
-    fn default() -> ServiceRoom {
-        ServiceRoom {
+impl Default for ServiceCapacity {
+    fn default() -> ServiceCapacity {
+        ServiceCapacity {
             hold_ms: FIRST_HOLD_MS,
             goal_ms: 0.0,
-            late_part: 0.0,
-            used_part: 1.0,
-            kinds: BTreeMap::new(),
-            kinds_ms: 0,
+            late_fraction: 0.0,
+            used_fraction: 1.0,
+            ranks: BTreeMap::new(),
+            ranks_ms: 0,
             in_flight: HashMap::new(),
             held: 0,
-            return_due_ms: 0.0,
+            retry_due_ms: 0.0,
         }
     }
 }
 
-impl ServiceRoom {
+impl ServiceCapacity {
     /// Counts a request that needs a slot for the first time.
-    pub fn note_asked(&mut self, request: &RoomRequest, now_ms: u64) {
-        let age_ms = now_ms.saturating_sub(self.kinds_ms) as f64;
-        self.kinds_ms = now_ms;
+    pub fn note_request(&mut self, request: &CapacityRequest, now_ms: u64) {
+        let age_ms = now_ms.saturating_sub(self.ranks_ms) as f64;
+        self.ranks_ms = now_ms;
         let kept = 0.5_f64.powf(age_ms / SHARE_HALF_LIFE_MS);
-        for share in self.kinds.values_mut() {
-            share.asked *= kept;
-            share.taken *= kept;
+        for share in self.ranks.values_mut() {
+            share.requested *= kept;
+            share.admitted *= kept;
         }
-        let kind = self.kinds.entry(request.rank).or_default();
-        kind.asked += 1.0;
-        kind.patience.note(request.wait_ms);
+        let share = self.ranks.entry(request.rank).or_default();
+        share.requested += 1.0;
+        share.usual_wait.note(request.wait_ms);
         let goal_ms = request.goal_ms as f64;
         match self.goal_ms > 0.0 {
             true => self.goal_ms += HOLD_WEIGHT * (goal_ms - self.goal_ms),
@@ -209,8 +209,8 @@
     }
 
     /// Counts a request that was given a slot.
-    pub fn note_taken(&mut self, request: &RoomRequest) {
-        self.kinds.entry(request.rank).or_default().taken += 1.0;
+    pub fn note_admitted(&mut self, request: &CapacityRequest) {
+        self.ranks.entry(request.rank).or_default().admitted += 1.0;
     }
 
     /// Records that a request of a workspace begins at an engine.
@@ -239,40 +239,46 @@
     /// Records whether the first event of an answer was late. It came from an engine with `load`
     /// requests in flight and `places` slots.
     pub fn note_first_event(&mut self, late: bool, load: u32, places: u32) {
-        if f64::from(load) < BUSY_PART * f64::from(places) {
+        if f64::from(load) < BUSY_FRACTION * f64::from(places) {
             return;
         }
-        self.late_part += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late_part);
-        let step = if self.late_part > LATE_BORNE { -USED_STEP } else { USED_STEP };
-        self.used_part = (self.used_part + step).clamp(LEAST_USED, 1.0);
+        self.late_fraction += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late_fraction);
+        let step = if self.late_fraction > TOLERATED_LATE_FRACTION {
+            -USED_FRACTION_STEP
+        } else {
+            USED_FRACTION_STEP
+        };
+        self.used_fraction = (self.used_fraction + step).clamp(MIN_USED_FRACTION, 1.0);
     }
 
     /// The load below which an engine with `places` slots takes a request.
-    pub fn bound(&self, places: u32, request: &RoomRequest) -> f64 {
-        let places = f64::from(places) * self.used_part;
-        let waiting =
-            places * WAIT_PART * self.goal_ms / self.hold_ms.max(1.0) + CHANCE_PART * places.sqrt();
-        let yields = self.kind_is_ahead(request.rank)
+    pub fn bound(&self, places: u32, request: &CapacityRequest) -> f64 {
+        let places = f64::from(places) * self.used_fraction;
+        let waiting = places * WAIT_FRACTION * self.goal_ms / self.hold_ms.max(1.0)
+            + VARIANCE_FACTOR * places.sqrt();
+        let yields = self.rank_is_ahead(request.rank)
             || self.is_heavy(request.workspace)
             || self.is_late(request);
-        let kept = if yields { KEPT_FOR_OTHERS * places } else { 0.0 };
+        let kept = if yields { RESERVED_FRACTION * places } else { 0.0 };
         // An idle engine takes one request, whatever was learned.
         (places + waiting - kept).max(1.0)
     }
 
     /// Whether requests of this rank were lately admitted more often than more urgent ones.
-    fn kind_is_ahead(&self, rank: u8) -> bool {
-        let share = |kind: &KindShare| (kind.asked >= LEAST_ASKED).then(|| kind.taken / kind.asked);
-        let Some(own) = self.kinds.get(&rank).and_then(share) else { return false };
-        let mut urgent = self.kinds.range(..rank).filter_map(|(_, kind)| share(kind));
-        urgent.any(|other| own > other + AHEAD_PART)
+    fn rank_is_ahead(&self, rank: u8) -> bool {
+        let admitted_fraction = |row: &RankShare| {
+            (row.requested >= MIN_RANK_REQUESTS).then(|| row.admitted / row.requested)
+        };
+        let Some(own) = self.ranks.get(&rank).and_then(admitted_fraction) else { return false };
+        let mut urgent = self.ranks.range(..rank).filter_map(|(_, row)| admitted_fraction(row));
+        urgent.any(|other| own > other + AHEAD_MARGIN)
     }
 
     /// Whether an answer would exceed its goal even if it came at once. It is worth less than an
     /// answer that can still be in time, so the last slots are left to those.
-    fn is_late(&self, request: &RoomRequest) -> bool {
-        let kind = self.kinds.get(&request.rank);
-        let spent_ms = kind.map_or(0, |kind| kind.patience.spent_ms(request.wait_ms));
+    fn is_late(&self, request: &CapacityRequest) -> bool {
+        let share = self.ranks.get(&request.rank);
+        let spent_ms = share.map_or(0, |share| share.usual_wait.spent_ms(request.wait_ms));
         request.goal_ms > 0 && spent_ms >= request.goal_ms
     }
 
@@ -288,13 +294,13 @@
     /// In how many milliseconds a refused caller should retry: when a slot that was promised to no
     /// other caller will probably be free. Refused callers get successive times, so that they don't
     /// all retry at once.
-    pub fn return_ms(&mut self, now_ms: u64) -> u64 {
-        let (least, most) = (RETURN_MS.0 as f64, RETURN_MS.1 as f64);
+    pub fn next_retry_ms(&mut self, now_ms: u64) -> u64 {
+        let (least, most) = (RETRY_AFTER_RANGE_MS.0 as f64, RETRY_AFTER_RANGE_MS.1 as f64);
         let free_each_ms = self.hold_ms / f64::from(self.held.max(1));
         let now = now_ms as f64;
-        let due = self.return_due_ms.max(now) + free_each_ms / RETURN_PART;
-        self.return_due_ms = due.min(now + most);
-        (self.return_due_ms - now).clamp(least, most) as u64
+        let due = self.retry_due_ms.max(now) + free_each_ms / PROMISED_FRACTION;
+        self.retry_due_ms = due.min(now + most);
+        (self.retry_due_ms - now).clamp(least, most) as u64
     }
 
     /// The learned time that a request holds a slot, in milliseconds.
@@ -303,7 +309,7 @@
     }
 
     /// The fraction of the slots that is in use.
-    pub fn used_part(&self) -> f64 {
-        self.used_part
+    pub fn used_fraction(&self) -> f64 {
+        self.used_fraction
     }
 }
--- a/lib/src/coordination/plain_choice.rs
+++ b/lib/src/coordination/plain_choice.rs
@@ -18,12 +18,12 @@
 
 /// How long requests stay at the upstreams of a service, as one VM observes it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlainHold {
+pub struct HoldTime {
     /// The moving average in milliseconds; 0 before the first request has ended.
     mean_ms: f64,
 }
 
-impl PlainHold {
+impl HoldTime {
     /// Records that a request stayed for `held_ms` milliseconds.
     pub fn note(&mut self, held_ms: u64) {
         let held_ms = held_ms as f64;
@@ -40,7 +40,7 @@
 
     /// Whether requests stay longer than the interval between load reports, so that reported loads
     /// still describe the present.
-    pub fn outlasts_news(&self) -> bool {
+    pub fn exceeds_report_interval(&self) -> bool {
         self.mean_ms > RENEW_MS as f64
     }
 }
@@ -49,13 +49,13 @@
 /// many upstreams, drawn at random. Otherwise every VM would send to the least loaded upstream of
 /// all until the next report. Smaller fleets don't need this, because each VM has a large part of
 /// the load itself.
-const PLAIN_CHOICES: usize = 2;
+const DRAWN_UPSTREAMS: usize = 2;
 
 /// How many plain upstreams one of `vms` VMs draws at random, to take the least loaded of them.
-pub fn plain_choices(vms: usize) -> usize {
+pub fn drawn_upstreams(vms: usize) -> usize {
     match vms < MANY_VMS {
         true => usize::MAX,
-        false => PLAIN_CHOICES,
+        false => DRAWN_UPSTREAMS,
     }
 }
 
@@ -77,18 +77,18 @@
 
 /// How far above twice the mean the reported load of an upstream must be for it to count as
 /// crowded.
-const CROWDED_ABOVE: f64 = 4.0;
+const CROWDED_MARGIN: f64 = 4.0;
 
 /// The upstream at which this VM has the fewest requests in flight. Ties go to one that isn't
 /// crowded, then to one in this VM's zone, then to the one that `draw` selects.
-pub fn choose_by_own(
+pub fn choose_by_own_load(
     candidates: &[UpstreamCandidate],
     draw: u64,
 ) -> Result<UpstreamKey, ChoiceError> {
     let usable = usable(candidates);
     let taking = || usable.iter().filter(|candidate| candidate.takes_work() && !candidate.full);
     let mean = mean_load(taking().copied());
-    let crowded = |c: &UpstreamCandidate| f64::from(c.load) > 2.0 * mean + CROWDED_ABOVE;
+    let crowded = |c: &UpstreamCandidate| f64::from(c.load) > 2.0 * mean + CROWDED_MARGIN;
     let best = taking().min_by_key(|candidate| {
         let drawn = rendezvous_score(draw, candidate.key.0);
         (candidate.own_load, crowded(candidate), !candidate.same_zone, drawn)
@@ -104,7 +104,7 @@
 /// by a fixed order of its own instead of at random. With random choices it would rarely return to
 /// an upstream before the connection there has passed its idle time, and would open a connection
 /// for each request.
-pub fn choose_kept(
+pub fn choose_with_affinity(
     candidates: &[UpstreamCandidate],
     vm: u32,
     draw: u64,
@@ -112,8 +112,8 @@
     let taking = || candidates.iter().filter(|candidate| candidate.takes_work());
     let keeps = taking().count() > FEW_UPSTREAMS && mean_load(taking()) < NEARLY_IDLE_MEAN;
     match keeps {
-        true => choose_by_own(candidates, u64::from(vm)),
-        false => choose_by_own(candidates, draw),
+        true => choose_by_own_load(candidates, u64::from(vm)),
+        false => choose_by_own_load(candidates, draw),
     }
 }
 
--- a/lib/src/coordination/upstream_choice.rs
+++ b/lib/src/coordination/upstream_choice.rs
@@ -145,7 +145,7 @@
     }
 
     /// Counts a request with this prompt that reached this VM.
-    pub fn note_asked(&mut self, prompt: &[PromptPart], now_ms: u64) {
+    pub fn note_request(&mut self, prompt: &[PromptPart], now_ms: u64) {
         let Some(deep) = shared_parts(prompt).last() else { return };
         let count = self.decayed_count(deep.id, now_ms);
         self.request_counts.insert(deep.id, (count + 1.0, now_ms));
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -9,7 +9,7 @@
 use super::router_serve::ServeContext;
 use super::router_shared::{lock, FleetSight, HomeDesk, RouterShared, RouterView};
 use super::seen::SeenPhase;
-use crate::coordination::plain_choice::choose_by_own;
+use crate::coordination::plain_choice::choose_by_own_load;
 use crate::coordination::retry::may_retry;
 use crate::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
 use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
@@ -107,7 +107,7 @@
     let now_ms = shared.clock.now_ms();
     let mut desk = lock(&shared.desk);
     let candidates = candidates(&desk, sight, tried, now_ms);
-    let chosen = choose_by_own(&candidates, UpstreamKey::of(request_id).0);
+    let chosen = choose_by_own_load(&candidates, UpstreamKey::of(request_id).0);
     let chosen = chosen.map_err(|fault| match fault {
         ChoiceError::Resting(rest_ms) => Some(rest_ms),
         ChoiceError::NoUpstream | ChoiceError::Full => None,
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -2,8 +2,8 @@
 
 use super::vm_node::VmNode;
 use super::vm_task::{CallerTask, RETRY_MS};
-use crate::coordination::engine_room::{RoomNews, RoomRequest, ServiceRoom};
-use crate::coordination::plain_choice::{choose_kept, choose_plain, plain_choices};
+use crate::coordination::engine_room::{CapacityRequest, ReportedLoad, ServiceCapacity};
+use crate::coordination::plain_choice::{choose_plain, choose_with_affinity, drawn_upstreams};
 use crate::coordination::rollout_watch::RolloutLane;
 use crate::coordination::upstream_candidate::{
     earliest_return, CandidateSet, ChoiceError, UpstreamCandidate,
@@ -32,7 +32,7 @@
         &self,
         service: &ServiceEntry,
         rule: &RouteRule,
-        room: Option<&RoomRequest>,
+        room: Option<&CapacityRequest>,
         tried: &[UpstreamKey],
     ) -> Result<UpstreamPick, ChoiceError> {
         let lane = self.node.rollout_lane(&service.name, rule, tried.is_empty());
@@ -63,7 +63,7 @@
         lane: RolloutLane,
         service: &ServiceEntry,
         rule: &RouteRule,
-        room: Option<&RoomRequest>,
+        room: Option<&CapacityRequest>,
         tried: &[UpstreamKey],
     ) -> Result<UpstreamPick, ChoiceError> {
         let now_ms = self.node.now_ms();
@@ -101,12 +101,12 @@
     ) -> Result<UpstreamKey, ChoiceError> {
         let holds = self.node.plain_holds.borrow();
         let hold = holds.get(&service.name).copied().unwrap_or_default();
-        match hold.outlasts_news() {
+        match hold.exceeds_report_interval() {
             true => {
-                let choices = plain_choices(self.node.view.borrow().roster.rows.len());
+                let choices = drawn_upstreams(self.node.view.borrow().roster.rows.len());
                 choose_plain(candidates, choices, self.draw)
             }
-            false => choose_kept(candidates, self.node.id, self.draw),
+            false => choose_with_affinity(candidates, self.node.id, self.draw),
         }
     }
 
@@ -115,7 +115,7 @@
         &self,
         service: &str,
         places: u32,
-        request: &RoomRequest,
+        request: &CapacityRequest,
         candidates: &mut [UpstreamCandidate],
     ) -> bool {
         let news = self.room_news(candidates);
@@ -136,12 +136,12 @@
         overloaded
     }
 
-    fn room_news(&self, candidates: &[UpstreamCandidate]) -> RoomNews {
+    fn room_news(&self, candidates: &[UpstreamCandidate]) -> ReportedLoad {
         let view = self.node.view.borrow();
-        let mut news = RoomNews {
+        let mut news = ReportedLoad {
             vms: view.roster.rows.len(),
             age_ms: self.node.now_ms().saturating_sub(view.heard_ms),
-            ..RoomNews::default()
+            ..ReportedLoad::default()
         };
         let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.ejected;
         for candidate in candidates.iter().filter(counts) {
@@ -239,7 +239,11 @@
 
 impl VmNode {
     /// Lets `act` use what was learned of the room at a service.
-    pub(super) fn with_room<T>(&self, service: &str, act: impl FnOnce(&mut ServiceRoom) -> T) -> T {
+    pub(super) fn with_room<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut ServiceCapacity) -> T,
+    ) -> T {
         let mut rooms = self.rooms.borrow_mut();
         match rooms.get_mut(service) {
             Some(room) => act(room),
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -25,7 +25,7 @@
 use super::vm_task::{CallerTask, Denial, LEAST_LEFT_MS, RETRY_MS};
 use crate::coordination::attempt_plan::{AttemptCount, NextStep, RunKnowledge, SendOutcome};
 use crate::coordination::crash_table::FIRST_HELD_MS;
-use crate::coordination::engine_room::RoomRequest;
+use crate::coordination::engine_room::CapacityRequest;
 use crate::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
 use crate::coordination::upstream_candidate::ChoiceError;
 use crate::state::route_table::{pick_share, RequestKind, RouteDecision, RouteRule, ServiceEntry};
@@ -167,7 +167,7 @@
             let at = (route, service);
             let service = &routes.table.services[service];
             let named = workspace.and_then(|at| routes.table.workspace(at));
-            let room = service.engine.as_ref().map(|_| RoomRequest {
+            let room = service.engine.as_ref().map(|_| CapacityRequest {
                 rank: rule.priority,
                 workspace: named.map(|workspace| workspace.name.as_str()),
                 goal_ms: rule.goal_ms,
@@ -196,7 +196,7 @@
                 };
             }
             if let (true, Some(room)) = (first, &room) {
-                self.node.with_room(&service.name, |known| known.note_taken(room));
+                self.node.with_room(&service.name, |known| known.note_admitted(room));
             }
             tried.push(pick.upstream);
             let Some(place) = self.place(&routes, at, workspace, pick, left, None) else {
@@ -269,13 +269,13 @@
     }
 
     /// It asks its service for the first time.
-    fn note_asked(&self, service: &str, room: Option<&RoomRequest>) {
+    fn note_asked(&self, service: &str, room: Option<&CapacityRequest>) {
         let (allowance, now_ms) = (self.node.allowance(), self.node.now_ms());
         let mut budgets = self.node.budgets.borrow_mut();
         budgets.entry(service.to_string()).or_default().note_first(&allowance, now_ms);
         if let Some(room) = room {
-            self.node.prefixes.borrow_mut().note_asked(&self.caller.prompt, now_ms);
-            self.node.with_room(service, |known| known.note_asked(room, now_ms));
+            self.node.prefixes.borrow_mut().note_request(&self.caller.prompt, now_ms);
+            self.node.with_room(service, |known| known.note_request(room, now_ms));
         }
     }
 
@@ -351,7 +351,7 @@
             ChoiceError::NoUpstream => RETRY_MS,
             ChoiceError::Resting(rest_ms) => rest_ms,
             ChoiceError::Full => {
-                self.node.with_room(service, |room| room.return_ms(self.node.now_ms()))
+                self.node.with_room(service, |room| room.next_retry_ms(self.node.now_ms()))
             }
         };
         self.refuse_until(count, why, retry_ms)
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -14,7 +14,7 @@
 use super::vm_node::VmNode;
 use super::vm_relay::AnswerBody;
 use super::wire_count::WireCount;
-use crate::coordination::engine_room::ServiceRoom;
+use crate::coordination::engine_room::ServiceCapacity;
 use crate::protocol::operator::WireRow;
 use crate::state::body_end::{BodyEnd, BodyFraming};
 use crate::state::connect_count::{ConnectCause, ConnectCount};
@@ -120,9 +120,9 @@
                 write_wire(text, name, &self.wire, |row| [row.sent, row.received]);
             }
             "wingshed_repeats_left" => self.write_repeats_left(text),
-            "wingshed_hold_ms" => self.write_rooms(text, name, ServiceRoom::hold_ms),
+            "wingshed_hold_ms" => self.write_rooms(text, name, ServiceCapacity::hold_ms),
             "wingshed_places_used" => {
-                self.write_rooms(text, name, |room| 100.0 * room.used_part());
+                self.write_rooms(text, name, |room| 100.0 * room.used_fraction());
             }
             name if name.starts_with("wingshed_rollout_") => self.write_rollout_rows(text, name),
             _ => drop(writeln!(text, "{name} {}", self.plain_figure(&figures, name))),
@@ -178,7 +178,7 @@
         }
     }
 
-    fn write_rooms(&self, text: &mut String, name: &str, value: impl Fn(&ServiceRoom) -> f64) {
+    fn write_rooms(&self, text: &mut String, name: &str, value: impl Fn(&ServiceCapacity) -> f64) {
         let rooms = self.rooms.borrow();
         let mut rows: Vec<(&String, u64)> =
             rooms.iter().map(|(service, room)| (service, value(room) as u64)).collect();
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -26,12 +26,12 @@
 use super::vm_pool::ConnectionPool;
 use super::vm_sockets::listen;
 use super::wire_count::WireCount;
-use crate::coordination::engine_room::ServiceRoom;
+use crate::coordination::engine_room::ServiceCapacity;
 use crate::coordination::fleet_health::{HealthOutbox, HealthTable};
 use crate::coordination::holder_news::{HolderMark, HolderOutbox, HolderRing};
 use crate::coordination::leader_contact::LeaderContact;
 use crate::coordination::outlier::OutlierTable;
-use crate::coordination::plain_choice::PlainHold;
+use crate::coordination::plain_choice::HoldTime;
 use crate::coordination::quarantine_desk::QuarantineDesk;
 use crate::coordination::raft_message::HEARTBEAT_MS;
 use crate::coordination::repeat_budget::{RepeatAllowance, RepeatBudget};
@@ -148,9 +148,9 @@
     /// Requests in flight by upstream.
     pub in_flight: RefCell<HashMap<UpstreamKey, u32>>,
     /// What was learned of the room at each service of engines.
-    pub rooms: RefCell<HashMap<String, ServiceRoom>>,
+    pub rooms: RefCell<HashMap<String, ServiceCapacity>>,
     /// How long requests are at upstreams of each plain service.
-    pub plain_holds: RefCell<HashMap<String, PlainHold>>,
+    pub plain_holds: RefCell<HashMap<String, HoldTime>>,
     /// When an engine was last nearly full.
     pub overloaded_ms: Cell<u64>,
     /// Passive health checks.
--- a/lib/tests/test_hot_part.rs
+++ b/lib/tests/test_hot_part.rs
@@ -76,7 +76,7 @@
                         }
                     })
                     .collect();
-                memories[vm].note_asked(&prompt, now_ms);
+                memories[vm].note_request(&prompt, now_ms);
                 let rate = memories[vm].estimated_fleet_rate(&prompt, case.vms, now_ms);
                 let rules = EngineRules {
                     kv_transfer: true,
--- a/lib/tests/test_notices.rs
+++ b/lib/tests/test_notices.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
-use wingshed_lib::coordination::plain_choice::{choose_by_own, choose_plain};
+use wingshed_lib::coordination::plain_choice::{choose_by_own_load, choose_plain};
 use wingshed_lib::coordination::silence::SilenceTable;
 use wingshed_lib::coordination::upstream_candidate::{
     earliest_return, ChoiceError, UpstreamCandidate,
@@ -195,14 +195,14 @@
     let memory = PrefixMemory::default();
 
     for draw in 0..20 {
-        let picks = [choose_plain(&mixed, usize::MAX, draw), choose_by_own(&mixed, draw)];
+        let picks = [choose_plain(&mixed, usize::MAX, draw), choose_by_own_load(&mixed, draw)];
         assert_eq!(picks, [Ok(UpstreamKey(2)); 2]);
     }
     let engine = |candidates: &[UpstreamCandidate]| {
         choose_engine(candidates, &shared_prompt(), &memory, &RULES, 1).map(|pick| pick.upstream)
     };
     assert_eq!(engine(&mixed), Ok(UpstreamKey(2)));
-    let refusals = [engine(&all), choose_plain(&all, usize::MAX, 1), choose_by_own(&all, 1)];
+    let refusals = [engine(&all), choose_plain(&all, usize::MAX, 1), choose_by_own_load(&all, 1)];
     assert_eq!(refusals, [Err(ChoiceError::Resting(30)); 3]);
     assert_eq!(engine(&tried), Err(ChoiceError::NoUpstream), "another attempt may go there");
 }
--- a/lib/tests/test_plain_spread.rs
+++ b/lib/tests/test_plain_spread.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use testutils::engines::candidate;
 use wingshed_lib::coordination::plain_choice::{
-    choose_by_own, choose_kept, choose_plain, plain_choices, PlainHold,
+    choose_by_own_load, choose_plain, choose_with_affinity, drawn_upstreams, HoldTime,
 };
 use wingshed_lib::coordination::upstream_candidate::UpstreamCandidate;
 use wingshed_lib::coordination::vm_roster::RENEW_MS;
@@ -76,8 +76,8 @@
                 .collect();
             let draw = random.gen();
             let picked = match way {
-                SpreadWay::Told => choose_plain(&candidates, plain_choices(case.vms), draw),
-                SpreadWay::Own => choose_kept(&candidates, vm as u32, draw),
+                SpreadWay::Told => choose_plain(&candidates, drawn_upstreams(case.vms), draw),
+                SpreadWay::Own => choose_with_affinity(&candidates, vm as u32, draw),
             };
             let picked = picked.unwrap();
             let (at, queue) = (picked.0 as usize - 1, &mut work[picked.0 as usize - 1]);
@@ -148,25 +148,25 @@
 
 #[test]
 fn a_vm_finds_out_whether_loads_that_are_told_are_news() {
-    let mut hold = PlainHold::default();
-    assert!(!hold.outlasts_news(), "nothing is known yet");
+    let mut hold = HoldTime::default();
+    assert!(!hold.exceeds_report_interval(), "nothing is known yet");
     (0..50).for_each(|_| hold.note(30));
-    assert!(!hold.outlasts_news());
+    assert!(!hold.exceeds_report_interval());
     (0..200).for_each(|_| hold.note(900));
-    assert!(hold.outlasts_news());
+    assert!(hold.exceeds_report_interval());
 }
 
 #[test]
 fn a_crowded_upstream_in_the_own_zone_is_left_to_others() {
     let near = UpstreamCandidate { same_zone: true, ..candidate(1, 3) };
     let far = [candidate(2, 3), candidate(3, 3)];
-    assert_eq!(choose_by_own(&[near, far[0], far[1]], 1), Ok(UpstreamKey(1)));
+    assert_eq!(choose_by_own_load(&[near, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 
     let crowded = UpstreamCandidate { load: 30, ..near };
-    assert_ne!(choose_by_own(&[crowded, far[0], far[1]], 1), Ok(UpstreamKey(1)));
+    assert_ne!(choose_by_own_load(&[crowded, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 
     let busy = UpstreamCandidate { own_load: 1, ..near };
-    assert_ne!(choose_by_own(&[busy, far[0], far[1]], 1), Ok(UpstreamKey(1)));
+    assert_ne!(choose_by_own_load(&[busy, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 }
 
 /// The part of the requests of 20 s for which a VM opens a connection, where one rests for 4 s, and the
@@ -194,7 +194,7 @@
                     ..UpstreamCandidate::idle(UpstreamKey(at + 1))
                 })
                 .collect();
-            let picked = choose_kept(&candidates, vm as u32, random.gen()).unwrap();
+            let picked = choose_with_affinity(&candidates, vm as u32, random.gen()).unwrap();
             let at = picked.0 as usize - 1;
             let kept = |end_ms: u64| end_ms <= now_ms && end_ms + REST_MS > now_ms;
             asked += 1.0;
@@ -222,7 +222,7 @@
 fn of_few_upstreams_a_vm_takes_all_and_of_many_it_keeps_to_one_while_they_are_idle() {
     let taken = |upstreams: u64, load| -> usize {
         let all: Vec<UpstreamCandidate> = (1..=upstreams).map(|key| candidate(key, load)).collect();
-        let picks = (0..200).map(|draw| choose_kept(&all, 7, draw).unwrap());
+        let picks = (0..200).map(|draw| choose_with_affinity(&all, 7, draw).unwrap());
         picks.collect::<BTreeSet<UpstreamKey>>().len()
     };
 
--- a/lib/tests/test_rest_spread.rs
+++ b/lib/tests/test_rest_spread.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use wingshed_lib::coordination::plain_choice::choose_by_own;
+use wingshed_lib::coordination::plain_choice::choose_by_own_load;
 use wingshed_lib::coordination::upstream_candidate::UpstreamCandidate;
 use wingshed_lib::coordination::upstream_notice::NoticeTable;
 use wingshed_lib::state::ids::UpstreamKey;
@@ -76,7 +76,7 @@
                 }
             })
             .collect();
-        let key = choose_by_own(&candidates, random.gen()).unwrap();
+        let key = choose_by_own_load(&candidates, random.gen()).unwrap();
         let upstream = key.0 as usize - 1;
         let tired = upstream < TIRED && now_ms < TIRED_MS;
         notices.note_sent(key, now_ms);
