--- a/cli/src/bench_decision.rs
+++ b/cli/src/bench_decision.rs
@@ -6,7 +6,7 @@
 use wingshed_lib::coordination::admission::FleetLoad;
 use wingshed_lib::coordination::home::HomeTable;
 use wingshed_lib::coordination::placement::{
-    place_candidates, EngineHint, FleetView, PlacementKnowledge, BEST_RULE,
+    place_candidates, EngineHint, FleetView, PlacementContext, BEST_RULE,
 };
 use wingshed_lib::coordination::policy::{compile_policy, decide_policy, PolicyFacts};
 use wingshed_lib::state::chat_memory::ChatMemory;
@@ -67,7 +67,7 @@
             let start = Instant::now();
             let decided = decide_policy(&program, &facts);
             let middle = Instant::now();
-            let known = PlacementKnowledge {
+            let known = PlacementContext {
                 own: RouterId(0),
                 fleet: FLEET,
                 view: &view,
--- a/lib/src/coordination/attempt_plan.rs
+++ b/lib/src/coordination/attempt_plan.rs
@@ -1,40 +1,40 @@
-//! What to do with a request after each outcome of a send.
+//! Decides what to do with a request after each attempt to send it.
 //!
-//! The one rule behind all cases: "not run" is said only when it is true of every
-//! send, and nothing that may have run is sent again unless it may repeat.
+//! One rule applies to all cases: the caller is told that a request did not run only if that is
+//! true of every attempt, and a request that may have run is sent again only if it may be repeated.
 
 use crate::state::route_table::RequestKind;
 
-/// What came of one send.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// No byte of it reached an upstream.
+    /// No byte of the request reached an upstream.
     NotSent,
-    /// The upstream says that it did not run it.
+    /// The upstream answered that it did not run the request.
     NotRun,
-    /// The upstream's own failure (5xx), of a request that ran.
+    /// The upstream ran the request and answered with a failure of its own (5xx).
     Failed,
-    /// The connection broke, or what came was no answer to it.
+    /// The connection broke, or the received data was no answer to the request.
     Broken,
-    /// The time was over.
+    /// The time for the request ended.
     TimedOut,
 }
 
-/// What is known of whether a request ran.
+/// What is known about whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunKnowledge {
-    /// It didn't, and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It was sent, and what came of it isn't known.
+    /// The request was sent, and its outcome is unknown.
     Unknown,
-    /// An upstream began to answer with a stream, and may have been cut.
+    /// An upstream began to answer with a stream, which may have been cut.
     Begun,
-    /// An upstream ran it to its end.
+    /// An upstream ran the request to its end.
     Ran,
 }
 
 impl RunKnowledge {
-    /// The word for it in logs; the same as in `wingshed-ran`, and one more.
+    /// The name in logs: the values of `wingshed-ran`, and `begun`.
     pub fn name(self) -> &'static str {
         match self {
             RunKnowledge::NotRun => "no",
@@ -45,39 +45,39 @@
     }
 }
 
-/// How far a request has come.
+/// The attempts that were made for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCount {
-    /// Upstreams that it was sent to.
+    /// The number of upstreams that the request was sent to.
     pub sent: u32,
-    /// Upstreams that could not be reached.
+    /// The number of upstreams that could not be reached.
     pub unreached: u32,
-    /// Whether one of the sends may have run.
+    /// Whether an upstream may have run the request.
     pub may_have_run: bool,
 }
 
-/// What to do next.
+/// What to do with a request next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to another upstream, if the budget for repeats allows it.
+    /// Send the request to another upstream, if the budget for repeats allows it.
     Repeat,
-    /// Look for another upstream; nothing was sent, so no budget is needed.
+    /// Choose another upstream. Nothing was sent, so this takes nothing from the budget.
     Elsewhere,
-    /// Give the upstream's own failure to the caller.
+    /// Pass the upstream's own failure on to the caller.
     PassOn,
-    /// Refuse: it has not run and never will.
+    /// Refuse the request, with the statement that it has not run and never will.
     Refuse,
-    /// Fail without a promise.
+    /// Fail the request without a statement about whether it ran.
     Fail,
-    /// Fail without a promise, since its time is over.
+    /// Fail the request without a statement about whether it ran, because its time ended.
     TimeOut,
 }
 
-/// Upstreams that one request may fail to reach before it is refused.
-pub const MOST_UNREACHED: u32 = 4;
+/// The number of upstreams that one request may fail to reach before it is refused.
+pub const MAX_UNREACHED: u32 = 4;
 
 impl AttemptCount {
-    /// What is known while no send is under way and no answer is passed on.
+    /// What is known about the request while no attempt is under way and no answer is passed on.
     pub fn knowledge(&self) -> RunKnowledge {
         match self.may_have_run {
             true => RunKnowledge::Unknown,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes an outcome.
+    /// Records the outcome of an attempt.
     pub fn note(&mut self, outcome: SendOutcome) {
         match outcome {
             SendOutcome::NotSent => self.unreached += 1,
@@ -97,12 +97,12 @@
         }
     }
 
-    /// What to do after the outcome that was just noted.
-    pub fn next(&self, outcome: SendOutcome, kind: RequestKind, most_upstreams: u32) -> NextStep {
-        let more = self.sent < most_upstreams;
+    /// What to do after `outcome`, which was just recorded with [`AttemptCount::note`].
+    pub fn next(&self, outcome: SendOutcome, kind: RequestKind, max_upstreams: u32) -> NextStep {
+        let more = self.sent < max_upstreams;
         match outcome {
             SendOutcome::TimedOut => NextStep::TimeOut,
-            SendOutcome::NotSent if self.unreached < MOST_UNREACHED => NextStep::Elsewhere,
+            SendOutcome::NotSent if self.unreached < MAX_UNREACHED => NextStep::Elsewhere,
             SendOutcome::NotSent => self.give_up(),
             SendOutcome::NotRun if more => NextStep::Repeat,
             SendOutcome::NotRun => self.give_up(),
@@ -113,13 +113,13 @@
         }
     }
 
-    /// Whether an upstream's own failure, which came just now, is followed by another send.
-    pub fn repeats_failure(mut self, kind: RequestKind, most_upstreams: u32) -> bool {
+    /// Whether another attempt follows a failure (5xx) that an upstream just returned.
+    pub fn repeats_failure(mut self, kind: RequestKind, max_upstreams: u32) -> bool {
         self.note(SendOutcome::Failed);
-        self.next(SendOutcome::Failed, kind, most_upstreams) == NextStep::Repeat
+        self.next(SendOutcome::Failed, kind, max_upstreams) == NextStep::Repeat
     }
 
-    /// The final answer when nothing more is tried.
+    /// The last step when no further attempt is made.
     pub fn give_up(&self) -> NextStep {
         match self.may_have_run {
             true => NextStep::Fail,
--- a/lib/src/coordination/body_tracker.rs
+++ b/lib/src/coordination/body_tracker.rs
@@ -1,9 +1,9 @@
-//! Follows the body of an answer to the place where it stops.
+//! Tracks the body of an answer, to determine where it stops.
 
 use super::event_scanner::EventScanner;
 use crate::state::body_end::{BodyEnd, BodyFraming};
 
-/// Follows the body of one answer.
+/// Tracks the body of one answer.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyTracker {
     framing: BodyFraming,
@@ -11,7 +11,7 @@
 }
 
 impl BodyTracker {
-    /// Follows a body; `is_events` where it is a series of events.
+    /// Creates a tracker for a body; `is_events` states whether it is a series of events.
     pub fn new(framing: BodyFraming, is_events: bool) -> BodyTracker {
         BodyTracker { framing, events: is_events.then(EventScanner::default) }
     }
@@ -21,7 +21,7 @@
         self.framing
     }
 
-    /// Bytes of the body came; returns how many events they complete.
+    /// Takes received bytes of the body and returns how many events they complete.
     pub fn note_bytes(&mut self, bytes: &[u8]) -> u64 {
         let Some(events) = &mut self.events else { return 0 };
         let before = events.events();
@@ -32,8 +32,8 @@
         events.events() - before
     }
 
-    /// Whether the body is whole if its framing ends it now. A clean end of the connection proves nothing of a
-    /// stream that brought no event.
+    /// Whether the body is complete if its framing ends it now. If a stream brought no event, a
+    /// clean end of the connection doesn't prove that it is complete.
     pub fn is_whole(&self) -> bool {
         match self.end() {
             BodyEnd::Boundary => true,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Where the body stops, if it stops now.
+    /// The kind of end if the body stops now.
     pub fn end(&self) -> BodyEnd {
         match self.events {
             Some(events) if events.is_inside() => BodyEnd::InsideEvent,
--- a/lib/src/coordination/claim_batch.rs
+++ b/lib/src/coordination/claim_batch.rs
@@ -1,29 +1,29 @@
-//! Claims are sent to the keepers in batches: claims that come while a batch is under way
-//! joins the next, so that one sync serves many.
+//! Sends claims to the keepers in batches: claims that arrive while a batch is under way join the
+//! next one, so that one sync serves many claims.
 
 use crate::state::claim_table::{ClaimReport, ClaimRequest};
 
-/// At most this many claims travel in one batch.
-pub const MOST_CLAIMS: usize = 256;
+/// The maximum number of claims, and of reports, in one batch.
+pub const MAX_BATCH_CLAIMS: usize = 256;
 
-/// What waits to be sent.
+/// The claims and reports that wait to be sent.
 #[derive(Debug, Default)]
 pub struct ClaimBatch {
-    /// Claims, each with the caller's handle.
+    /// Claims, each with the handle of its caller.
     pub claims: Vec<(u64, ClaimRequest)>,
-    /// Ends of claims.
+    /// Reports of claims that have ended.
     pub reports: Vec<ClaimReport>,
 }
 
 impl ClaimBatch {
-    /// Takes the next batch out, claims and reports.
+    /// Removes and returns the next batch of claims and reports.
     pub fn take(&mut self) -> ClaimBatch {
-        let claims = self.claims.drain(..self.claims.len().min(MOST_CLAIMS)).collect();
-        let reports = self.reports.drain(..self.reports.len().min(MOST_CLAIMS)).collect();
+        let claims = self.claims.drain(..self.claims.len().min(MAX_BATCH_CLAIMS)).collect();
+        let reports = self.reports.drain(..self.reports.len().min(MAX_BATCH_CLAIMS)).collect();
         ClaimBatch { claims, reports }
     }
 
-    /// Whether nothing waits.
+    /// Whether no claim or report waits.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty() && self.reports.is_empty()
     }
--- a/lib/src/coordination/event_scanner.rs
+++ b/lib/src/coordination/event_scanner.rs
@@ -1,12 +1,12 @@
-//! Finds where the events of a stream end, however its bytes are split.
+//! Finds the ends of the events of a stream, however its bytes are split.
 //!
-//! Lines end in LF, CRLF or CR, and a blank line ends an event. In a stream whose lines end in CRLF, an event
-//! isn't complete before the LF of its blank line.
+//! Lines end in LF, CRLF or CR, and a blank line ends an event. If the lines of a stream end in
+//! CRLF, an event isn't complete before the LF of its blank line.
 
-/// Reads one stream of events, byte by byte. Comments are no part of an event.
+/// Scans one stream of events byte by byte. Comments are no part of an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventScanner {
-    /// Something of an event came whose blank line hasn't come.
+    /// Part of an event was received, but not its blank line.
     inside: bool,
     /// The present line has bytes.
     in_line: bool,
@@ -20,8 +20,8 @@
 }
 
 impl EventScanner {
-    /// Reads `bytes` from `at` on, up to a blank line's end, and returns that position; `None` where there is none
-    /// in them.
+    /// Scans `bytes` from `at` on, up to the end of a blank line, and returns that position; `None`
+    /// if the bytes have no further blank line.
     pub fn next_end(&mut self, bytes: &[u8], mut at: usize) -> Option<usize> {
         while at < bytes.len() {
             if self.blank_cr && bytes[at] != b'\n' {
@@ -39,12 +39,12 @@
         None
     }
 
-    /// Whether the stream stops here inside an event, a blank line's CRLF included.
+    /// Whether the stream is inside an event here. The CRLF of the blank line belongs to the event.
     pub fn is_inside(&self) -> bool {
         self.inside
     }
 
-    /// How many events were complete.
+    /// The number of complete events.
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -56,7 +56,7 @@
         at
     }
 
-    /// Whether the byte ends a blank line.
+    /// Takes one byte, and returns whether it ends a blank line.
     fn take(&mut self, byte: u8) -> bool {
         let after_cr = std::mem::replace(&mut self.after_cr, byte == b'\r');
         if after_cr {
--- a/lib/src/coordination/event_splice.rs
+++ b/lib/src/coordination/event_splice.rs
@@ -1,46 +1,46 @@
-//! Joins the events of two runs of one stream to one answer without gap or double.
+//! Joins the events of several runs of one stream into one answer without gaps or duplicates.
 //!
-//! Only whole events are let through, since an upstream may stop partway through one;
-//! what a later run repeats is dropped by its id.
+//! Only complete events are passed on, since an upstream may stop partway through one. An event
+//! that a later run repeats is recognized by its id and dropped.
 
 use super::event_scanner::EventScanner;
 
-/// The longest event that is held, in bytes.
-pub const LONGEST_EVENT_BYTES: usize = 1 << 20;
-/// Streams may begin with it; it belongs to no line.
+/// The longest incomplete event that is buffered, in bytes.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
+/// The byte order mark with which streams may begin; it belongs to no line.
 const BYTE_ORDER_MARK: &[u8] = "\u{feff}".as_bytes();
 
-/// What has been passed on of one stream.
+/// The events of one stream that were passed on, and the bytes of the present one.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplice {
     partial: Vec<u8>,
-    /// How far `partial` has been scanned.
+    /// The position up to which `partial` has been scanned.
     scanned: usize,
     scanner: EventScanner,
     last_id: Option<String>,
     later_run: bool,
-    /// No event of the present run has come.
+    /// No event of the present run has been received.
     run_begins: bool,
-    /// A run stopped inside an event, and no new event has come since.
-    owes_event: bool,
-    /// An event without an id was passed on, so that no later run can go on behind it.
+    /// A run stopped inside an event, and no new event has been received since.
+    misses_event: bool,
+    /// An event without an id was passed on, so no later run can continue after it.
     unnumbered: bool,
 }
 
 impl EventSplice {
-    /// A splice for a caller that has seen events up to `last_id` already.
+    /// Creates a splice for a caller that has already received events up to `last_id`.
     pub fn after(last_id: Option<String>) -> EventSplice {
         EventSplice { last_id, run_begins: true, ..EventSplice::default() }
     }
 
-    /// The id of the last whole event that was passed on.
+    /// The id of the last complete event that was passed on.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Another run begins; what came of an event that was not whole is dropped.
+    /// Starts another run, and drops the bytes of an incomplete event.
     pub fn begin_run(&mut self) {
-        self.owes_event |= self.scanner.is_inside();
+        self.misses_event |= self.scanner.is_inside();
         self.partial.clear();
         self.scanned = 0;
         self.scanner = EventScanner::default();
@@ -48,7 +48,7 @@
         self.run_begins = true;
     }
 
-    /// Takes bytes of the present run and gives the whole events that they complete.
+    /// Takes bytes of the present run and returns the events that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.partial.extend_from_slice(bytes);
         let mut whole = Vec::new();
@@ -66,12 +66,12 @@
             let block = if self.later_run { unmarked } else { block };
             let id = event_id(unmarked);
             start = end;
-            if self.later_run && !self.is_news(id.as_deref()) {
+            if self.later_run && !self.is_new(id.as_deref()) {
                 continue;
             }
             whole.extend_from_slice(block);
             if is_event {
-                self.owes_event = false;
+                self.misses_event = false;
                 self.unnumbered |= id.is_none();
             }
             self.last_id = id.or(self.last_id.take());
@@ -81,27 +81,28 @@
         whole
     }
 
-    /// Whether another run can go on where the present one stopped.
+    /// Whether another run can continue where the present one stopped.
     pub fn is_resumable(&self) -> bool {
         !self.unnumbered
     }
 
-    /// Whether the present event is too long to be held: the run is to be given up.
+    /// Whether the present event is too long to be buffered, so that the run has to be given up.
     pub fn is_overlong(&self) -> bool {
-        self.partial.len() > LONGEST_EVENT_BYTES
+        self.partial.len() > MAX_EVENT_BYTES
     }
 
-    /// Whether an event is known to be missing: whatever ends the present run doesn't complete the stream.
-    pub fn owes_event(&self) -> bool {
-        self.owes_event
+    /// Whether an event is missing, so that the end of the present run doesn't complete the stream.
+    pub fn misses_event(&self) -> bool {
+        self.misses_event
     }
 
-    /// The run ended on a boundary of events: what is left belongs to the answer.
+    /// Ends a run at an event boundary, and returns the remaining bytes, which belong to the
+    /// answer.
     pub fn finish(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
-    fn is_news(&self, id: Option<&str>) -> bool {
+    fn is_new(&self, id: Option<&str>) -> bool {
         let number = |text: &str| text.parse::<u64>().ok();
         match (self.last_id.as_deref().and_then(number), id.and_then(number)) {
             (Some(last), Some(id)) => id > last,
--- a/lib/src/coordination/fair_queue.rs
+++ b/lib/src/coordination/fair_queue.rs
@@ -1,9 +1,8 @@
-//! The queue at a home: strict classes with ageing, and weighted deficit
-//! round-robin between the workspaces inside a class.
+//! The request queue of a home: strict priority classes with ageing, and weighted deficit
+//! round-robin between the workspaces of a class.
 //!
-//! A waiting request rises by one class for each [`AGE_STEP_MS`] that it has
-//! waited, so the lowest class is delayed by the others but never starved.
-//! See `docs/design/fairness.md`.
+//! A waiting request moves up one class for each [`AGE_STEP_MS`] that it has waited, so the lowest
+//! class is delayed by the others but never starved. See `docs/design/fairness.md`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +10,7 @@
 
 use crate::state::ids::{UpstreamKey, WorkspaceKey};
 
-/// After each such wait, in milliseconds, a request counts as one class higher.
+/// After each wait of this length, in milliseconds, a request counts as one class higher.
 pub const AGE_STEP_MS: u64 = 8000;
 
 /// How soon a request needs its first token.
@@ -20,12 +19,12 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum RequestClass {
-    /// Someone watches it come.
+    /// Interactive: a person watches the answer arrive.
     Live,
     /// Everyday work.
     #[default]
     Normal,
-    /// May wait.
+    /// Background work that may wait.
     Batch,
 }
 
@@ -43,13 +42,13 @@
         }
     }
 
-    /// The class of this name.
+    /// The class with this name.
     pub fn named(name: &str) -> Option<RequestClass> {
         RequestClass::ALL.into_iter().find(|class| class.name() == name)
     }
 
-    /// How many of an engine's places this class may fill: the batch class leaves a quarter, so
-    /// that a live request finds one at once.
+    /// How many of an engine's `all` slots this class may fill. The batch class leaves a quarter
+    /// free, so that a live request gets a slot at once.
     pub fn places(self, all: u32) -> u32 {
         match self {
             RequestClass::Live | RequestClass::Normal => all,
@@ -57,7 +56,7 @@
         }
     }
 
-    /// The priority that is sent to engines: higher goes first.
+    /// The priority that is sent to engines; a higher one goes first.
     pub fn priority(self) -> u8 {
         match self {
             RequestClass::Live => 2,
@@ -67,24 +66,24 @@
     }
 }
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitingRequest {
-    /// The caller's handle on it.
+    /// The handle by which the caller of the queue identifies the request.
     pub ticket: u64,
-    /// Whose it is.
+    /// The workspace that sent it.
     pub workspace: WorkspaceKey,
-    /// That workspace's share.
+    /// The weight of that workspace in the round-robin.
     pub weight: u64,
     /// Its class.
     pub class: RequestClass,
-    /// Its work.
+    /// Its work, in tokens.
     pub work: u64,
-    /// When it came.
+    /// When it was queued.
     pub since_ms: u64,
     /// When it gives up.
     pub until_ms: u64,
-    /// It waits for this engine and no other.
+    /// The only engine that it waits for, if it waits for a particular one.
     pub only: Option<UpstreamKey>,
 }
 
@@ -94,7 +93,7 @@
     deficit: u64,
 }
 
-/// All that waits at one home for one fleet.
+/// The waiting requests of one fleet at one home.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     lanes: BTreeMap<(RequestClass, WorkspaceKey), WorkspaceLane>,
@@ -103,7 +102,7 @@
 }
 
 impl FairQueue {
-    /// How many wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.length
     }
@@ -113,13 +112,14 @@
         self.length == 0
     }
 
-    /// Whether someone of this class or a more urgent one waits, so that a newcomer must too.
-    pub fn has_rank(&self, class: RequestClass) -> bool {
+    /// Whether a request of this class or a more urgent one waits for any engine, so that a new
+    /// request has to queue behind it.
+    pub fn has_waiting(&self, class: RequestClass) -> bool {
         let mut lanes = self.lanes.iter().filter(|((waiting, _), _)| *waiting <= class);
         lanes.any(|(_, lane)| lane.waiting.iter().any(|request| request.only.is_none()))
     }
 
-    /// Queues a request, unless `capacity` wait already.
+    /// Queues a request; returns false if `capacity` requests wait already.
     pub fn push(&mut self, request: WaitingRequest, capacity: usize) -> bool {
         if self.length >= capacity {
             return false;
@@ -130,7 +130,7 @@
         true
     }
 
-    /// Takes out a request, when its caller gave up.
+    /// Removes a request whose caller gave up; returns whether it was queued.
     pub fn remove(&mut self, ticket: u64) -> bool {
         let before = self.length;
         for lane in self.lanes.values_mut() {
@@ -140,7 +140,7 @@
         self.length < before
     }
 
-    /// Takes out all whose time is over; they are refused as not run.
+    /// Removes and returns all requests whose time has ended; they are refused as not run.
     pub fn expire(&mut self, now_ms: u64) -> Vec<WaitingRequest> {
         let mut over = Vec::new();
         for lane in self.lanes.values_mut() {
@@ -153,7 +153,8 @@
         over
     }
 
-    /// Takes the next request for which `admit` says yes; the turn order is kept for the rest.
+    /// Removes and returns the next request for which `admit` returns true. The order of the others
+    /// stays as it is.
     pub fn pop(
         &mut self,
         now_ms: u64,
@@ -168,7 +169,8 @@
         None
     }
 
-    /// The lanes whose head has this rank after ageing, starting after the one served last.
+    /// The lanes whose first request has this rank after ageing, starting with the workspace that
+    /// was served last.
     fn turn_order(&self, rank: u64, now_ms: u64) -> Vec<(RequestClass, WorkspaceKey)> {
         let mut turn = Vec::new();
         for (key, lane) in &self.lanes {
@@ -178,7 +180,8 @@
             }
         }
         turn.sort_by_key(|(_, workspace)| *workspace);
-        // The workspace served last stands first: it keeps its turn while its deficit lasts.
+        // The workspace that was served last comes first: it keeps its turn while its deficit
+        // lasts.
         let last = self.last_served.get(&rank);
         let split = last.map_or(0, |last| turn.partition_point(|(_, key)| key < last));
         turn.rotate_left(split);
@@ -205,7 +208,7 @@
                     at += 1;
                     continue;
                 }
-                // One that waits for a certain engine does not hold up those behind it.
+                // A request that waits for a particular engine does not block those behind it.
                 let Some(at_lane) = first_admitted(lane, admit) else {
                     open.remove(at);
                     continue;
@@ -226,8 +229,8 @@
     }
 }
 
-/// The place of the first request that is admitted: the head, or one behind such as wait for
-/// a certain engine.
+/// The position of the first request that is admitted: the head of the lane, or one behind requests
+/// that wait for a particular engine.
 fn first_admitted(
     lane: &WorkspaceLane,
     admit: &mut impl FnMut(&WaitingRequest) -> bool,
@@ -236,7 +239,7 @@
         if admit(request) {
             return Some(at);
         }
-        // A plain head keeps its turn: none behind it goes first.
+        // A head that may go to any engine keeps its turn: no request behind it goes first.
         request.only?;
     }
     None
--- a/lib/src/coordination/holder_news.rs
+++ b/lib/src/coordination/holder_news.rs
@@ -1,10 +1,11 @@
-//! Which engine keeps a prompt's shared part where rendezvous would not place it.
+//! Reports which engine holds a prompt's shared part when it isn't the one that rendezvous gives.
 //!
-//! Every VM guesses the holder of a part by the order of engines. When engines die or are full, a
-//! part is read by another, and a VM that sees a small part of the traffic rarely knows by which: it then
-//! names a wrong source, and the part is read again. So a VM reports to the leader where it sent a part
-//! against the order, and the leader sends it to the others with its next answers. What is lost on the
-//! way costs a reading, no more. See `docs/design/fleet-news.md`.
+//! Every VM infers the holder of a part from the order of engines. When engines fail or are full,
+//! another engine reads a part, and a VM with a small part of the traffic rarely has a record of
+//! which one: it then names a wrong source, and the part is read again. So a VM reports to the
+//! leader when it sends a part to an engine other than the first of the order, and the leader sends
+//! the report to the other VMs with its next answers. A lost report costs one more reading of the
+//! part and nothing else. See `docs/design/fleet-news.md`.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,36 +13,40 @@
 
 use crate::state::ids::UpstreamKey;
 
-/// Notes that one VM sends with one renewal, and a leader with one answer; some 20 bytes each.
+/// The maximum number of notes in one renewal of a VM and in one answer of a leader; a note is
+/// about 20 bytes.
 pub const NOTES_PER_MESSAGE: usize = 48;
-/// Notes that a VM keeps for its next renewals; more are dropped, the oldest first.
-const NOTES_WAITING: usize = 4 * NOTES_PER_MESSAGE;
-/// Notes that a leader remembers for VMs that haven't heard them.
-const NOTES_KEPT: usize = 2048;
-/// The same is sent again after this long, in milliseconds: engines drop what isn't used.
-const SEND_AGAIN_MS: u64 = 10_000;
-/// Shared prompts shorter than this aren't reported, in tokens: reading them takes milliseconds.
+/// The maximum number of notes that a VM holds for its next renewals; beyond it the oldest are
+/// dropped.
+const MAX_WAITING_NOTES: usize = 4 * NOTES_PER_MESSAGE;
+/// The maximum number of notes that a leader holds for VMs that haven't received them.
+const MAX_KEPT_NOTES: usize = 2048;
+/// The same note is sent again after this long, in milliseconds, because engines evict what isn't
+/// used.
+const RESEND_MS: u64 = 10_000;
+/// Shared prompts shorter than this, in tokens, aren't reported, because reading them again takes
+/// only milliseconds.
 pub const MIN_REPORTED_TOKENS: u32 = 512;
 
-/// An engine was sent a part.
+/// Reports that a part was sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderNote {
     /// The last shared part of a prompt.
     pub part: u64,
-    /// The engine.
+    /// The engine that the part was sent to.
     pub engine: UpstreamKey,
 }
 
-/// Up to where a VM has heard a leader's notes.
+/// The position up to which a VM has received a leader's notes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HolderMark {
+pub struct HolderPosition {
     /// The leader's term.
     pub term: u64,
-    /// Notes of that term which were heard.
+    /// The number of notes of that term that were received.
     pub heard: u64,
 }
 
-/// What a VM has to report.
+/// The notes that a VM has yet to report.
 #[derive(Clone, Debug, Default)]
 pub struct HolderOutbox {
     waiting: VecDeque<HolderNote>,
@@ -49,51 +54,52 @@
 }
 
 impl HolderOutbox {
-    /// A part was sent to an engine against the order.
+    /// Adds a note that a part was sent to another engine than the order gives, unless the same was
+    /// reported lately.
     pub fn add(&mut self, note: HolderNote, now_ms: u64) {
         let sent = self.sent_ms.get(&note.part);
-        if sent.is_some_and(|(to, ms)| *to == note.engine && ms + SEND_AGAIN_MS > now_ms) {
+        if sent.is_some_and(|(to, ms)| *to == note.engine && ms + RESEND_MS > now_ms) {
             return;
         }
-        if self.sent_ms.len() >= NOTES_KEPT {
-            self.sent_ms.retain(|_, (_, ms)| *ms + SEND_AGAIN_MS > now_ms);
+        if self.sent_ms.len() >= MAX_KEPT_NOTES {
+            self.sent_ms.retain(|_, (_, ms)| *ms + RESEND_MS > now_ms);
         }
         self.sent_ms.insert(note.part, (note.engine, now_ms));
-        if self.waiting.len() == NOTES_WAITING {
+        if self.waiting.len() == MAX_WAITING_NOTES {
             self.waiting.pop_front();
         }
         self.waiting.push_back(note);
     }
 
-    /// The notes for the next renewal.
+    /// Removes and returns the notes for the next renewal.
     pub fn take(&mut self) -> Vec<HolderNote> {
         let count = self.waiting.len().min(NOTES_PER_MESSAGE);
         self.waiting.drain(..count).collect()
     }
 }
 
-/// What a leader received and sends on.
+/// The notes that a leader received and sends on.
 #[derive(Clone, Debug, Default)]
-pub struct HolderRing {
+pub struct HolderLog {
     term: u64,
     notes: VecDeque<HolderNote>,
     newest: HashMap<u64, UpstreamKey>,
-    /// Notes of this term that are forgotten by now.
+    /// The number of notes of this term that were dropped.
     forgotten: u64,
 }
 
-impl HolderRing {
-    /// Takes what a VM reported to the leader of `term`; returns what is new.
+impl HolderLog {
+    /// Adds the notes that a VM reported to the leader of `term`, and returns those that are new.
     pub fn take(&mut self, term: u64, notes: &[HolderNote]) -> Vec<HolderNote> {
         if term != self.term {
-            *self = HolderRing { term, ..HolderRing::default() };
+            *self = HolderLog { term, ..HolderLog::default() };
         }
         let mut fresh = Vec::new();
         for note in notes {
             if self.newest.insert(note.part, note.engine) == Some(note.engine) {
                 continue;
             }
-            if self.notes.len() == NOTES_KEPT {
+            if self.notes.len() == MAX_KEPT_NOTES {
                 self.forget_oldest();
             }
             self.notes.push_back(*note);
@@ -110,13 +116,13 @@
         }
     }
 
-    /// What a VM that has heard `mark` is sent next, and what it has heard then.
-    pub fn news(&self, mark: HolderMark) -> (Vec<HolderNote>, HolderMark) {
+    /// The next notes for a VM that has received those up to `mark`, and its position after them.
+    pub fn notes_after(&self, mark: HolderPosition) -> (Vec<HolderNote>, HolderPosition) {
         let heard = if mark.term == self.term { mark.heard } else { 0 };
         let from = heard.saturating_sub(self.forgotten).min(self.notes.len() as u64) as usize;
         let sent: Vec<HolderNote> =
             self.notes.iter().skip(from).take(NOTES_PER_MESSAGE).copied().collect();
         let heard = self.forgotten + (from + sent.len()) as u64;
-        (sent, HolderMark { term: self.term, heard })
+        (sent, HolderPosition { term: self.term, heard })
     }
 }
--- a/lib/src/coordination/home.rs
+++ b/lib/src/coordination/home.rs
@@ -1,10 +1,9 @@
 //! The home of an engine: the one router that admits work to it.
 //!
-//! Because every request to an engine passes its home, the home knows the
-//! engine's work in flight exactly and at once, with no probe. While routers hold
-//! different epochs of the roster, an engine's new home waits until every router
-//! with a lease has seen the epoch: at no time do two routers admit to one engine.
-//! See `docs/design/homes.md`.
+//! Because every request to an engine passes through its home, the home has the engine's exact work
+//! in flight at any time, without probes. While routers have different epochs of the roster, the
+//! new home of an engine waits until every router with a lease has received the epoch, so two
+//! routers never admit to one engine at the same time. See `docs/design/homes.md`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,40 +12,41 @@
 use super::placement::EngineHint;
 use crate::state::ids::{FleetKey, Incarnation, UpstreamKey};
 
-/// An earlier home's work is reckoned with for this long after a take-over.
-pub const FOREIGN_KEEP_MS: u64 = 60_000;
-/// Ends are averaged over at least this time.
+/// How long the work of an earlier home counts after a take-over, in milliseconds.
+pub const FOREIGN_WORK_TTL_MS: u64 = 60_000;
+/// The least span over which ended work is averaged, in milliseconds.
 const DRAIN_SPAN_MS: u64 = 1000;
-/// In the first epoch there is no earlier home.
+/// The first epoch of the roster, in which no engine has had an earlier home.
 const FIRST_EPOCH: u64 = 1;
 
-/// One engine at its home.
+/// The state of one engine at its home.
 #[derive(Clone, Debug, Default)]
 pub struct HomeSlot {
-    /// Its fleet.
+    /// The fleet of the engine.
     pub fleet: FleetKey,
-    /// Its life, once reported.
+    /// The engine's incarnation, once reported.
     pub incarnation: Incarnation,
-    /// Requests that this router has in flight there.
+    /// The number of requests that this router has in flight at the engine.
     pub requests: u32,
-    /// Their work.
+    /// The work of those requests, in tokens.
     pub work: u64,
-    /// Work that an earlier home may still have in flight there; it only falls.
+    /// Work that an earlier home may still have in flight at the engine; it only falls.
     pub foreign_work: u64,
-    /// When this router took the engine over, once the engine has reported since.
+    /// When the engine first reported after this router took it over.
     pub taken_over_ms: Option<u64>,
     /// The roster epoch at which this router became its home; `None` while it is not.
     pub home_since_epoch: Option<u64>,
-    /// No new work: the engine leaves, or is set aside.
+    /// Whether the engine gets no new work, because it is leaving or ejected.
     pub closed: bool,
-    /// Work that ends here in a millisecond, as a moving average.
+    /// Work that ends at the engine in a millisecond, as a moving average.
     pub drain_per_ms: f64,
     released_ms: u64,
     released_work: u64,
 }
 
 impl HomeSlot {
-    /// Averages over spans of at least [`DRAIN_SPAN_MS`], since single ends are all or nothing.
+    /// Averages over spans of at least [`DRAIN_SPAN_MS`], because the work that ends in a shorter
+    /// span is either nothing or a whole request.
     fn note_release(&mut self, work: u64, now_ms: u64) {
         self.released_work += work;
         let span = now_ms.saturating_sub(self.released_ms);
@@ -59,7 +59,8 @@
         }
     }
 
-    /// How long until the load falls to `bound`, if that is known.
+    /// The expected time until the load falls to `bound`, in milliseconds; `None` while no rate is
+    /// known.
     pub fn wait_ms(&self, bound: f64) -> Option<f64> {
         let over = (self.load() as f64 - bound).max(0.0);
         (self.drain_per_ms > 0.0).then(|| over / self.drain_per_ms)
@@ -71,10 +72,10 @@
     }
 }
 
-/// Why a home does not admit.
+/// Why a home does not admit a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitRefusal {
-    /// This router is not the engine's home, or not yet.
+    /// This router is not the engine's home, or its epoch isn't settled yet.
     NotHome,
     /// The engine takes no new work.
     Closed,
@@ -91,7 +92,7 @@
 }
 
 impl HomeTable {
-    /// Every router with a lease has seen this epoch of the roster.
+    /// Records that every router with a lease has received this epoch of the roster.
     pub fn settle(&mut self, epoch: u64) {
         self.settled_epoch = self.settled_epoch.max(epoch);
     }
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Whether this router admits to the engine now.
+    /// Whether this router may admit to the engine now.
     pub fn is_home(&self, engine: UpstreamKey) -> bool {
         let slot = self.slots.get(&engine);
         slot.and_then(|slot| slot.home_since_epoch).is_some_and(|e| e <= self.settled_epoch)
     }
 
-    /// Admits `work` to the engine, or says why not.
+    /// Admits a request of `work` tokens to the engine, or returns why not.
     pub fn admit(
         &mut self,
         engine: UpstreamKey,
@@ -135,7 +136,7 @@
         if slot.closed {
             return Err(AdmitRefusal::Closed);
         }
-        let full = slot.requests >= rule.most_requests;
+        let full = slot.requests >= rule.max_requests;
         if full || !may_admit(slot.load(), load, rule.multiple, work) {
             return Err(AdmitRefusal::AtBound);
         }
@@ -145,7 +146,7 @@
         Ok(())
     }
 
-    /// A request ended.
+    /// Records that a request of `work` tokens ended at the engine.
     pub fn release(&mut self, engine: UpstreamKey, work: u64, now_ms: u64) {
         let Some(slot) = self.slots.get_mut(&engine) else { return };
         slot.note_release(work, now_ms);
@@ -162,9 +163,10 @@
         }
     }
 
-    /// The engine reported its work. The first report after a take-over shows what an earlier
-    /// home left in flight; from then on that only falls, and is gone after
-    /// [`FOREIGN_KEEP_MS`]. A report lags, so it is never compared with our own work of now.
+    /// Records the work that the engine reported. The first report after a take-over includes what
+    /// an earlier home left in flight. From then on that work only falls, and it counts as ended
+    /// after [`FOREIGN_WORK_TTL_MS`]. A report lags, so it is never compared with the router's present
+    /// work.
     pub fn report(
         &mut self,
         engine: UpstreamKey,
@@ -173,7 +175,7 @@
         now_ms: u64,
     ) {
         let Some(slot) = self.slots.get_mut(&engine) else { return };
-        let same_life = slot.incarnation == incarnation;
+        let same_incarnation = slot.incarnation == incarnation;
         slot.incarnation = incarnation;
         match slot.taken_over_ms {
             None => {
@@ -181,38 +183,38 @@
                 let inherited = slot.home_since_epoch.is_some_and(|epoch| epoch > FIRST_EPOCH);
                 slot.foreign_work = if inherited { reported_work } else { 0 };
             }
-            Some(since) if same_life && now_ms < since + FOREIGN_KEEP_MS => {
+            Some(since) if same_incarnation && now_ms < since + FOREIGN_WORK_TTL_MS => {
                 slot.foreign_work = slot.foreign_work.min(reported_work);
             }
             Some(_) => slot.foreign_work = 0,
         }
     }
 
-    /// Opens or closes an engine to new work.
+    /// Opens an engine to new work or closes it.
     pub fn close(&mut self, engine: UpstreamKey, closed: bool) {
         if let Some(slot) = self.slots.get_mut(&engine) {
             slot.closed = closed;
         }
     }
 
-    /// One engine's slot.
+    /// The state of one engine.
     pub fn slot(&self, engine: UpstreamKey) -> Option<&HomeSlot> {
         self.slots.get(&engine)
     }
 
-    /// The engines that this router is home to, settled or not.
+    /// The engines that this router is home to, whether or not their epoch is settled.
     pub fn homed(&self) -> impl Iterator<Item = (UpstreamKey, &HomeSlot)> {
         let slots = self.slots.iter();
         slots.filter(|(_, slot)| slot.home_since_epoch.is_some()).map(|(key, slot)| (*key, slot))
     }
 
-    /// The work in flight by this router over the engines of a fleet that take new work.
+    /// The work that this router has in flight at the engines of a fleet that take new work.
     ///
-    /// The mean is one of those engines alone. What a dead engine had is gone from the true mean
-    /// at once, while its requests may be counted here until their callers give up.
+    /// The mean is taken over those engines alone. The work of a failed engine is gone from the
+    /// true mean at once, while its requests may be counted here until their callers give up.
     pub fn fleet_work(&self, fleet: FleetKey) -> u64 {
-        // Foreign work is counted by the router that admitted it; counting it here too would raise the
-        // mean, and with it the bound.
+        // Foreign work is counted by the router that admitted it. Counting it here too would raise
+        // the mean, and with it the bound.
         let slots = self.slots.values().filter(|slot| slot.fleet == fleet && !slot.closed);
         slots.map(|slot| slot.work).sum()
     }
@@ -222,17 +224,18 @@
         sizes.last().map_or(0, |((_, work), _)| *work)
     }
 
-    /// This router's row of the load exchange: its work, and its lightest engines that have room
-    /// for more than `most_requests`; none while requests wait here, since those go first.
+    /// This router's row of the load exchange: its work, and its least loaded engines that have
+    /// fewer than `max_requests` in flight. It names no engines while requests wait here, since
+    /// those go first.
     pub fn load_row(
         &self,
         fleet: FleetKey,
         engines: u32,
-        most_requests: u32,
+        max_requests: u32,
         waiting: bool,
     ) -> LoadRow {
         let open = self.homed().filter(|(_, slot)| {
-            slot.fleet == fleet && !slot.closed && slot.requests < most_requests && !waiting
+            slot.fleet == fleet && !slot.closed && slot.requests < max_requests && !waiting
         });
         let mut lightest: Vec<EngineHint> =
             open.map(|(engine, slot)| EngineHint { engine, work: slot.load() }).collect();
@@ -242,7 +245,7 @@
         LoadRow { fleet, work: self.fleet_work(fleet), engines, largest, lightest }
     }
 
-    /// Requests in flight by this router over all fleets.
+    /// The number of requests that this router has in flight in all fleets.
     pub fn requests(&self) -> u32 {
         self.slots.values().map(|slot| slot.requests).sum()
     }
--- a/lib/src/coordination/kv_move.rs
+++ b/lib/src/coordination/kv_move.rs
@@ -1,33 +1,33 @@
-//! What a spill past the bound should do about the prefix that a busy engine holds: wait a
-//! little for that engine, import the prefix into another, or compute it again.
+//! Decides what to do about the prefix that an engine at its bound holds: wait a little for that
+//! engine, import the prefix into another one, or compute it again.
 //!
-//! Each costs time before the first token; the least wins. The rates are settings of the
-//! fleet, to be set from what its engines measure. See `docs/design/kv-move.md`.
+//! Each option delays the first token; the one with the shortest delay is chosen. The rates are
+//! settings of the fleet, to be set from measurements of its engines. See `docs/design/kv-move.md`.
 
 use crate::state::configuration::MoveRates;
 
-/// No request waits longer than this for the engine that holds its prefix.
-pub const LONGEST_HOLDER_WAIT_MS: f64 = 1500.0;
+/// The longest time that a request waits for the engine that holds its prefix, in milliseconds.
+pub const MAX_HOLDER_WAIT_MS: f64 = 1500.0;
 
 /// What to do about a prefix that another engine holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MoveChoice {
-    /// Wait for the holder to fall below its bound, at most so many milliseconds.
+    /// Wait for the holder to fall below its bound, at most this many milliseconds.
     Wait(u64),
-    /// Have the new engine import it from the holder.
+    /// Let the new engine import the prefix from the holder.
     Import,
-    /// Compute it again.
+    /// Compute the prefix again.
     Recompute,
 }
 
-/// What an import of so many tokens costs, if there are imports.
+/// The time that an import of `tokens` takes, in milliseconds; `None` if the fleet has no imports.
 pub fn import_ms(rates: &MoveRates, tokens: u32) -> Option<f64> {
     let moves = rates.import_per_ms > 0.0;
     moves.then(|| rates.import_start_ms + tokens as f64 / rates.import_per_ms)
 }
 
-/// Compares the three. `holder_wait_ms` is how long the holder is expected to stay at its
-/// bound, if that is known here.
+/// Chooses the option with the shortest delay. `holder_wait_ms` is how long the holder is expected
+/// to stay at its bound, if this router has an estimate.
 pub fn choose_move(
     rates: &MoveRates,
     cached_tokens: u32,
@@ -36,9 +36,9 @@
     let recompute = cached_tokens as f64 / rates.prefill_per_ms.max(1e-6);
     let import = import_ms(rates, cached_tokens).unwrap_or(f64::INFINITY);
     let wait = holder_wait_ms.unwrap_or(f64::INFINITY);
-    if wait <= import && wait <= recompute && wait <= LONGEST_HOLDER_WAIT_MS {
-        // The expectation is rough; beyond the next best cost, waiting on would be a loss.
-        let patience = import.min(recompute).min(LONGEST_HOLDER_WAIT_MS);
+    if wait <= import && wait <= recompute && wait <= MAX_HOLDER_WAIT_MS {
+        // The estimate is rough. A wait beyond the cost of the next best option would be a loss.
+        let patience = import.min(recompute).min(MAX_HOLDER_WAIT_MS);
         MoveChoice::Wait(patience.ceil() as u64)
     } else if import < recompute {
         MoveChoice::Import
--- a/lib/src/coordination/load_spread.rs
+++ b/lib/src/coordination/load_spread.rs
@@ -1,9 +1,9 @@
-//! How a router learns the load of a fleet: its own exact sum plus the sum of the others.
+//! How a router computes the load of a fleet: its own exact sum plus the sum of the other routers.
 //!
-//! The others' sum comes back with each lease renewal, because the keeper that
-//! leads hears every router four times a second anyway: two small datagrams an
-//! exchange, however many routers there are. When no answer comes, routers send
-//! their sums to each other until one does. See `docs/design/load-spread.md`.
+//! The sum of the others comes with the answer to each lease renewal, because the leading keeper
+//! receives a renewal from every router four times a second anyway. That makes two small datagrams
+//! an exchange, however many routers there are. While no answer comes, routers send their sums to
+//! each other. See `docs/design/load-spread.md`.
 
 use std::collections::HashMap;
 
@@ -14,56 +14,56 @@
 use super::router_lease::RENEW_MS;
 use crate::state::ids::{FleetKey, RouterId};
 
-/// How long a router's sum counts after it was last heard, in milliseconds.
+/// How long the sum of a router counts after it was last received, in milliseconds.
 pub const ROW_KEEP_MS: u64 = 5000;
 
-/// One fleet's load at one router, or summed over several.
+/// The load of one fleet at one router, or the sum over several routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadRow {
     /// The fleet.
     pub fleet: FleetKey,
-    /// Work in flight.
+    /// Work in flight, in tokens.
     pub work: u64,
-    /// Engines that the teller counts as taking work.
+    /// The number of engines that take work, as counted by the reporting router.
     pub engines: u32,
-    /// The teller's largest request, or the largest of several tellers.
+    /// The work of the reporting router's largest request, or the largest over several routers.
     pub largest: u64,
-    /// The teller's lightest engines, or the lightest of several tellers.
+    /// The least loaded engines of the reporting router, or of several routers.
     pub lightest: Vec<EngineHint>,
 }
 
-/// How many light engines a router reports.
+/// The number of its least loaded engines that a router reports.
 pub const HINTS_REPORTED: usize = 2;
-/// How many light engines of others a router is sent.
-pub const HINTS_GIVEN: usize = 6;
+/// The number of other routers' least loaded engines that a router is sent.
+pub const HINTS_SENT: usize = 6;
 
 impl LoadRow {
-    /// A row of no load.
+    /// A row without load.
     pub fn empty(fleet: FleetKey) -> LoadRow {
         LoadRow { fleet, work: 0, engines: 0, largest: 0, lightest: Vec::new() }
     }
 }
 
-/// What was reported of the load elsewhere.
+/// The load that other routers reported.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
     rows: HashMap<(RouterId, FleetKey), (LoadRow, u64)>,
 }
 
 impl LoadTable {
-    /// Notes what `router` reported at `now_ms` of some fleets; its earlier rows of others stay.
+    /// Records the rows that `router` reported at `now_ms`; its earlier rows of other fleets stay.
     pub fn note(&mut self, router: RouterId, rows: &[LoadRow], now_ms: u64) {
         for row in rows {
             self.rows.insert((router, row.fleet), (row.clone(), now_ms));
         }
     }
 
-    /// Drops rows that are too old to count.
+    /// Removes rows that are too old to count.
     pub fn expire(&mut self, now_ms: u64) {
         self.rows.retain(|_, (_, reported_ms)| *reported_ms + ROW_KEEP_MS > now_ms);
     }
 
-    /// The sum over all routers but `except`, one row for each of `fleets`.
+    /// The sum over all routers except `except`, one row for each of `fleets`.
     pub fn others(&self, except: RouterId, fleets: &[FleetKey]) -> Vec<LoadRow> {
         let mut sums: HashMap<FleetKey, LoadRow> = HashMap::new();
         let asked = self.rows.iter().filter(|((_, fleet), _)| fleets.contains(fleet));
@@ -74,31 +74,31 @@
                 sum.largest = sum.largest.max(row.largest);
                 sum.lightest.extend_from_slice(&row.lightest);
             }
-            // The largest count keeps the mean low while views of the fleet differ.
+            // The largest count keeps the mean low while routers have different views of the fleet.
             sum.engines = sum.engines.max(row.engines);
         }
         let mut sums: Vec<LoadRow> = sums.into_values().collect();
         sums.sort_by_key(|row| row.fleet);
         for sum in &mut sums {
             sum.lightest.sort_unstable_by_key(|hint| (hint.work, hint.engine));
-            sum.lightest.truncate(HINTS_GIVEN);
+            sum.lightest.truncate(HINTS_SENT);
         }
         sums
     }
 }
 
-/// The latest sum of the others, at one router.
+/// The latest sum of the other routers, at one router.
 #[derive(Clone, Debug, Default)]
-pub struct OtherLoad {
+pub struct RemoteLoad {
     rows: HashMap<FleetKey, (LoadRow, u64)>,
     reported_ms: u64,
 }
 
-/// Rows in one exchange, so that it fits a datagram. With more fleets they take turns, and
-/// each one's mean is older by as many renewals.
+/// The maximum number of rows in one exchange, so that it fits into a datagram. With more fleets
+/// the rows take turns, and the mean of each fleet is older by as many renewals.
 pub const ROWS_PER_EXCHANGE: usize = 6;
 
-/// The rows whose turn it is at the exchange of number `turn`.
+/// The rows that are sent in exchange number `turn`.
 pub fn rows_in_turn(mut rows: Vec<LoadRow>, turn: u64) -> Vec<LoadRow> {
     if rows.len() > ROWS_PER_EXCHANGE {
         rows.sort_by_key(|row| row.fleet);
@@ -109,9 +109,9 @@
     rows
 }
 
-impl OtherLoad {
-    /// Notes sums that came with the answer to a renewal sent at `reported_ms`; each router's part
-    /// of them was reported up to one renewal earlier.
+impl RemoteLoad {
+    /// Records sums that came with the answer to a renewal sent at `reported_ms`. Each router
+    /// reported its part of them up to one renewal earlier.
     pub fn note(&mut self, rows: &[LoadRow], reported_ms: u64) {
         self.rows.extend(rows.iter().map(|row| (row.fleet, (row.clone(), reported_ms))));
         self.reported_ms = reported_ms;
@@ -122,12 +122,12 @@
         self.reported_ms
     }
 
-    /// Light engines of other homes.
+    /// Lightly loaded engines of other homes.
     pub fn hints(&self, fleet: FleetKey) -> &[EngineHint] {
         self.rows.get(&fleet).map_or(&[], |(row, _)| &row.lightest)
     }
 
-    /// The whole fleet's load: the own exact part plus the others' last sum.
+    /// The load of the whole fleet: this router's exact part plus the last sum of the others.
     pub fn fleet_load(
         &self,
         fleet: FleetKey,
--- a/lib/src/coordination/outlier.rs
+++ b/lib/src/coordination/outlier.rs
@@ -1,42 +1,44 @@
-//! Upstreams that fail are set aside on passive health checks, and tried again gently.
+//! Outlier ejection: upstreams that fail passive health checks get no requests for a while, and
+//! then one trial request at a time.
 
 use std::collections::HashMap;
 
 use crate::state::ids::UpstreamKey;
 
-/// Failures in a row that set an upstream aside.
-pub const FAILURES_IN_A_ROW: u32 = 3;
-/// The first time aside, in milliseconds; it doubles with each further time.
-pub const FIRST_ASIDE_MS: u64 = 2000;
-/// The longest time aside, in milliseconds.
-pub const LONGEST_ASIDE_MS: u64 = 60_000;
+/// The number of consecutive failures that ejects an upstream.
+pub const CONSECUTIVE_FAILURES: u32 = 3;
+/// The duration of the first ejection, in milliseconds; it doubles with each further one.
+pub const FIRST_EJECTION_MS: u64 = 2000;
+/// The longest duration of an ejection, in milliseconds.
+pub const MAX_EJECTION_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, Default)]
 struct UpstreamHealth {
     gone: bool,
     failures: u32,
-    /// Answers that it broke off since one that ended well.
+    /// The number of answers that it broke off since one ended well.
     cuts: u32,
-    times_aside: u32,
-    aside_until_ms: u64,
+    ejections: u32,
+    ejected_until_ms: u64,
     trial_running: bool,
 }
 
-/// What one router has seen of its upstreams.
+/// The health of a router's upstreams, from the outcomes of its requests.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierTable {
     health: HashMap<UpstreamKey, UpstreamHealth>,
 }
 
 impl OutlierTable {
-    /// A request succeeded.
+    /// Records that a request succeeded.
     pub fn note_success(&mut self, upstream: UpstreamKey) {
         if !self.is_gone(upstream) {
             self.health.remove(&upstream);
         }
     }
 
-    /// The head of an answer came that goes on: it answers, but whether its answers end well is open.
+    /// Records that the head of a longer answer came. It shows that the upstream answers, but not
+    /// whether its answers end well.
     pub fn note_begun(&mut self, upstream: UpstreamKey) {
         match self.health.get_mut(&upstream) {
             Some(health) if health.cuts > 0 => health.failures = 0,
@@ -44,7 +46,8 @@
         }
     }
 
-    /// An answer broke off after its head: a failure, of which the heads of others say nothing.
+    /// Records that an answer broke off after its head. This failure isn't cleared by the heads of
+    /// other answers.
     pub fn note_cut(
         &mut self,
         upstream: UpstreamKey,
@@ -58,8 +61,8 @@
         self.note_failure(upstream, fleet, share, now_ms);
     }
 
-    /// A request failed; sets the upstream aside after enough failures, unless so many of the
-    /// `fleet_size` upstreams are aside already that `share` would be passed.
+    /// Records that a request failed. Ejects the upstream after enough failures, unless more than
+    /// `share` of the upstreams in `fleet` would then be ejected.
     pub fn note_failure(
         &mut self,
         upstream: UpstreamKey,
@@ -68,25 +71,25 @@
         now_ms: u64,
     ) {
         let mut fleet_size = 0;
-        let mut aside = 0;
+        let mut ejected = 0;
         for other in fleet {
             fleet_size += 1;
-            aside += usize::from(other != upstream && self.is_aside(other, now_ms));
+            ejected += usize::from(other != upstream && self.is_ejected(other, now_ms));
         }
         let most = (fleet_size as f64 * share).floor() as usize;
         let health = self.health.entry(upstream).or_default();
         health.failures += 1;
         health.trial_running = false;
-        let was_aside = health.times_aside > 0;
-        if (health.failures >= FAILURES_IN_A_ROW || was_aside) && aside < most {
-            let time = (FIRST_ASIDE_MS << health.times_aside.min(5)).min(LONGEST_ASIDE_MS);
-            health.aside_until_ms = now_ms + time;
-            health.times_aside += 1;
+        let was_ejected = health.ejections > 0;
+        if (health.failures >= CONSECUTIVE_FAILURES || was_ejected) && ejected < most {
+            let time = (FIRST_EJECTION_MS << health.ejections.min(5)).min(MAX_EJECTION_MS);
+            health.ejected_until_ms = now_ms + time;
+            health.ejections += 1;
             health.failures = 0;
         }
     }
 
-    /// Nothing listens at the upstream: one report is enough to set it aside.
+    /// Records that nothing listens at the upstream: one such report is enough to eject it.
     pub fn note_dead(
         &mut self,
         upstream: UpstreamKey,
@@ -94,50 +97,51 @@
         share: f64,
         now_ms: u64,
     ) {
-        self.health.entry(upstream).or_default().failures = FAILURES_IN_A_ROW;
+        self.health.entry(upstream).or_default().failures = CONSECUTIVE_FAILURES;
         self.note_failure(upstream, fleet, share, now_ms);
     }
 
-    /// This life of the upstream has ended; a restart has another key.
+    /// Records that this incarnation of the upstream has ended; after a restart it has another key.
     pub fn note_gone(&mut self, upstream: UpstreamKey) {
         self.health.entry(upstream).or_default().gone = true;
     }
 
-    /// Whether this life of the upstream has ended.
+    /// Whether this incarnation of the upstream has ended.
     pub fn is_gone(&self, upstream: UpstreamKey) -> bool {
         self.health.get(&upstream).is_some_and(|health| health.gone)
     }
 
-    /// The upstreams of which anything is known; all others are well.
+    /// The upstreams with a record; all others are healthy.
     pub fn known(&self) -> impl Iterator<Item = UpstreamKey> + '_ {
         self.health.keys().copied()
     }
 
-    /// Forgets upstreams that are not `known` any more.
+    /// Removes the upstreams for which `known` returns false.
     pub fn sweep(&mut self, known: impl Fn(UpstreamKey) -> bool) {
         self.health.retain(|upstream, _| known(*upstream));
     }
 
-    /// Whether the upstream is set aside now.
-    pub fn is_aside(&self, upstream: UpstreamKey, now_ms: u64) -> bool {
+    /// Whether the upstream is ejected now.
+    pub fn is_ejected(&self, upstream: UpstreamKey, now_ms: u64) -> bool {
         self.health.get(&upstream).is_some_and(|health| {
             health.gone
-                || health.times_aside > 0
-                    && (now_ms < health.aside_until_ms || health.trial_running)
+                || health.ejections > 0
+                    && (now_ms < health.ejected_until_ms || health.trial_running)
         })
     }
 
-    /// After its time aside, lets one request through as a trial; more only once that has ended.
+    /// After the end of an ejection, lets one request through as a trial, and more only once that
+    /// has ended.
     pub fn begin_trial(&mut self, upstream: UpstreamKey, now_ms: u64) {
         if let Some(health) = self.health.get_mut(&upstream) {
-            if health.times_aside > 0 && now_ms >= health.aside_until_ms {
+            if health.ejections > 0 && now_ms >= health.ejected_until_ms {
                 health.trial_running = true;
             }
         }
     }
 
-    /// A request to the upstream has ended, however it did: another trial may follow. What it
-    /// shows of the upstream's health is noted apart, and that may be nothing.
+    /// Records that a request to the upstream ended in any way, so that another trial may follow.
+    /// The outcome is recorded separately, if it shows anything about the upstream's health.
     pub fn end_trial(&mut self, upstream: UpstreamKey) {
         if let Some(health) = self.health.get_mut(&upstream) {
             health.trial_running = false;
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -1,14 +1,14 @@
-//! Where a request may go, best first.
+//! Chooses the engines that a request may go to, best first.
 //!
-//! A chat's home is the home of the first engine in the chat's rendezvous order, unless
-//! another router served it last: each reply names that router to the caller, and
-//! a router that holds a chat on an engine of its own serves it there.
+//! The home of a chat is the home of the first engine in the chat's rendezvous order, unless
+//! another router served the chat last: each reply names that router to the caller, and a router
+//! that has the chat on an engine of its own serves it there.
 //!
-//! A returning chat goes to an engine that holds its prefix. A fresh one carries most of
-//! the work, since nothing of it is cached; so fresh chats are what levels the load, and
-//! what keeps room for those that return. They go to the lightest engine that is known:
-//! the own ones exactly, the others by the hints that come with each lease renewal.
-//! See `docs/design/placement.md` for the rules weighed and what each measured.
+//! A returning chat goes to an engine that holds its prefix. A new chat brings most of the work,
+//! because nothing of it is cached. So the placement of new chats balances the load, and keeps
+//! capacity for the returning ones. New chats go to the least loaded known engine; the load of a
+//! router's own engines is exact, that of the others comes as hints with each lease renewal.
+//! `docs/design/placement.md` compares the rules and gives their measurements.
 
 use std::collections::HashMap;
 
@@ -21,33 +21,33 @@
 use crate::state::rendezvous::{rendezvous_order, rendezvous_score};
 use crate::state::roster::RouterRoster;
 
-/// How many places of a chat's order are looked at.
-pub const PLACES: usize = 4;
+/// The number of engines at the front of a chat's order that are considered.
+pub const ORDER_LENGTH: usize = 4;
 
-/// Where chats go that no engine is known to hold, and those whose holders have no room.
+/// Where to place chats that no engine is known to hold, and chats whose holders have no capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreshRule {
-    /// To the first place of the order, then along the order.
+    /// The first engine of the order, then the next ones along the order.
     OrderOnly,
-    /// To the first place of the order, then to the lightest engine of the home.
+    /// The first engine of the order, then the least loaded engines of the home.
     FirstPlace,
-    /// To the lightest engine of the home.
+    /// The least loaded engines of the home.
     LightestOfHome,
-    /// To the lightest engine of the home while that is below the mean, else to the lightest
+    /// The least loaded engines of the home that stay below the bound, then the least loaded
     /// engines of the fleet that the hints name.
     LightestOfFleet,
 }
 
-/// Which rules are in force.
+/// The placement rules in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementRule {
-    /// For chats that no engine holds.
+    /// The rule for chats that no engine holds.
     pub fresh: FreshRule,
-    /// Whether more than the latest holder is looked at.
+    /// Whether all holders of a chat are considered, and not only the latest.
     pub every_holder: bool,
 }
 
-/// The rules that measured best; see `docs/design/placement.md`.
+/// The rules with the best results; see `docs/design/placement.md`.
 pub const BEST_RULE: PlacementRule =
     PlacementRule { fresh: FreshRule::LightestOfFleet, every_holder: true };
 
@@ -56,11 +56,11 @@
 pub struct EngineHint {
     /// The engine.
     pub engine: UpstreamKey,
-    /// Its work in flight.
+    /// Its work in flight, in tokens.
     pub work: u64,
 }
 
-/// One fleet as one router sees it: who takes work, and who is home to each.
+/// One fleet as one router sees it: the engines that take work, and the home of each.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     /// Engines that take new work, each with its home.
@@ -78,13 +78,13 @@
         FleetView { engines, keys }
     }
 
-    /// The first places of a chat's order.
+    /// The first [`ORDER_LENGTH`] engines of a chat's order.
     pub fn order(&self, chat: ChatKey) -> Vec<UpstreamKey> {
-        let order = rendezvous_order(chat.0, self.keys.iter().copied(), PLACES);
+        let order = rendezvous_order(chat.0, self.keys.iter().copied(), ORDER_LENGTH);
         order.into_iter().map(UpstreamKey).collect()
     }
 
-    /// The router that is home to a chat by its order alone.
+    /// The home of a chat according to its order alone.
     pub fn chat_home(&self, chat: ChatKey) -> Option<RouterId> {
         let first = self.order(chat).into_iter().next()?;
         self.engines.get(&first).copied()
@@ -98,14 +98,14 @@
     pub engine: UpstreamKey,
     /// Its home.
     pub home: RouterId,
-    /// Tokens of the prompt that it is expected to hold.
+    /// The number of prompt tokens that it is expected to have cached.
     pub cached_tokens: u32,
 }
 
-/// What one router knows when it places a request.
+/// The state that one router uses to place a request.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementKnowledge<'a> {
-    /// The router.
+pub struct PlacementContext<'a> {
+    /// The id of this router.
     pub own: RouterId,
     /// The fleet.
     pub fleet: FleetKey,
@@ -113,21 +113,21 @@
     pub view: &'a FleetView,
     /// The engines that the router is home to.
     pub homes: &'a HomeTable,
-    /// Who holds what.
+    /// Which engines hold which chats.
     pub memory: &'a ChatMemory,
-    /// Light engines of other homes.
+    /// Lightly loaded engines of other homes.
     pub hints: &'a [EngineHint],
-    /// Whether hints were received at all; then none means that no engine has room.
+    /// Whether hints were received at all. If so, an empty list means that no engine has capacity.
     pub hints_known: bool,
     /// The fleet's load.
     pub load: FleetLoad,
-    /// The fleet's multiple.
+    /// The fleet's multiple of the mean load up to which an engine is given work.
     pub multiple: f64,
-    /// The request's work where nothing of it is cached.
+    /// The request's work, in tokens, if nothing of it is cached.
     pub work: u64,
 }
 
-/// The work of a request on an engine that holds `cached_tokens` of its prompt.
+/// The work of a request, in tokens, on an engine that has `cached_tokens` of its prompt.
 pub fn request_work(prompt_tokens: u32, output_tokens: u32, cached_tokens: u32) -> u64 {
     prompt_tokens.saturating_sub(cached_tokens) as u64 + output_tokens.max(1) as u64
 }
@@ -135,7 +135,7 @@
 /// The engines that a router should try for a chat, best first.
 pub fn place_candidates(
     chat: ChatKey,
-    known: &PlacementKnowledge<'_>,
+    known: &PlacementContext<'_>,
     rule: &PlacementRule,
 ) -> Vec<PlaceCandidate> {
     let order = known.view.order(chat);
@@ -154,15 +154,15 @@
         }
         FreshRule::LightestOfFleet => push_lightest(chat, &mut candidates, known),
     }
-    // Places along the order whose load is not known are asked only when nothing is known.
+    // Engines along the order whose load is unknown are tried only while no hints were received.
     if rule.fresh != FreshRule::LightestOfFleet || !known.hints_known {
         push_all(&mut candidates, order.into_iter(), known.view);
     }
     candidates
 }
 
-/// Whether this router knows an engine of its own that holds the chat, surely or perhaps.
-pub fn holds_chat(chat: ChatKey, known: &PlacementKnowledge<'_>) -> bool {
+/// Whether one of this router's own engines certainly or possibly holds the chat.
+pub fn holds_chat(chat: ChatKey, known: &PlacementContext<'_>) -> bool {
     known.memory.holders(chat).iter().any(|holder| {
         known.view.engines.get(&holder.engine) == Some(&known.own)
             && known.memory.certainty(holder).is_some()
@@ -171,7 +171,7 @@
 
 fn holder_candidates(
     chat: ChatKey,
-    known: &PlacementKnowledge<'_>,
+    known: &PlacementContext<'_>,
     rule: &PlacementRule,
 ) -> Vec<PlaceCandidate> {
     let memory = known.memory;
@@ -188,29 +188,30 @@
     placed.collect()
 }
 
-/// Own engines that stay below the bound with this request in, then hinted ones that do, then
-/// all of them, the lightest first.
+/// Adds the router's own engines that stay below the bound with this request, then hinted engines
+/// that do, then all others below the bound, the least loaded first.
 ///
-/// An engine that a fresh chat fills to its bound would have no room for the chats that it
-/// holds, until something ends there.
+/// An engine that a new chat fills to its bound would have no capacity for the chats that it holds
+/// until a request ends there.
 fn push_lightest(
     chat: ChatKey,
     candidates: &mut Vec<PlaceCandidate>,
-    known: &PlacementKnowledge<'_>,
+    known: &PlacementContext<'_>,
 ) {
     let bound = admission_bound(&known.load, known.multiple, known.work);
     let stays_below = |work: u64| ((work + known.work) as f64) < bound;
     let own: Vec<(u64, UpstreamKey)> = own_lightest(known).collect();
-    let roomy = own.iter().filter(|(work, _)| stays_below(*work)).map(|(_, key)| *key);
-    push_all(candidates, roomy, known.view);
-    // Each chat takes the hints in an order of its own: hints are a moment old, and all
-    // routers have the same ones, so the very lightest would be met by all at once.
+    let with_capacity = own.iter().filter(|(work, _)| stays_below(*work)).map(|(_, key)| *key);
+    push_all(candidates, with_capacity, known.view);
+    // Each chat tries the hinted engines in an order of its own. Hints are a moment old, and all
+    // routers have the same ones, so otherwise all routers would choose the least loaded engine at
+    // once.
     let hinted = known.hints.iter().filter(|hint| stays_below(hint.work));
     let mut hinted: Vec<UpstreamKey> = hinted.map(|hint| hint.engine).collect();
     hinted.sort_by_key(|engine| std::cmp::Reverse(rendezvous_score(chat.0, engine.0)));
     push_all(candidates, hinted.into_iter(), known.view);
-    // An engine that was at its bound a moment ago is not asked: under a surge that would be
-    // most of them, for each request anew.
+    // An engine that was at its bound a moment ago is not tried. In a surge that applies to most
+    // engines, and each request would try them again.
     let admits = known.hints.iter().filter(|hint| (hint.work as f64) < bound);
     let mut rest: Vec<(u64, UpstreamKey)> =
         admits.map(|hint| (hint.work, hint.engine)).chain(own).collect();
@@ -218,7 +219,7 @@
     push_all(candidates, rest.into_iter().map(|(_, key)| key), known.view);
 }
 
-fn own_lightest(known: &PlacementKnowledge<'_>) -> impl Iterator<Item = (u64, UpstreamKey)> {
+fn own_lightest(known: &PlacementContext<'_>) -> impl Iterator<Item = (u64, UpstreamKey)> {
     let ours = known.homes.homed().filter(|(engine, slot)| {
         slot.fleet == known.fleet
             && !slot.closed
--- a/lib/src/coordination/relay.rs
+++ b/lib/src/coordination/relay.rs
@@ -1,25 +1,25 @@
-//! The order of a stream's pieces: doubles dropped, order restored, gaps found.
+//! Puts the pieces of a stream in order: drops duplicates, restores the order and detects gaps.
 
 use std::collections::BTreeMap;
 
-/// How many pieces may wait for a missing one.
-pub const MOST_EARLY: usize = 256;
+/// The maximum number of pieces that may wait for a missing one.
+pub const MAX_EARLY_PIECES: usize = 256;
 
-/// What to do after a piece came.
+/// What to do after a piece was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceStep<T> {
-    /// Pass these on, in order.
+    /// Pass these pieces on, in order.
     Pass(Vec<T>),
-    /// A double: nothing to do.
+    /// Drop the piece, which is a duplicate.
     Drop,
-    /// A piece before it is missing; wait a little, then resume after `last`.
+    /// A piece before this one is missing. Wait a little, then resume the stream after `last`.
     Gap {
-        /// The last piece that was passed on.
+        /// The number of the last piece that was passed on.
         last: u64,
     },
-    /// Too many wait: resume now.
+    /// Too many pieces wait for a missing one. Resume the stream after `last` now.
     Overflow {
-        /// The last piece that was passed on.
+        /// The number of the last piece that was passed on.
         last: u64,
     },
 }
@@ -37,7 +37,7 @@
         PieceOrder { last, early: BTreeMap::new() }
     }
 
-    /// The last piece that was passed on.
+    /// The number of the last piece that was passed on.
     pub fn last(&self) -> u64 {
         self.last
     }
@@ -47,7 +47,7 @@
         !self.early.is_empty()
     }
 
-    /// A piece came.
+    /// Takes a received piece.
     pub fn take(&mut self, number: u64, piece: T) -> PieceStep<T> {
         if number <= self.last || self.early.contains_key(&number) {
             return PieceStep::Drop;
@@ -55,7 +55,7 @@
         if number != self.last + 1 {
             self.early.insert(number, piece);
             let last = self.last;
-            return match self.early.len() > MOST_EARLY {
+            return match self.early.len() > MAX_EARLY_PIECES {
                 true => PieceStep::Overflow { last },
                 false => PieceStep::Gap { last },
             };
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -13,9 +13,9 @@
 use super::fair_queue::{FairQueue, WaitingRequest};
 use super::home::HomeTable;
 use super::kv_move::{choose_move, import_ms, MoveChoice};
-use super::load_spread::{LoadTable, OtherLoad};
+use super::load_spread::{LoadTable, RemoteLoad};
 use super::placement::{
-    holds_chat, place_candidates, request_work, FleetView, PlaceCandidate, PlacementKnowledge,
+    holds_chat, place_candidates, request_work, FleetView, PlaceCandidate, PlacementContext,
     PlacementRule,
 };
 use super::replay_outcome::{ReplayOutcome, ReplaySample};
@@ -66,7 +66,7 @@
     pub(super) view: FleetView,
     pub(super) homes: HomeTable,
     pub(super) memory: ChatMemory,
-    pub(super) others: OtherLoad,
+    pub(super) others: RemoteLoad,
     pub(super) queue: FairQueue,
     pub(super) own_work: Vec<u64>,
     pub(super) events_reported: Vec<u64>,
@@ -122,7 +122,7 @@
             view: FleetView::default(),
             homes: HomeTable::default(),
             memory: ChatMemory::new(CHATS),
-            others: OtherLoad::default(),
+            others: RemoteLoad::default(),
             queue: FairQueue::default(),
             own_work: vec![0; engines],
             events_reported: vec![0; engines],
@@ -272,11 +272,11 @@
         Some(reached.unwrap_or(asked))
     }
 
-    fn known(&self, router: u32, work: u64) -> PlacementKnowledge<'_> {
+    fn known(&self, router: u32, work: u64) -> PlacementContext<'_> {
         let view = &self.routers[router as usize];
         let own_work = view.homes.fleet_work(FLEET);
         let engines = view.view.engines.len() as u32;
-        PlacementKnowledge {
+        PlacementContext {
             own: RouterId(router),
             fleet: FLEET,
             view: &view.view,
@@ -325,7 +325,7 @@
         let cold_work = request_work(request.prompt, request.output, 0);
         let places = place_candidates(chat, &self.known(entry, cold_work), rule);
         let holder = places.first().filter(|place| place.cached_tokens > 0).copied();
-        let ahead = self.routers[entry as usize].queue.has_rank(request.class);
+        let ahead = self.routers[entry as usize].queue.has_waiting(request.class);
         let mut choice = MoveChoice::Recompute;
         for place in places {
             let engine = self.keys[&place.engine];
@@ -390,7 +390,7 @@
         let own_work = view.homes.fleet_work(FLEET);
         let load = view.others.fleet_load(FLEET, own_work, own_engines, now_ms);
         let key = engine_key(engine);
-        let rule = AdmissionRule { multiple: self.setup.multiple, most_requests: u32::MAX };
+        let rule = AdmissionRule { multiple: self.setup.multiple, max_requests: u32::MAX };
         if view.homes.admit(key, work, &load, rule).is_err() {
             return false;
         }
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -48,7 +48,7 @@
                 FLEET,
                 view.view.engines.len() as u32,
                 u32::MAX,
-                view.queue.has_rank(RequestClass::Batch),
+                view.queue.has_waiting(RequestClass::Batch),
             );
             self.keeper_loads.note(RouterId(router), &[row], self.now_ms);
             self.keeper_loads.expire(self.now_ms);
--- a/lib/src/coordination/retry.rs
+++ b/lib/src/coordination/retry.rs
@@ -1,11 +1,11 @@
-//! The retry budget: failures must not multiply load.
+//! The retry budget, which keeps failures from multiplying the load.
 
-/// Retries that one plain request earns, in thousandths.
+/// What one first attempt adds to the budget, in thousandths of a retry.
 const EARNED_PER_REQUEST: u64 = 100;
 const COST_OF_RETRY: u64 = 1000;
-const MOST_SAVED: u64 = 20 * COST_OF_RETRY;
+const MAX_SAVED: u64 = 20 * COST_OF_RETRY;
 
-/// A budget that lets one retry pass for every ten requests, and some at the start.
+/// A budget that allows one retry for every ten requests, and five at the start.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     saved: u64,
@@ -18,12 +18,12 @@
 }
 
 impl RetryBudget {
-    /// A first try was made.
+    /// Adds the share of one first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(MOST_SAVED);
+        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; returns false if there is none.
     pub fn spend(&mut self) -> bool {
         let affordable = self.saved >= COST_OF_RETRY;
         if affordable {
@@ -33,10 +33,10 @@
     }
 }
 
-/// Whether a request may be tried again elsewhere after a failure.
+/// Whether a request may be tried again at another upstream after a failure.
 ///
-/// Bytes that were sent may have run; only a repeatable request of which the
-/// caller has seen nothing may then be sent again.
+/// A request of which bytes were sent may have run. It may be sent again only if it is repeatable
+/// and its caller has received nothing of an answer.
 pub fn may_retry(bytes_sent: bool, repeatable: bool, caller_saw_bytes: bool) -> bool {
     !bytes_sent || (repeatable && !caller_saw_bytes)
 }
--- a/lib/src/coordination/session_watch.rs
+++ b/lib/src/coordination/session_watch.rs
@@ -1,4 +1,5 @@
-//! The leader's watch over router sessions: who renewed when, at which epoch and version.
+//! The leader's record of router sessions: when each router last renewed, and with which epoch and
+//! version.
 
 use std::collections::HashMap;
 
@@ -6,32 +7,33 @@
 use crate::state::ids::{Incarnation, RouterId};
 use crate::state::roster::RouterRoster;
 
-/// A session lapses when nothing was heard for this long: longer than any lease it may hold.
+/// The time without a renewal after which a session lapses, in milliseconds. It is longer than any
+/// lease that the router may hold.
 pub const LAPSE_MS: u64 = LEASE_MS + 500;
 
 #[derive(Clone, Copy, Debug)]
-struct SessionMark {
+struct SessionRenewal {
     incarnation: Incarnation,
-    heard_ms: u64,
+    last_renewal_ms: u64,
     epoch: u64,
     version: u64,
 }
 
-/// What one leader has heard in its own term.
+/// The renewals that one leader received in its own term.
 #[derive(Clone, Debug, Default)]
 pub struct SessionWatch {
-    marks: HashMap<RouterId, SessionMark>,
+    renewals: HashMap<RouterId, SessionRenewal>,
     since_ms: u64,
 }
 
 impl SessionWatch {
-    /// A watch that begins with a leader's term at `now_ms`.
+    /// An empty record for a leader whose term begins at `now_ms`.
     pub fn new(now_ms: u64) -> SessionWatch {
-        SessionWatch { marks: HashMap::new(), since_ms: now_ms }
+        SessionWatch { renewals: HashMap::new(), since_ms: now_ms }
     }
 
-    /// A renewal came.
-    pub fn hear(
+    /// Records a renewal.
+    pub fn note_renewal(
         &mut self,
         router: RouterId,
         incarnation: Incarnation,
@@ -39,40 +41,42 @@
         version: u64,
         now_ms: u64,
     ) {
-        self.marks.insert(router, SessionMark { incarnation, heard_ms: now_ms, epoch, version });
+        self.renewals.insert(
+            router,
+            SessionRenewal { incarnation, last_renewal_ms: now_ms, epoch, version },
+        );
     }
 
-    /// Sessions that nothing was heard of for too long.
+    /// The sessions whose last renewal is at least [`LAPSE_MS`] old.
     pub fn lapsed(&self, roster: &RouterRoster, now_ms: u64) -> Vec<(RouterId, Incarnation)> {
-        let silent = roster
-            .routers
-            .iter()
-            .filter(|(id, session)| now_ms >= self.heard_ms(**id, session.incarnation) + LAPSE_MS);
+        let silent = roster.routers.iter().filter(|(id, session)| {
+            now_ms >= self.last_renewal_ms(**id, session.incarnation) + LAPSE_MS
+        });
         silent.map(|(id, session)| (*id, session.incarnation)).collect()
     }
 
-    /// The epoch that every router with a lease has surely seen: an engine's new home may
-    /// begin once its epoch is settled.
+    /// The epoch that every router with a lease has certainly received. The new home of an engine
+    /// may start once its epoch is settled.
     pub fn settled_epoch(&self, roster: &RouterRoster, now_ms: u64) -> u64 {
-        let holders = roster
-            .routers
-            .iter()
-            .filter(|(id, session)| now_ms < self.heard_ms(**id, session.incarnation) + LAPSE_MS);
+        let holders = roster.routers.iter().filter(|(id, session)| {
+            now_ms < self.last_renewal_ms(**id, session.incarnation) + LAPSE_MS
+        });
         let seen = holders.map(|(id, session)| {
-            let mark = self.marks.get(id).filter(|mark| mark.incarnation == session.incarnation);
-            mark.map_or(0, |mark| mark.epoch)
+            let renewal =
+                self.renewals.get(id).filter(|renewal| renewal.incarnation == session.incarnation);
+            renewal.map_or(0, |renewal| renewal.epoch)
         });
         seen.min().unwrap_or(roster.epoch)
     }
 
-    /// Each router's applied version, for `wingshed config wait`.
+    /// The version that each router has applied, for `wingshed config wait`.
     pub fn versions(&self, roster: &RouterRoster) -> Vec<(RouterId, Option<u64>)> {
-        let version = |id: &RouterId| self.marks.get(id).map(|mark| mark.version);
+        let version = |id: &RouterId| self.renewals.get(id).map(|renewal| renewal.version);
         roster.routers.keys().map(|id| (*id, version(id))).collect()
     }
 
-    fn heard_ms(&self, id: RouterId, incarnation: Incarnation) -> u64 {
-        let mark = self.marks.get(&id).filter(|mark| mark.incarnation == incarnation);
-        mark.map_or(self.since_ms, |mark| mark.heard_ms)
+    fn last_renewal_ms(&self, id: RouterId, incarnation: Incarnation) -> u64 {
+        let renewal = self.renewals.get(&id).filter(|renewal| renewal.incarnation == incarnation);
+        renewal.map_or(self.since_ms, |renewal| renewal.last_renewal_ms)
     }
 }
--- a/lib/src/coordination/upstream_candidate.rs
+++ b/lib/src/coordination/upstream_candidate.rs
@@ -26,7 +26,7 @@
     pub withheld: bool,
     /// How long the upstream has asked this VM to send it nothing, in milliseconds; 0 if it hasn't.
     /// Such an upstream counts in the mean load like a withheld one.
-    pub rest_ms: u64,
+    pub backoff_ms: u64,
     /// Its slot on the ring from which the order of engines is computed.
     pub ring_slot: Option<u64>,
     /// It is in this VM's zone.
@@ -47,7 +47,7 @@
             tried: false,
             leaving: false,
             withheld: false,
-            rest_ms: 0,
+            backoff_ms: 0,
             ring_slot: None,
             same_zone: false,
             first_seen_ms: 0,
@@ -61,7 +61,7 @@
 
     /// Whether this VM sends it nothing now although it isn't leaving.
     pub fn is_held_back(&self) -> bool {
-        self.withheld || self.rest_ms > 0
+        self.withheld || self.backoff_ms > 0
     }
 }
 
@@ -105,27 +105,27 @@
     NoUpstream,
     /// Some upstreams take work, but none of them has capacity.
     Full,
-    /// All upstreams that would take the request asked for rest; the first of them takes requests
-    /// again after this many milliseconds.
-    Resting(u64),
+    /// All upstreams that would take the request asked for back-off; the first of them takes
+    /// requests again after this many milliseconds.
+    BackingOff(u64),
 }
 
 /// Why none of `candidates` was chosen; `taking` is how many of them take work.
 pub(super) fn choice_error(taking: usize, candidates: &[UpstreamCandidate]) -> ChoiceError {
-    match (taking, earliest_return(candidates)) {
-        (0, Some(rest_ms)) => ChoiceError::Resting(rest_ms),
+    match (taking, earliest_retry(candidates)) {
+        (0, Some(backoff_ms)) => ChoiceError::BackingOff(backoff_ms),
         (0, None) => ChoiceError::NoUpstream,
         _ => ChoiceError::Full,
     }
 }
 
 /// How long it is until the first upstream takes requests again, in milliseconds, if all upstreams
-/// to which this VM might send work asked for rest. A caller that retries sooner is refused again,
-/// at any attempt.
-pub fn earliest_return(candidates: &[UpstreamCandidate]) -> Option<u64> {
+/// to which this VM might send work asked for back-off. A caller that retries sooner is refused
+/// again, at any attempt.
+pub fn earliest_retry(candidates: &[UpstreamCandidate]) -> Option<u64> {
     let mut staying = candidates.iter().filter(|c| !c.leaving && !c.withheld).peekable();
     staying.peek()?;
-    staying.map(|candidate| candidate.rest_ms).min().filter(|rest_ms| *rest_ms > 0)
+    staying.map(|candidate| candidate.backoff_ms).min().filter(|backoff_ms| *backoff_ms > 0)
 }
 
 /// The untried candidates that aren't ejected, or all untried ones if no other takes work.
--- a/lib/src/coordination/upstream_choice.rs
+++ b/lib/src/coordination/upstream_choice.rs
@@ -280,8 +280,8 @@
     memory: &PrefixMemory,
     now_ms: u64,
 ) -> Option<UpstreamKey> {
-    // A fetch is work too, so an engine that asked for rest isn't used as a source.
-    let mut available = order.iter().filter(|candidate| candidate.rest_ms == 0);
+    // A fetch is work too, so an engine that asked for back-off isn't used as a source.
+    let mut available = order.iter().filter(|candidate| candidate.backoff_ms == 0);
     let known = available.find(|candidate| memory.holds(part, candidate.key, now_ms));
     // Engines that were there before the first prompt don't count as new, however late they came:
     // when everything starts, engines join the list one after the other.
@@ -291,7 +291,7 @@
         candidate.first_seen_ms + NEW_ENGINE_MS > now_ms && candidate.first_seen_ms > since_ms
     };
     let has_slot =
-        |candidate: &UpstreamCandidate| candidate.ring_slot.is_some() && candidate.rest_ms == 0;
+        |candidate: &UpstreamCandidate| candidate.ring_slot.is_some() && candidate.backoff_ms == 0;
     let expected = || order.iter().find(|candidate| has_slot(candidate) && !new(candidate));
     known.or_else(expected).map(|candidate| candidate.key)
 }
@@ -313,7 +313,7 @@
     }
 }
 
-/// The engines that were sent a root lately, without those that asked for rest.
+/// The engines that were sent a root lately, without those that asked for back-off.
 fn root_holders(
     usable: &[&UpstreamCandidate],
     root: u64,
@@ -322,7 +322,7 @@
 ) -> Vec<UpstreamKey> {
     let mut known: Vec<UpstreamKey> = memory.holders_of(root, now_ms).collect();
     known.sort_unstable();
-    let available = usable.iter().filter(|candidate| candidate.rest_ms == 0);
+    let available = usable.iter().filter(|candidate| candidate.backoff_ms == 0);
     available
         .map(|candidate| candidate.key)
         .filter(|key| known.binary_search(key).is_ok())
--- a/lib/src/coordination/upstream_load.rs
+++ b/lib/src/coordination/upstream_load.rs
@@ -1,8 +1,8 @@
-//! What VMs have in flight at upstreams, summed by the leader and sent to all.
+//! The requests that VMs have in flight at upstreams, summed up by the leader and sent to all VMs.
 //!
-//! A leader answers every VM a few times a second. So that its work and its bytes don't grow with the
-//! product of VMs and upstreams, it sums up once for many answers, and leaves out loads that change no
-//! VM's choice. See `docs/design/whole-fleet.md`.
+//! A leader answers every VM a few times a second. To keep its work and traffic from growing with
+//! the product of VMs and upstreams, it computes one sum for many answers and leaves out loads that
+//! change no VM's choice. See `docs/design/whole-fleet.md`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,20 +12,20 @@
 use crate::state::upstream_list::{ListMark, UpstreamList};
 use crate::state::zero_runs::{pack_zeros, unpack_zeros};
 
-/// Below this many requests in flight an upstream, in the mean, a service is nearly idle.
+/// A service whose mean number of requests in flight at an upstream is below this is nearly idle.
 pub const NEARLY_IDLE_MEAN: f64 = 0.25;
-/// What one VM, or all of them, have in flight at one upstream.
+/// The requests that one VM, or all of them, have in flight at one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
-    /// The upstream's life.
+    /// The upstream's incarnation.
     pub upstream: UpstreamKey,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub requests: u32,
 }
 
-/// Loads of these upstreams, in their order, one byte each: 255 stands for all above. Both are in the
-/// order of keys.
-pub fn place_loads<'a>(
+/// The load of each upstream in `keys`, one byte each, in the order of `keys`; 255 stands for all
+/// higher loads. Both inputs are sorted by key.
+pub fn positional_loads<'a>(
     loads: &[UpstreamLoad],
     keys: impl Iterator<Item = &'a UpstreamKey>,
 ) -> Vec<u8> {
@@ -38,7 +38,7 @@
     .collect()
 }
 
-/// A service's upstreams, and the requests that they have in flight.
+/// The number of a service's upstreams, and of the requests that they have in flight.
 #[derive(Clone, Copy, Default)]
 struct ServiceLoad {
     upstreams: u32,
@@ -51,10 +51,11 @@
     }
 }
 
-/// The loads that change a VM's choice. Where a service's upstreams are nearly idle, one request at an
-/// upstream prevents no VM from sending it another, so it is left out: what is sent grows with the
-/// upstreams that are in use, not with all requests in flight.
-pub fn loads_that_matter(loads: Vec<UpstreamLoad>, list: &UpstreamList) -> Vec<UpstreamLoad> {
+/// The loads that can change a VM's choice. If a service's upstreams are nearly idle, one request
+/// at an upstream keeps no VM from sending it another, so that load is left out. The size of the
+/// message then grows with the number of upstreams in use and not with the number of requests in
+/// flight.
+pub fn relevant_loads(loads: Vec<UpstreamLoad>, list: &UpstreamList) -> Vec<UpstreamLoad> {
     let service_of = |load: &UpstreamLoad| {
         let entry = list.entries.get(&load.upstream)?;
         Some(entry.service.as_str())
@@ -77,80 +78,82 @@
     loads.iter().filter(|load| load.requests > 1 || !is_idle(load)).copied().collect()
 }
 
-/// What all VMs have in flight, summed, by upstream.
+/// The requests that all VMs have in flight, summed by upstream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum LoadNews {
-    /// One byte an upstream, in the order of the list that the asker holds too: with a thousand
-    /// upstreams a keyed row each is more than a link of a small VM takes.
+pub enum LoadUpdate {
+    /// One byte for each upstream, in the order of the list, which the receiver has too. With a
+    /// thousand upstreams, a row with a key for each would exceed what the link of a small VM
+    /// takes.
     Placed(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The same with its zeros counted, where that is shorter.
+    /// The bytes of `Placed` with runs of zeros encoded by their length, if that is shorter.
     Runs(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// By key, for an asker with another state of the list.
+    /// Loads by key, for a receiver that has another revision of the list.
     Keyed(Vec<UpstreamLoad>),
 }
 
-impl LoadNews {
-    /// The shorter encoding of one byte an upstream.
-    pub fn placed(sums: Vec<u8>) -> LoadNews {
+impl LoadUpdate {
+    /// The shorter encoding of one byte for each upstream.
+    pub fn positional(sums: Vec<u8>) -> LoadUpdate {
         let runs = pack_zeros(&sums);
         match runs.len() < sums.len() {
-            true => LoadNews::Runs(runs),
-            false => LoadNews::Placed(sums),
+            true => LoadUpdate::Runs(runs),
+            false => LoadUpdate::Placed(sums),
         }
     }
 
-    /// One byte for each of so many upstreams; `None` when they are given by key, or of another list.
+    /// One byte for each of `upstreams`; `None` if the loads are given by key or belong to another
+    /// list.
     pub fn into_sums(self, upstreams: usize) -> Option<Vec<u8>> {
         match self {
-            LoadNews::Placed(sums) => Some(sums),
-            LoadNews::Runs(runs) => unpack_zeros(&runs, upstreams),
-            LoadNews::Keyed(_) => None,
+            LoadUpdate::Placed(sums) => Some(sums),
+            LoadUpdate::Runs(runs) => unpack_zeros(&runs, upstreams),
+            LoadUpdate::Keyed(_) => None,
         }
     }
 }
 
-/// The loads that a leader sends, summed up once for the answers of a short time.
+/// The loads that a leader sends, summed up once for all answers within a short time.
 #[derive(Default)]
 pub struct SharedLoads {
     list: ListMark,
     summed_ms: Option<u64>,
     loads: Vec<UpstreamLoad>,
-    placed: Option<LoadNews>,
+    positional: Option<LoadUpdate>,
     sums: u64,
 }
 
 impl SharedLoads {
-    /// The loads for a VM that holds the state `have` of the list. What `sum_up` gives is sent for
-    /// `shared_ms`.
-    pub fn news(
+    /// The loads for a VM that has the revision `have` of the list. The result of `sum_up` is
+    /// reused for `shared_ms` milliseconds.
+    pub fn update(
         &mut self,
         sum_up: impl FnOnce() -> Vec<UpstreamLoad>,
         shared_ms: u64,
         list: &UpstreamList,
         have: ListMark,
         now_ms: u64,
-    ) -> LoadNews {
+    ) -> LoadUpdate {
         let fresh = self.summed_ms.is_some_and(|summed_ms| summed_ms + shared_ms > now_ms);
         if !fresh || self.list != list.mark {
-            self.loads = loads_that_matter(sum_up(), list);
-            self.placed = None;
+            self.loads = relevant_loads(sum_up(), list);
+            self.positional = None;
             (self.list, self.summed_ms) = (list.mark, Some(now_ms));
             self.sums += 1;
         }
         if have != list.mark {
-            return LoadNews::Keyed(self.loads.clone());
+            return LoadUpdate::Keyed(self.loads.clone());
         }
-        let place = || LoadNews::placed(place_loads(&self.loads, list.entries.keys()));
-        self.placed.get_or_insert_with(place).clone()
+        let place = || LoadUpdate::positional(positional_loads(&self.loads, list.entries.keys()));
+        self.positional.get_or_insert_with(place).clone()
     }
 
-    /// How often the loads were summed up.
+    /// The number of times that the loads were summed up.
     pub fn sums(&self) -> u64 {
         self.sums
     }
 }
 
-/// What a VM last received of the others' load.
+/// The load of the other VMs, as last received.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReports {
     sums: HashMap<UpstreamKey, u32>,
@@ -158,7 +161,7 @@
 }
 
 impl LoadReports {
-    /// Notes the sums of a grant; `own_reported` is what this VM's part of them was.
+    /// Records the sums of a grant; `own_reported` is the part of them that this VM reported.
     pub fn note(&mut self, sums: &[UpstreamLoad], own_reported: &[UpstreamLoad]) {
         let by_key = |rows: &[UpstreamLoad]| -> HashMap<UpstreamKey, u32> {
             rows.iter().map(|row| (row.upstream, row.requests)).collect()
@@ -167,8 +170,8 @@
         self.own_part = by_key(own_reported);
     }
 
-    /// Notes sums of one byte an upstream, in the order of `keys`.
-    pub fn note_placed<'a>(
+    /// Records sums of one byte for each upstream, in the order of `keys`.
+    pub fn note_positional<'a>(
         &mut self,
         keys: impl Iterator<Item = &'a UpstreamKey>,
         sums: &[u8],
@@ -184,24 +187,24 @@
         self.note(&rows, own_reported);
     }
 
-    /// What the other VMs have in flight at an upstream.
+    /// The number of requests that the other VMs have in flight at an upstream.
     pub fn others(&self, upstream: UpstreamKey) -> u32 {
         let sum = self.sums.get(&upstream).copied().unwrap_or(0);
         sum.saturating_sub(self.own_part(upstream))
     }
 
-    /// The upstreams at which anything is in flight, as reported.
+    /// The upstreams at which any requests are reported to be in flight.
     pub fn known(&self) -> impl Iterator<Item = UpstreamKey> + '_ {
         self.sums.keys().copied()
     }
 
-    /// What this VM had in flight at its last report.
+    /// The requests that this VM had in flight at its last report, by upstream.
     pub fn own_loads(&self) -> impl Iterator<Item = UpstreamLoad> + '_ {
         let rows = self.own_part.iter();
         rows.map(|(upstream, requests)| UpstreamLoad { upstream: *upstream, requests: *requests })
     }
 
-    /// What this VM had in flight there at its last report.
+    /// The number of requests that this VM had in flight at an upstream at its last report.
     pub fn own_part(&self, upstream: UpstreamKey) -> u32 {
         self.own_part.get(&upstream).copied().unwrap_or(0)
     }
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -1,11 +1,12 @@
-//! Seats: what the order of engines is computed from, in place of their lives.
+//! Ring slots: the stable values from which the order of engines is computed, in place of their
+//! incarnations.
 //!
-//! A life that takes another's place takes its seat (a restart that of its own address), so that the prompts that were kept
-//! there move to one engine and no others change theirs. A new upstream waits a little
-//! before it gets a seat of its own, since in a release the new one starts before the
-//! old one leaves; a new engine waits until the others are in use ([`patient_services`]).
-//! The leader seats; the rows carry it to the others. See
-//! `docs/design/platform.md`.
+//! An incarnation that replaces another takes its ring slot (after a restart, the ring slot of its
+//! own address), so that the prompts that were cached there move to one engine and all other
+//! prompts stay where they are. A new upstream waits a little before it gets a ring slot of its
+//! own, because in a release the new upstream starts before the old one leaves; a new engine waits
+//! until the others are in use ([`waiting_services`]). The leader assigns the ring slots, and the
+//! rows carry them to the other VMs. See `docs/design/platform.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,18 +18,20 @@
 use crate::state::ids::UpstreamKey;
 use crate::state::upstream_list::{UpstreamEntry, UpstreamList};
 
-/// How long a new upstream waits for another to leave before it gets a seat of its own, in
-/// milliseconds; a release starts the new one shortly before the old one leaves.
-pub const WAIT_MS: u64 = 2500;
-/// New engines get seats of their own from this part of the places in use on. Below it they wait for
-/// a seat to become vacant: a new seat takes its share of all prompts from engines that keep them, and
-/// each of those is moved or read anew for nothing, since there was room where it was.
-const SEAT_FROM_PART: f64 = 0.25;
+/// How long a new upstream waits for another to leave before it gets a ring slot of its own, in
+/// milliseconds. A release starts the new upstream shortly before the old one leaves.
+pub const VACANCY_WAIT_MS: u64 = 2500;
+/// The fraction of the request slots in use from which new engines get ring slots of their own.
+/// Below it they wait for a ring slot to become vacant: a new ring slot takes its share of all
+/// prompts from the engines that have them cached, and each of those prompts would be moved or read
+/// again needlessly, because its engine had capacity for it.
+const NEW_SLOT_USED_FRACTION: f64 = 0.25;
 
-/// The services of engines whose new engines may wait for a vacant seat, since those with seats have
-/// room: `places` is how many requests one engine of a service runs at once, `loads` what all VMs
-/// have in flight. Where nothing is in flight nothing is kept, and none waits.
-pub fn patient_services(
+/// The services whose new engines may wait for a vacant ring slot, because the engines that have
+/// one have capacity. `places` gives how many requests one engine of a service runs at once, and
+/// `loads` what all VMs have in flight. A service without requests in flight has nothing cached, so
+/// its engines don't wait.
+pub fn waiting_services(
     list: &UpstreamList,
     loads: &[UpstreamLoad],
     places: impl Fn(&str) -> Option<u32>,
@@ -37,64 +40,65 @@
     let loads: BTreeMap<UpstreamKey, u32> =
         loads.iter().map(|load| (load.upstream, load.requests)).collect();
     for (key, row) in list.entries.iter().filter(|(_, row)| row.seat.is_some() && !row.leaving) {
-        let (seated, requests) = used.entry(&row.service).or_default();
-        *seated += 1;
+        let (slots, requests) = used.entry(&row.service).or_default();
+        *slots += 1;
         *requests += loads.get(key).copied().unwrap_or(0);
     }
-    let patient = |(service, (seated, requests)): &(&str, (u32, u32))| {
-        let all = f64::from(*seated) * f64::from(places(service).unwrap_or(0));
-        *requests > 0 && f64::from(*requests) < SEAT_FROM_PART * all
+    let waiting = |(service, (slots, requests)): &(&str, (u32, u32))| {
+        let all = f64::from(*slots) * f64::from(places(service).unwrap_or(0));
+        *requests > 0 && f64::from(*requests) < NEW_SLOT_USED_FRACTION * all
     };
-    used.into_iter().filter(patient).map(|(service, _)| service.to_string()).collect()
+    used.into_iter().filter(waiting).map(|(service, _)| service.to_string()).collect()
 }
 
-/// Who holds or last held each seat.
+/// The present or last holder of each ring slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SeatTable {
-    seats: BTreeMap<u64, SeatRow>,
+pub struct RingSlotTable {
+    slots: BTreeMap<u64, SeatRow>,
 }
 
-impl SeatTable {
-    /// The table of these rows.
-    pub fn of(rows: &[SeatRow]) -> SeatTable {
-        SeatTable { seats: rows.iter().map(|row| (row.seat, row.clone())).collect() }
+impl RingSlotTable {
+    /// The table with these rows.
+    pub fn of(rows: &[SeatRow]) -> RingSlotTable {
+        RingSlotTable { slots: rows.iter().map(|row| (row.seat, row.clone())).collect() }
     }
 
-    /// The rows, to record them.
+    /// The rows, for the durable record.
     pub fn rows(&self) -> Vec<SeatRow> {
-        self.seats.values().cloned().collect()
+        self.slots.values().cloned().collect()
     }
 
-    /// Gives the rows of a fresh list their seats; `list` is what was known before, `patient` the
-    /// services whose new upstreams take vacant seats only.
-    pub fn seat(
+    /// Assigns ring slots to the rows of a new list. `list` is the previous list, and new upstreams
+    /// of the services in `waiting` get vacant ring slots only.
+    pub fn assign(
         &mut self,
         rows: &mut [UpstreamEntry],
         list: &UpstreamList,
-        patient: &BTreeSet<String>,
+        waiting: &BTreeSet<String>,
         now_ms: u64,
     ) {
-        let first_list = self.seats.is_empty();
+        let first_list = self.slots.is_empty();
         let held: BTreeMap<UpstreamKey, u64> =
-            self.seats.values().map(|row| (row.holder, row.seat)).collect();
+            self.slots.values().map(|row| (row.holder, row.seat)).collect();
         for row in rows.iter_mut() {
             let before = list.entries.get(&row.key()).and_then(|known| known.seat);
-            // One that leaves keeps the seat that another may have taken by now.
+            // A leaving upstream keeps its ring slot, although another may have taken it by now.
             row.seat = held.get(&row.key()).copied().or(before.filter(|_| row.leaving));
         }
         let living: BTreeSet<UpstreamKey> =
             rows.iter().filter(|row| !row.leaving).map(UpstreamEntry::key).collect();
-        let mut vacant = VacantSeats::of(self.seats.values(), &living);
-        // Restarts first: a newcomer elsewhere would take the seat that is theirs.
+        let mut vacant = VacantSlots::of(self.slots.values(), &living);
+        // Restarts come first, because a new upstream at another address would take their ring
+        // slots.
         for row in rows.iter_mut().filter(|row| row.seat.is_none() && row.takes_work()) {
             row.seat = vacant.take_place(row);
             self.hold(row);
         }
         for row in rows.iter_mut().filter(|row| row.seat.is_none() && row.takes_work()) {
             let seen_ms = list.first_seen_ms.get(&row.key()).copied().unwrap_or(now_ms);
-            let waited = seen_ms + WAIT_MS <= now_ms && !patient.contains(&row.service);
+            let waited = seen_ms + VACANCY_WAIT_MS <= now_ms && !waiting.contains(&row.service);
             let own = first_list || waited;
-            row.seat = vacant.take_any(row).or_else(|| own.then(|| self.fresh_seat(row)));
+            row.seat = vacant.take_any(row).or_else(|| own.then(|| self.new_ring_slot(row)));
             self.hold(row);
         }
     }
@@ -102,47 +106,48 @@
     fn hold(&mut self, row: &UpstreamEntry) {
         if let Some(seat) = row.seat {
             let (service, address) = (row.service.clone(), row.address);
-            self.seats.insert(seat, SeatRow { seat, service, address, holder: row.key() });
+            self.slots.insert(seat, SeatRow { seat, service, address, holder: row.key() });
         }
     }
 
-    /// A seat of its own: named by its address, so that a VM that knows nothing of earlier
-    /// seats gives the same ones to all whose place is free.
-    fn fresh_seat(&self, row: &UpstreamEntry) -> u64 {
+    /// A new ring slot, computed from the address, so that a VM without a record of earlier ring
+    /// slots gives the same ones to all upstreams whose ring slot is free.
+    fn new_ring_slot(&self, row: &UpstreamEntry) -> u64 {
         let mut seat = xxh3_64(row.address.to_string().as_bytes());
-        while self.seats.contains_key(&seat) {
+        while self.slots.contains_key(&seat) {
             seat = seat.wrapping_add(1);
         }
         seat
     }
 }
 
-/// The seats whose holders leave or are gone, found without a search for each upstream.
-struct VacantSeats {
+/// The ring slots whose holders are leaving or gone, indexed so that none is searched for.
+struct VacantSlots {
     by_service: BTreeMap<String, BTreeSet<u64>>,
     by_place: BTreeMap<(String, SocketAddr), u64>,
 }
 
-impl VacantSeats {
+impl VacantSlots {
     fn of<'a>(
-        seats: impl Iterator<Item = &'a SeatRow>,
+        slots: impl Iterator<Item = &'a SeatRow>,
         living: &BTreeSet<UpstreamKey>,
-    ) -> VacantSeats {
-        let mut vacant = VacantSeats { by_service: BTreeMap::new(), by_place: BTreeMap::new() };
-        for row in seats.filter(|row| !living.contains(&row.holder)) {
+    ) -> VacantSlots {
+        let mut vacant = VacantSlots { by_service: BTreeMap::new(), by_place: BTreeMap::new() };
+        for row in slots.filter(|row| !living.contains(&row.holder)) {
             vacant.by_service.entry(row.service.clone()).or_default().insert(row.seat);
             vacant.by_place.insert((row.service.clone(), row.address), row.seat);
         }
         vacant
     }
 
-    /// The seat of the same service at the same address: that of a restart.
+    /// The ring slot of the same service at the same address, which belongs to a restarted
+    /// upstream.
     fn take_place(&mut self, row: &UpstreamEntry) -> Option<u64> {
         let seat = self.by_place.remove(&(row.service.clone(), row.address))?;
         self.by_service.get_mut(&row.service)?.remove(&seat).then_some(seat)
     }
 
-    /// Any seat of the same service.
+    /// Any vacant ring slot of the same service.
     fn take_any(&mut self, row: &UpstreamEntry) -> Option<u64> {
         self.by_service.get_mut(&row.service)?.pop_first()
     }
--- a/lib/src/coordination/workspace_limit.rs
+++ b/lib/src/coordination/workspace_limit.rs
@@ -1,12 +1,12 @@
-//! Each workspace's rate and requests in flight at one router.
+//! Limits the request rate and the requests in flight of each workspace at one router.
 
 use std::collections::HashMap;
 
 use crate::state::configuration::WorkspaceEntry;
 use crate::state::ids::WorkspaceKey;
 
-/// A router may use this many times its equal share of a workspace's limit, since a
-/// workspace's chats do not spread evenly over the routers.
+/// The multiple of its equal share of a workspace's limit that a router may use. It is above 1
+/// because a workspace's chats do not spread evenly over the routers.
 pub const SHARE_HEADROOM: f64 = 2.0;
 
 #[derive(Clone, Debug, Default)]
@@ -19,20 +19,20 @@
 /// Why a workspace's request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitRefusal {
-    /// Too many a second; try again after this many milliseconds.
+    /// Too many requests a second; the caller should retry after this many milliseconds.
     Rate(u64),
-    /// Too many in flight.
+    /// Too many requests in flight.
     InFlight,
 }
 
-/// What the workspaces use of one router.
+/// What each workspace uses of its limits at one router.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
     uses: HashMap<WorkspaceKey, WorkspaceUse>,
 }
 
 impl LimitTable {
-    /// Takes a place for one request, with `routers` in the system.
+    /// Admits one request of a workspace; `routers` is the number of routers in the system.
     pub fn enter(
         &mut self,
         key: WorkspaceKey,
@@ -60,14 +60,14 @@
         Ok(())
     }
 
-    /// A request ended.
+    /// Records that a request ended.
     pub fn leave(&mut self, key: WorkspaceKey) {
         if let Some(used) = self.uses.get_mut(&key) {
             used.in_flight = used.in_flight.saturating_sub(1);
         }
     }
 
-    /// Forgets workspaces that are idle and whose bucket is full again.
+    /// Removes workspaces that are idle and whose token bucket is full again.
     pub fn expire(&mut self, now_ms: u64) {
         const IDLE_MS: u64 = 10_000;
         self.uses.retain(|_, used| used.in_flight > 0 || now_ms < used.filled_ms + IDLE_MS);
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -8,11 +8,11 @@
 
 use crate::coordination::crash_outbox::CrashReport;
 use crate::coordination::fleet_health::HealthReport;
-use crate::coordination::holder_news::{HolderMark, HolderNote};
+use crate::coordination::holder_news::{HolderNote, HolderPosition};
 use crate::coordination::raft_message::RaftMessage;
 use crate::coordination::rollout_watch::RolloutNote;
 use crate::coordination::silence::DarkMark;
-use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
+use crate::coordination::upstream_load::{LoadUpdate, UpstreamLoad};
 use crate::coordination::vm_roster::{RosterMark, RosterNews, RosterRow};
 use crate::state::document_change::DocumentChange;
 use crate::state::ids::{Incarnation, UpstreamKey};
@@ -290,7 +290,7 @@
     /// Where it sent parts against the order.
     pub holders: Vec<HolderNote>,
     /// What it has heard of others' such notes.
-    pub holders_heard: HolderMark,
+    pub holders_heard: HolderPosition,
     /// How its sends went.
     pub health_reports: Vec<HealthReport>,
     /// How many orders of zones it knows of.
@@ -331,11 +331,11 @@
     /// every VM, and before that only to those that know none.
     pub roster: RosterNews,
     /// What all VMs have in flight, summed.
-    pub loads: LoadNews,
+    pub loads: LoadUpdate,
     /// What others reported of where parts are kept.
     pub holders: Vec<HolderNote>,
     /// What was heard of that with this answer.
-    pub holders_heard: HolderMark,
+    pub holders_heard: HolderPosition,
     /// Upstreams that fail all VMs that send to them.
     pub failing: Vec<UpstreamKey>,
     /// The last orders of zones, unless the asker knows of as many.
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -454,7 +454,7 @@
         let known = session.is_some_and(|session| session.incarnation == renewal.incarnation);
         let (router, incarnation) = (renewal.router, renewal.incarnation);
         if known {
-            self.watch.hear(router, incarnation, renewal.epoch, renewal.version, now_ms);
+            self.watch.note_renewal(router, incarnation, renewal.epoch, renewal.version, now_ms);
             self.loads.note(router, &renewal.rows, now_ms);
         }
         self.loads.expire(now_ms);
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -263,8 +263,8 @@
         view.fleets.values().any(|sight| {
             sight.members.iter().any(|upstream| {
                 let open = sight.view.engines.contains_key(upstream);
-                let closed =
-                    desk.leaving.is_leaving(*upstream) || desk.outliers.is_aside(*upstream, now_ms);
+                let closed = desk.leaving.is_leaving(*upstream)
+                    || desk.outliers.is_ejected(*upstream, now_ms);
                 open == closed
             })
         })
@@ -363,7 +363,7 @@
         shared.note_leaving(LeavingMark { upstream: engine, incarnation: life });
     }
     let mut desk = lock(&shared.desk);
-    if desk.outliers.is_aside(engine, shared.clock.now_ms()) {
+    if desk.outliers.is_ejected(engine, shared.clock.now_ms()) {
         desk.outliers.note_success(engine);
     }
     desk.homes.report(engine, life, state.work, shared.clock.now_ms());
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -326,9 +326,9 @@
         let share = fleet.entry.set_aside_share;
         let aside = {
             let mut desk = lock(&self.desk);
-            let was = desk.outliers.is_aside(upstream, now_ms);
+            let was = desk.outliers.is_ejected(upstream, now_ms);
             desk.outliers.note_failure(upstream, fleet.members.iter().copied(), share, now_ms);
-            !was && desk.outliers.is_aside(upstream, now_ms)
+            !was && desk.outliers.is_ejected(upstream, now_ms)
         };
         if aside {
             tracing::warn!("router: sets {} aside.", sight.name);
--- a/lib/src/transport/router_home.rs
+++ b/lib/src/transport/router_home.rs
@@ -91,8 +91,9 @@
     let workspace = WorkspaceKey::of(&ask.request.workspace);
     let now_ms = shared.clock.now_ms();
     let mut desk = lock(&shared.desk);
-    desk.shares.ask(ask.fleet, workspace, now_ms);
-    let ahead = desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_rank(ask.decision.class));
+    desk.shares.note_request(ask.fleet, workspace, now_ms);
+    let ahead =
+        desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_waiting(ask.decision.class));
     if ahead {
         return Err(AdmitRefusal::AtBound);
     }
@@ -122,8 +123,8 @@
     let heavy = desk.shares.is_heavy(fleet, workspace, places, now_ms);
     // A heavy workspace is held to what the batch class may fill.
     let class = if heavy { RequestClass::Batch } else { class };
-    let most_requests = class.places(entry.requests_per_engine);
-    AdmissionRule { multiple: entry.multiple, most_requests }
+    let max_requests = class.places(entry.requests_per_engine);
+    AdmissionRule { multiple: entry.multiple, max_requests }
 }
 
 /// A place in this home's queue. Dropping it gives the place up, and a slot that came too late.
@@ -214,7 +215,8 @@
     let work = ask.work(holder.cached_tokens);
     let desk = lock(&shared.desk);
     // Behind others that wait already, how long the holder will be busy isn't known.
-    let ahead = desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_rank(ask.decision.class));
+    let ahead =
+        desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_waiting(ask.decision.class));
     let known = shared.known(&desk, ask.fleet, sight, work);
     let bound = admission_bound(&known.load, known.multiple, work);
     let own = known.homes.slot(holder.engine);
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -109,7 +109,7 @@
     let candidates = candidates(&desk, sight, tried, now_ms);
     let chosen = choose_by_own_load(&candidates, UpstreamKey::of(request_id).0);
     let chosen = chosen.map_err(|fault| match fault {
-        ChoiceError::Resting(rest_ms) => Some(rest_ms),
+        ChoiceError::BackingOff(rest_ms) => Some(rest_ms),
         ChoiceError::NoUpstream | ChoiceError::Full => None,
     })?;
     desk.outliers.begin_trial(chosen, now_ms);
@@ -129,14 +129,14 @@
         UpstreamCandidate {
             own_load: own,
             tried: tried.contains(&key),
-            rest_ms: desk.notices.rest_ms(key, now_ms),
+            backoff_ms: desk.notices.backoff_ms(key, now_ms),
             ..UpstreamCandidate::idle(key)
         }
     };
     let staying = sight.members.iter().copied().filter(|key| {
         sight.view.engines.contains_key(key)
             && !desk.leaving.is_leaving(*key)
-            && !desk.outliers.is_aside(*key, now_ms)
+            && !desk.outliers.is_ejected(*key, now_ms)
     });
     staying.map(candidate).collect()
 }
@@ -193,6 +193,6 @@
 /// Notes the rest that an upstream asks for; false where it doesn't.
 fn hear_rest(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
     let Some(rest_ms) = plain::asked_rest(reply) else { return false };
-    lock(&shared.desk).notices.note_rest(upstream, rest_ms, shared.clock.next_ms());
+    lock(&shared.desk).notices.note_backoff(upstream, rest_ms, shared.clock.next_ms());
     true
 }
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -17,9 +17,9 @@
 use crate::coordination::fair_queue::{FairQueue, RequestClass};
 use crate::coordination::home::HomeTable;
 use crate::coordination::leaving::{LeavingMark, LeavingTable};
-use crate::coordination::load_spread::{LoadRow, LoadTable, OtherLoad};
+use crate::coordination::load_spread::{LoadRow, LoadTable, RemoteLoad};
 use crate::coordination::outlier::OutlierTable;
-use crate::coordination::placement::{FleetView, PlacementKnowledge};
+use crate::coordination::placement::{FleetView, PlacementContext};
 use crate::coordination::policy::{compile_policy, PolicyProgram};
 use crate::coordination::retry::RetryBudget;
 use crate::coordination::router_lease::RouterLease;
@@ -148,7 +148,7 @@
     pub(super) memory: ChatMemory,
     pub(super) queues: HashMap<FleetKey, FairQueue>,
     pub(super) tickets: HashMap<u64, Sender<UpstreamKey>>,
-    pub(super) others: OtherLoad,
+    pub(super) others: RemoteLoad,
     pub(super) peer_loads: LoadTable,
     pub(super) outliers: OutlierTable,
     pub(super) leaving: LeavingTable,
@@ -226,7 +226,7 @@
                 memory: ChatMemory::new(CHATS_REMEMBERED),
                 queues: HashMap::new(),
                 tickets: HashMap::new(),
-                others: OtherLoad::default(),
+                others: RemoteLoad::default(),
                 peer_loads: LoadTable::default(),
                 outliers: OutlierTable::default(),
                 leaving: LeavingTable::default(),
@@ -292,7 +292,7 @@
         let mut desk = lock(&self.desk);
         let now_ms = self.clock.now_ms();
         let closed = |upstream| {
-            desk.leaving.is_leaving(upstream) || desk.outliers.is_aside(upstream, now_ms)
+            desk.leaving.is_leaving(upstream) || desk.outliers.is_ejected(upstream, now_ms)
         };
         let view = RouterView::new(configuration, roster, &before, closed);
         assign_homes(&mut desk, &view, self.settings.id);
@@ -318,7 +318,7 @@
         let engines = view.fleets.iter().filter(|(_, s)| s.entry.kind == FleetKind::Engine);
         let row = |(fleet, sight): (&FleetKey, &FleetSight)| {
             let queue = desk.queues.get(fleet);
-            let waiting = queue.is_some_and(|queue| queue.has_rank(RequestClass::Batch));
+            let waiting = queue.is_some_and(|queue| queue.has_waiting(RequestClass::Batch));
             let most = sight.entry.requests_per_engine;
             desk.homes.load_row(*fleet, sight.view.engines.len() as u32, most, waiting)
         };
@@ -332,8 +332,8 @@
         fleet: FleetKey,
         sight: &'a FleetSight,
         work: u64,
-    ) -> PlacementKnowledge<'a> {
-        PlacementKnowledge {
+    ) -> PlacementContext<'a> {
+        PlacementContext {
             own: self.settings.id,
             fleet,
             view: &sight.view,
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -6,7 +6,7 @@
 use crate::coordination::plain_choice::{choose_plain, choose_with_affinity, drawn_upstreams};
 use crate::coordination::rollout_watch::RolloutLane;
 use crate::coordination::upstream_candidate::{
-    earliest_return, CandidateSet, ChoiceError, UpstreamCandidate,
+    earliest_retry, CandidateSet, ChoiceError, UpstreamCandidate,
 };
 use crate::coordination::upstream_choice::{choose_engine, EngineRules, UpstreamPick};
 use crate::state::ids::UpstreamKey;
@@ -55,7 +55,7 @@
     pub(super) fn return_ms(&self, service: &ServiceEntry) -> u64 {
         let now_ms = self.node.now_ms();
         let candidates = self.candidates(RolloutLane::Usual, service, &[], now_ms);
-        earliest_return(&candidates).unwrap_or(RETRY_MS)
+        earliest_retry(&candidates).unwrap_or(RETRY_MS)
     }
 
     fn choose_in(
@@ -191,9 +191,9 @@
         self.note_faults(&mut candidates, now_ms);
         for key in notices.known() {
             candidates.change(key, |candidate| {
-                candidate.ejected |= notices.is_spared(key, now_ms);
+                candidate.ejected |= notices.is_avoided(key, now_ms);
                 candidate.leaving |= notices.is_leaving(key);
-                candidate.rest_ms = notices.rest_ms(key, now_ms);
+                candidate.backoff_ms = notices.backoff_ms(key, now_ms);
             });
         }
         tried.iter().for_each(|key| candidates.change(*key, |candidate| candidate.tried = true));
@@ -229,7 +229,7 @@
         // An old grant says nothing: no VM would try them again.
         let fresh = view.heard_ms + FAILING_KEEP_MS > now_ms;
         let failing = view.failing.iter().copied().filter(|_| fresh);
-        let aside = outliers.known().filter(|key| outliers.is_aside(*key, now_ms));
+        let aside = outliers.known().filter(|key| outliers.is_ejected(*key, now_ms));
         for key in failing.chain(silence.view.dark(now_ms)).chain(aside) {
             candidates.change(key, |candidate| candidate.ejected = true);
         }
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -342,14 +342,14 @@
         let why = match fault {
             ChoiceError::NoUpstream => "no upstream",
             ChoiceError::Full => "no room",
-            ChoiceError::Resting(_) => "all upstreams rest",
+            ChoiceError::BackingOff(_) => "all upstreams rest",
         };
         if count.may_have_run {
             return self.fail(count, why);
         }
         let retry_ms = match fault {
             ChoiceError::NoUpstream => RETRY_MS,
-            ChoiceError::Resting(rest_ms) => rest_ms,
+            ChoiceError::BackingOff(rest_ms) => rest_ms,
             ChoiceError::Full => {
                 self.node.with_room(service, |room| room.next_retry_ms(self.node.now_ms()))
             }
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -9,10 +9,10 @@
 use super::vm_keeper::KeeperDriver;
 use super::vm_list_news::sent_age_ms;
 use super::vm_node::VmNode;
-use crate::coordination::fleet_health::{names_failing, HealthReport};
-use crate::coordination::holder_news::{HolderMark, HolderNote};
+use crate::coordination::fleet_health::{flags_failing, HealthReport};
+use crate::coordination::holder_news::{HolderNote, HolderPosition};
 use crate::coordination::news_source::{choose_source, NewsAsker};
-use crate::coordination::upstream_load::LoadNews;
+use crate::coordination::upstream_load::LoadUpdate;
 use crate::coordination::vm_roster::{loads_shared_ms, RosterMark, RosterNews, SETTLE_MS};
 use crate::protocol::vm_wire::{vm_address, GrantNote, RenewalNote, VmDatagram, VmId, VmMessage};
 use crate::state::ids::UpstreamKey;
@@ -68,7 +68,7 @@
             list_age_ms: sent_age_ms(upstreams.news_ms, now_ms),
             keepers: keeper.members().iter().map(|id| id.0).collect(),
             roster: roster_news(keeper, note.roster, now_ms),
-            loads: self.shared_loads.borrow_mut().news(
+            loads: self.shared_loads.borrow_mut().update(
                 || keeper.roster.loads(),
                 loads_shared_ms(keeper.roster.len()),
                 &upstreams,
@@ -127,7 +127,7 @@
         for note in notes.iter().filter(|note| note.well > 0) {
             self.silence.borrow_mut().table.heard(note.upstream, note.well, now_ms);
         }
-        if !names_failing(self.view.borrow().vms) {
+        if !flags_failing(self.view.borrow().vms) {
             return Vec::new();
         }
         let upstreams = self.upstreams.borrow();
@@ -138,7 +138,7 @@
             let life = upstreams.entries.get(&key).map_or("", |entry| entry.life.as_str());
             info!(target: "upstream", life, "fails for all VMs");
         }
-        desk.table.named(now_ms)
+        desk.table.flagged(now_ms)
     }
 
     /// Takes what a VM reports of holders, as the leader, and returns what others reported.
@@ -146,13 +146,13 @@
         &self,
         term: u64,
         notes: &[HolderNote],
-        heard: HolderMark,
+        heard: HolderPosition,
         now_ms: u64,
-    ) -> (Vec<HolderNote>, HolderMark) {
+    ) -> (Vec<HolderNote>, HolderPosition) {
         let mut desk = self.holders.borrow_mut();
         let fresh = desk.ring.take(term, notes);
         self.learn_holders(&fresh, now_ms);
-        desk.ring.news(heard)
+        desk.ring.notes_after(heard)
     }
 
     /// Takes the orders that a leader sends with a grant to a renewal sent at `sent_ms`, those of a kind
@@ -215,15 +215,17 @@
         let own = view.own_reported.get(&grant.sent_ms).cloned().unwrap_or_default();
         let upstreams = self.upstreams.borrow();
         match grant.loads {
-            LoadNews::Keyed(loads) => view.reports.note(&loads, &own),
+            LoadUpdate::Keyed(loads) => view.reports.note(&loads, &own),
             placed if grant.list == upstreams.mark => {
                 match placed.into_sums(upstreams.entries.len()) {
-                    Some(sums) => view.reports.note_placed(upstreams.entries.keys(), &sums, &own),
+                    Some(sums) => {
+                        view.reports.note_positional(upstreams.entries.keys(), &sums, &own)
+                    }
                     None => debug!(target: "contact", "loads of another list"),
                 }
             }
             // The list has changed since the renewal was sent; the next answer will fit.
-            LoadNews::Placed(_) | LoadNews::Runs(_) => {}
+            LoadUpdate::Placed(_) | LoadUpdate::Runs(_) => {}
         }
     }
 
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -19,7 +19,7 @@
 use crate::coordination::line_budget::LINES_A_PLACE;
 use crate::coordination::list_reader::{list_action, ListAction, ListCost, ListStanding};
 use crate::coordination::upstream_notice::ApproachPurpose;
-use crate::coordination::upstream_seats::{patient_services, SeatTable};
+use crate::coordination::upstream_seats::{waiting_services, RingSlotTable};
 use crate::protocol::wire_adapter::UpstreamPage;
 use crate::state::finding::Finding;
 use crate::state::ids::UpstreamKey;
@@ -263,19 +263,19 @@
             return;
         };
         self.log_versions(&rows);
-        let before = SeatTable::of(&seats);
+        let before = RingSlotTable::of(&seats);
         let mut seats = before.clone();
         // While a zone is emptied the others can't wait for its seats to become vacant: those without one
         // would leave their part of the work to the rest.
         let patient = match self.zones.borrow().watch.any_emptied() {
             true => BTreeSet::new(),
-            false => patient_services(&self.upstreams.borrow(), &loads, |name| self.places(name)),
+            false => waiting_services(&self.upstreams.borrow(), &loads, |name| self.places(name)),
         };
         // Engines of a version that is rolled out replace none yet, and need seats before all traffic
         // comes: without seats all prompts would go to the first of them.
         let runs = |service: &String| self.rollouts.borrow().watch().is_running(service);
         let patient = patient.into_iter().filter(|service| !runs(service)).collect();
-        seats.seat(&mut rows, &self.upstreams.borrow(), &patient, now_ms);
+        seats.assign(&mut rows, &self.upstreams.borrow(), &patient, now_ms);
         if seats != before {
             self.step_keeper(|keeper, now_ms| keeper.record_seats(seats.rows(), now_ms));
         }
@@ -308,13 +308,13 @@
     /// A VM that doesn't lead keeps the seats that it received.
     fn take_reading_alone(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
         let mut upstreams = self.upstreams.borrow_mut();
-        let mut seats = SeatTable::default();
+        let mut seats = RingSlotTable::default();
         if upstreams.is_held() {
             for row in &mut rows {
                 row.seat = upstreams.entries.get(&row.key()).and_then(|known| known.seat);
             }
         } else {
-            seats.seat(&mut rows, &upstreams, &BTreeSet::new(), began_ms);
+            seats.assign(&mut rows, &upstreams, &BTreeSet::new(), began_ms);
         }
         upstreams.read(rows, None, self.id, began_ms);
     }
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -143,7 +143,7 @@
             "wingshed_ended_under_total" => figures.ended_under,
             "wingshed_requests_held" => self.quarantine.borrow().held() as u64,
             "wingshed_rests_asked_total" => figures.rests_asked,
-            "wingshed_upstreams_at_rest" => self.pool.notices().borrow().resting(now_ms) as u64,
+            "wingshed_upstreams_at_rest" => self.pool.notices().borrow().backing_off(now_ms) as u64,
             "wingshed_upstreams_leaving" => self.pool.notices().borrow().leaving() as u64,
             "wingshed_serving" => u64::from(self.serving.get()),
             "wingshed_connections" => u64::from(self.connections.get()),
@@ -167,7 +167,7 @@
             "wingshed_upstreams_aside" => {
                 let outliers = self.outliers.borrow();
                 let keys = upstreams.entries.keys();
-                keys.filter(|key| outliers.is_aside(**key, now_ms)).count() as u64
+                keys.filter(|key| outliers.is_ejected(**key, now_ms)).count() as u64
             }
             "wingshed_list_age_ms" => now_ms.saturating_sub(upstreams.news_ms),
             "wingshed_leads" => u64::from(self.leads(now_ms)),
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -28,7 +28,7 @@
 use super::wire_count::WireCount;
 use crate::coordination::engine_room::ServiceCapacity;
 use crate::coordination::fleet_health::{HealthOutbox, HealthTable};
-use crate::coordination::holder_news::{HolderMark, HolderOutbox, HolderRing};
+use crate::coordination::holder_news::{HolderLog, HolderOutbox, HolderPosition};
 use crate::coordination::leader_contact::LeaderContact;
 use crate::coordination::outlier::OutlierTable;
 use crate::coordination::plain_choice::HoldTime;
@@ -69,9 +69,9 @@
     /// What it has to report.
     pub outbox: HolderOutbox,
     /// What it has heard.
-    pub heard: HolderMark,
+    pub heard: HolderPosition,
     /// What it received as the leader.
-    pub ring: HolderRing,
+    pub ring: HolderLog,
 }
 
 /// How a VM's sends went, and what was reported of all VMs' while it leads.
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -21,11 +21,11 @@
         let mut notices = self.node.pool.notices().borrow_mut();
         match facts.rest_ms {
             Some(rest_ms) => {
-                notices.note_rest(place.upstream, rest_ms, self.node.clock.next_ms());
+                notices.note_backoff(place.upstream, rest_ms, self.node.clock.next_ms());
                 self.node.figures.borrow_mut().rests_asked += 1;
             }
-            None if facts.not_run => notices.note_turned_away(place.upstream, now_ms),
-            None => notices.note_taken(place.upstream, now_ms),
+            None if facts.not_run => notices.note_rejected(place.upstream, now_ms),
+            None => notices.note_accepted(place.upstream, now_ms),
         }
         if facts.leaving && notices.note_leaving(place.upstream, drain_ms, now_ms) {
             info!(target: "upstream", life = place.send.life, "says that it leaves");
@@ -40,7 +40,7 @@
         head: &response::Parts,
         kept: bool,
     ) {
-        let rests_ms = self.node.pool.notices().borrow().rest_ms(place.upstream, place.sent_ms);
+        let rests_ms = self.node.pool.notices().borrow().backoff_ms(place.upstream, place.sent_ms);
         info!(
             target: "upstream", life = place.send.life, attempt = self.caller.attempt,
             status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -62,7 +62,7 @@
         self.note_outcome(upstream, false);
         info!(
             target: "upstream", life = entry.life, attempt = self.caller.attempt,
-            aside = outliers.is_aside(upstream, now_ms), "{what}",
+            aside = outliers.is_ejected(upstream, now_ms), "{what}",
         );
     }
 
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -233,7 +233,7 @@
             }
         }
         self.note_body_end(place, &tracker);
-        let is_owing = splice.as_ref().is_some_and(|splice| splice.owes_event());
+        let is_owing = splice.as_ref().is_some_and(|splice| splice.misses_event());
         if is_owing || !tracker.is_whole() {
             return RunEnd::Broken;
         }
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -12,7 +12,7 @@
 use super::vm_answer::{own_answer, refusal};
 use super::vm_node::VmNode;
 use super::vm_relay::AnswerBody;
-use crate::coordination::cold_share::FleetStanding;
+use crate::coordination::cold_share::FleetStatus;
 use crate::protocol::vm_wire::{FleetOrder, OrderEnd};
 use crate::state::upstream_list::UpstreamEntry;
 use crate::state::zone_order::{ZoneOrder, ZoneOrders};
@@ -88,11 +88,11 @@
             return false;
         }
         let view = self.view.borrow();
-        let fleet = FleetStanding {
+        let fleet = FleetStatus {
             id: self.id,
             vms: &view.roster.rows,
-            first_heard_ms: view.first_heard_ms,
-            heard_ms: view.heard_ms,
+            first_contact_ms: view.first_heard_ms,
+            last_contact_ms: view.heard_ms,
         };
         !desk.cold.may_send(entry.key(), cold_per_s, &fleet, self.now_ms())
     }
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -7,8 +7,8 @@
 use wingshed_lib::coordination::home::{AdmitRefusal, HomeTable};
 use wingshed_lib::coordination::kv_move::{choose_move, MoveChoice};
 use wingshed_lib::coordination::leaving::{LeavingMark, LeavingTable};
-use wingshed_lib::coordination::load_spread::{rows_in_turn, LoadRow, HINTS_GIVEN};
-use wingshed_lib::coordination::outlier::{OutlierTable, FAILURES_IN_A_ROW, FIRST_ASIDE_MS};
+use wingshed_lib::coordination::load_spread::{rows_in_turn, LoadRow, HINTS_SENT};
+use wingshed_lib::coordination::outlier::{OutlierTable, CONSECUTIVE_FAILURES, FIRST_EJECTION_MS};
 use wingshed_lib::coordination::placement::{EngineHint, FleetView};
 use wingshed_lib::coordination::policy::{compile_policy, decide_policy, PolicyFacts};
 use wingshed_lib::coordination::relay::{PieceOrder, PieceStep};
@@ -30,7 +30,7 @@
 use wingshed_lib::transport::datagram::LONGEST_DATAGRAM;
 
 const FLEET: FleetKey = FleetKey(1);
-const RULE: AdmissionRule = AdmissionRule { multiple: 1.25, most_requests: 3 };
+const RULE: AdmissionRule = AdmissionRule { multiple: 1.25, max_requests: 3 };
 
 fn roster(epoch: u64, routers: impl IntoIterator<Item = u32>) -> RouterRoster {
     let session = |router: u32| RouterSession {
@@ -271,24 +271,24 @@
     let mut table = OutlierTable::default();
 
     for upstream in &fleet {
-        for _ in 0..FAILURES_IN_A_ROW {
+        for _ in 0..CONSECUTIVE_FAILURES {
             table.note_failure(*upstream, fleet.iter().copied(), 0.3, 1000);
         }
     }
     let aside = |table: &OutlierTable, now_ms| {
-        fleet.iter().filter(|upstream| table.is_aside(**upstream, now_ms)).count()
+        fleet.iter().filter(|upstream| table.is_ejected(**upstream, now_ms)).count()
     };
 
     assert_eq!(aside(&table, 1001), 3);
-    let later = 1000 + FIRST_ASIDE_MS;
+    let later = 1000 + FIRST_EJECTION_MS;
     assert_eq!(aside(&table, later), 0, "after its time it is tried again");
     table.begin_trial(fleet[0], later);
-    assert!(table.is_aside(fleet[0], later), "by one request only");
+    assert!(table.is_ejected(fleet[0], later), "by one request only");
     table.end_trial(fleet[0]);
-    assert!(!table.is_aside(fleet[0], later), "the next may try it where that one said nothing");
+    assert!(!table.is_ejected(fleet[0], later), "the next may try it where that one said nothing");
     table.begin_trial(fleet[0], later);
     table.note_success(fleet[0]);
-    assert!(!table.is_aside(fleet[0], later));
+    assert!(!table.is_ejected(fleet[0], later));
 }
 
 #[test]
@@ -343,7 +343,7 @@
     let roster = roster(5, 1..=2);
     let mut watch = SessionWatch::new(1000);
     let hear = |watch: &mut SessionWatch, router, epoch, now_ms| {
-        watch.hear(RouterId(router), Incarnation(1), epoch, 0, now_ms);
+        watch.note_renewal(RouterId(router), Incarnation(1), epoch, 0, now_ms);
     };
     assert_eq!(watch.settled_epoch(&roster, 1000), 0, "a new leader knows nothing");
     hear(&mut watch, 1, 5, 1100);
@@ -458,7 +458,7 @@
 
 #[test]
 fn an_exchange_fits_a_datagram_however_many_fleets_and_all_take_their_turn() {
-    let lightest = vec![EngineHint { engine: UpstreamKey(u64::MAX), work: u64::MAX }; HINTS_GIVEN];
+    let lightest = vec![EngineHint { engine: UpstreamKey(u64::MAX), work: u64::MAX }; HINTS_SENT];
     let row = |fleet: u64| LoadRow {
         fleet: FleetKey(u64::MAX - fleet),
         work: u64::MAX,
@@ -551,18 +551,18 @@
     let keys = || fleet.iter().copied();
     let mut table = OutlierTable::default();
 
-    for _ in 0..2 * FAILURES_IN_A_ROW {
+    for _ in 0..2 * CONSECUTIVE_FAILURES {
         table.note_failure(fleet[0], keys(), 0.5, 1000);
         table.note_begun(fleet[0]);
         table.note_begun(fleet[1]);
         table.note_cut(fleet[1], keys(), 0.5, 1000);
     }
-    let aside = [table.is_aside(fleet[0], 1000), table.is_aside(fleet[1], 1000)];
+    let aside = [table.is_ejected(fleet[0], 1000), table.is_ejected(fleet[1], 1000)];
     table.note_begun(fleet[1]);
-    let aside_after_a_head = table.is_aside(fleet[1], 1000);
+    let aside_after_a_head = table.is_ejected(fleet[1], 1000);
     table.note_success(fleet[1]);
 
     assert_eq!(aside, [false, true]);
     assert!(aside_after_a_head);
-    assert!(!table.is_aside(fleet[1], 1000));
+    assert!(!table.is_ejected(fleet[1], 1000));
 }
--- a/lib/tests/test_fair_queue.rs
+++ b/lib/tests/test_fair_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of requests that wait for an engine: who goes next.
 
 use wingshed_lib::coordination::fair_queue::*;
-use wingshed_lib::coordination::workspace_share::{ShareTable, PRESENT_MS};
+use wingshed_lib::coordination::workspace_share::{ShareTable, PRESENCE_MS};
 use wingshed_lib::state::ids::*;
 
 const FLEET: FleetKey = FleetKey(1);
@@ -88,7 +88,7 @@
     let popped = queue.pop(1, |request| request.only.is_none());
 
     assert_eq!(popped.map(|request| request.ticket), Some(2));
-    assert!(!queue.has_rank(RequestClass::Live));
+    assert!(!queue.has_waiting(RequestClass::Live));
     let expired = queue.expire(700_000);
     assert_eq!(expired.len(), 1);
     assert!(queue.is_empty());
@@ -98,16 +98,16 @@
 fn a_surging_workspace_leaves_places_only_while_others_are_present() {
     let (surging, quiet) = (WorkspaceKey(1), WorkspaceKey(2));
     let mut shares = ShareTable::default();
-    shares.ask(FLEET, surging, 1000);
+    shares.note_request(FLEET, surging, 1000);
     (0..8).for_each(|_| shares.enter(FLEET, surging));
     assert!(!shares.is_heavy(FLEET, surging, 16, 1000), "it is alone");
 
-    shares.ask(FLEET, quiet, 2000);
+    shares.note_request(FLEET, quiet, 2000);
     assert!(shares.is_heavy(FLEET, surging, 16, 2001));
     assert!(!shares.is_heavy(FLEET, quiet, 16, 2001), "the quiet one is not held back");
     shares.leave(FLEET, surging);
     assert!(!shares.is_heavy(FLEET, surging, 16, 2001), "below half of the places");
     shares.enter(FLEET, surging);
-    shares.expire(2000 + PRESENT_MS);
-    assert!(!shares.is_heavy(FLEET, surging, 16, 2000 + PRESENT_MS), "alone again");
+    shares.expire(2000 + PRESENCE_MS);
+    assert!(!shares.is_heavy(FLEET, surging, 16, 2000 + PRESENCE_MS), "alone again");
 }
--- a/lib/tests/test_fleet_health.rs
+++ b/lib/tests/test_fleet_health.rs
@@ -1,7 +1,7 @@
 //! Upstreams that fail everybody, as the leader of a fleet hears of them.
 
 use wingshed_lib::coordination::fleet_health::{
-    names_failing, HealthOutbox, HealthReport, HealthTable, FIRST_NAMED_MS, NAMED_SHARE,
+    flags_failing, HealthOutbox, HealthReport, HealthTable, FIRST_FLAG_MS, MAX_FLAGGED_SHARE,
     REPORTS_PER_RENEWAL,
 };
 use wingshed_lib::state::ids::UpstreamKey;
@@ -43,7 +43,7 @@
     for (case, outcomes, named) in cases {
         let table = told(&outcomes);
 
-        assert_eq!(table.named(2200) == [BAD], named, "{case}");
+        assert_eq!(table.flagged(2200) == [BAD], named, "{case}");
     }
 }
 
@@ -53,7 +53,7 @@
     for at in 0..20 {
         table.take(TERM, &[note(BAD, 0, 1)], fleet, 1000 + at * 2000);
     }
-    assert!(table.named(41_000).is_empty(), "one every 2 s");
+    assert!(table.flagged(41_000).is_empty(), "one every 2 s");
 }
 
 #[test]
@@ -62,19 +62,19 @@
     // The fourth named it.
     let mut now_ms = 1030;
     for times in 0..3 {
-        let until_ms = now_ms + (FIRST_NAMED_MS << times);
+        let until_ms = now_ms + (FIRST_FLAG_MS << times);
         table.take(TERM, &[note(BAD, 0, 9)], fleet, now_ms + 100);
-        assert_eq!(table.named(until_ms - 1), [BAD], "named {times} times before");
-        assert!(table.named(until_ms).is_empty(), "and tried again after it");
+        assert_eq!(table.flagged(until_ms - 1), [BAD], "named {times} times before");
+        assert!(table.flagged(until_ms).is_empty(), "and tried again after it");
         now_ms = until_ms + 10;
         table.take(TERM, &[note(BAD, 0, 2)], fleet, now_ms);
     }
-    let tried_ms = now_ms + (FIRST_NAMED_MS << 3) + 10;
+    let tried_ms = now_ms + (FIRST_FLAG_MS << 3) + 10;
 
     table.take(TERM, &[note(BAD, 9, 0)], fleet, tried_ms);
     table.take(TERM, &[note(BAD, 0, 5)], fleet, tried_ms + 20_000);
 
-    assert!(table.named(tried_ms + 20_000 + FIRST_NAMED_MS).is_empty(), "as at first");
+    assert!(table.flagged(tried_ms + 20_000 + FIRST_FLAG_MS).is_empty(), "as at first");
 }
 
 #[test]
@@ -83,19 +83,19 @@
     for upstream in 1..=12 {
         table.take(TERM, &[note(UpstreamKey(upstream), 0, 10)], fleet, 1000);
     }
-    assert_eq!(table.named(1001).len(), (12.0 * NAMED_SHARE) as usize);
+    assert_eq!(table.flagged(1001).len(), (12.0 * MAX_FLAGGED_SHARE) as usize);
 }
 
 #[test]
 fn small_fleets_name_nobody() {
-    assert_eq!([3, 10, 92, 300].map(names_failing), [false, false, true, true]);
+    assert_eq!([3, 10, 92, 300].map(flags_failing), [false, false, true, true]);
 }
 
 #[test]
 fn another_term_knows_nothing_of_earlier_ones() {
     let mut table = told(&[false; 6]);
     table.take(TERM + 1, &[], fleet, 1100);
-    assert!(table.named(1100).is_empty());
+    assert!(table.flagged(1100).is_empty());
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let (mut failed, mut vm) = (0, 0);
     for now_ms in (1000..3000).step_by(5) {
         vm = (vm + 1) % 300;
-        if table.named(now_ms).is_empty() {
+        if table.flagged(now_ms).is_empty() {
             failed += 1;
             table.take(TERM, &[note(BAD, 0, 1)], fleet, now_ms + 1);
         }
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -8,7 +8,9 @@
     list_action, reader_delay_ms, reader_order, whom_to_ask, ListAction, ListCost, ListStanding,
     NO_LIST_MS, PAGES_AT_ONCE,
 };
-use wingshed_lib::coordination::upstream_load::{place_loads, LoadNews, LoadReports, UpstreamLoad};
+use wingshed_lib::coordination::upstream_load::{
+    positional_loads, LoadReports, LoadUpdate, UpstreamLoad,
+};
 use wingshed_lib::coordination::vm_roster::{
     addresses_ttl_s, seek_pause_ms, RosterCopy, RosterMark, RosterRow, VmRoster, RENEW_MS,
     ROW_KEEP_MS,
@@ -144,15 +146,15 @@
     roster.note(row(2, true), None, vec![load(7, 300), load(8, 5)], 500);
     roster.note(row(1, true), None, vec![load(4, 3)], 600);
 
-    let placed = place_loads(&roster.loads(), keys.iter());
+    let placed = positional_loads(&roster.loads(), keys.iter());
     roster.expire(500 + ROW_KEEP_MS);
-    let later = place_loads(&roster.loads(), keys.iter());
+    let later = positional_loads(&roster.loads(), keys.iter());
 
     assert_eq!(placed, [0, 3, 255, 0], "by place; 255 stands for all above");
     assert_eq!(later, [0, 3, 0, 0]);
     assert_eq!(roster.loads(), [load(4, 3)]);
     let mut told = LoadReports::default();
-    told.note_placed(keys.iter(), &placed, &[load(4, 1)]);
+    told.note_positional(keys.iter(), &placed, &[load(4, 1)]);
     assert_eq!(keys.map(|key| told.others(key)), [0, 2, 255, 0]);
 }
 
@@ -498,14 +500,16 @@
     let mut sums = vec![0; 3000];
     (0..300).for_each(|at| sums[at * 10 + at % 7] = 1 + (at % 4) as u8);
 
-    let told = LoadNews::placed(sums.clone());
+    let told = LoadUpdate::positional(sums.clone());
 
     // One byte an upstream before: 3,000.
-    let LoadNews::Runs(runs) = told else { panic!("{told:?}") };
+    let LoadUpdate::Runs(runs) = told else { panic!("{told:?}") };
     assert_eq!(runs.len(), 600);
     assert_eq!(unpack_zeros(&runs, 3000), Some(sums));
     let busy = vec![2; 250];
-    assert!(matches!(LoadNews::placed(busy.clone()), LoadNews::Placed(told) if told == busy));
+    assert!(
+        matches!(LoadUpdate::positional(busy.clone()), LoadUpdate::Placed(told) if told == busy)
+    );
 }
 
 #[test]
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -14,7 +14,7 @@
 use wingshed_lib::coordination::upstream_choice::{
     choose_engine, EngineRules, PrefixMemory, MAX_ROOT_HOLDERS_REPORTED,
 };
-use wingshed_lib::coordination::upstream_load::{LoadNews, SharedLoads, UpstreamLoad};
+use wingshed_lib::coordination::upstream_load::{LoadUpdate, SharedLoads, UpstreamLoad};
 use wingshed_lib::coordination::vm_roster::{
     loads_shared_ms, RosterCopy, RosterMark, RosterRow, VmRoster, RENEW_MS, ROW_KEEP_MS,
 };
@@ -83,8 +83,8 @@
     list: &UpstreamList,
     have: ListMark,
     now_ms: u64,
-) -> LoadNews {
-    shared.news(|| roster.loads(), loads_shared_ms(roster.len()), list, have, now_ms)
+) -> LoadUpdate {
+    shared.update(|| roster.loads(), loads_shared_ms(roster.len()), list, have, now_ms)
 }
 
 fn load_bytes(vms: u32) -> (usize, usize) {
@@ -113,7 +113,7 @@
 
     let news = load_news(&mut SharedLoads::default(), &roster, &list, ListMark::default(), 0);
 
-    let LoadNews::Keyed(loads) = news else { panic!("{news:?}") };
+    let LoadUpdate::Keyed(loads) = news else { panic!("{news:?}") };
     assert_eq!(loads, roster.loads());
 }
 
@@ -149,7 +149,7 @@
     for requests in [5, 6] {
         roster.note(vm(1), None, load(requests), 0);
         let news = load_news(&mut shared, &roster, &list, ListMark::default(), 0);
-        let LoadNews::Keyed(loads) = news else { panic!("{news:?}") };
+        let LoadUpdate::Keyed(loads) = news else { panic!("{news:?}") };
         assert_eq!(loads, load(requests));
     }
 }
--- a/lib/tests/test_holder_news.rs
+++ b/lib/tests/test_holder_news.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use testutils::engines::{candidate, RULES};
 use wingshed_lib::coordination::holder_news::{
-    HolderMark, HolderNote, HolderOutbox, HolderRing, NOTES_PER_MESSAGE,
+    HolderLog, HolderNote, HolderOutbox, HolderPosition, NOTES_PER_MESSAGE,
 };
 use wingshed_lib::coordination::upstream_candidate::UpstreamCandidate;
 use wingshed_lib::coordination::upstream_choice::{choose_engine, EngineRules, PrefixMemory};
@@ -82,16 +82,16 @@
 
 #[test]
 fn a_new_leader_begins_anew_and_its_marks_are_not_taken_for_the_old_ones() {
-    let mut ring = HolderRing::default();
-    ring.take(3, &[note(1, 7), note(2, 7)]);
-    let (_, heard) = ring.news(HolderMark::default());
+    let mut log = HolderLog::default();
+    log.take(3, &[note(1, 7), note(2, 7)]);
+    let (_, heard) = log.notes_after(HolderPosition::default());
 
-    let fresh = ring.take(4, &[note(5, 9)]);
+    let fresh = log.take(4, &[note(5, 9)]);
 
     assert_eq!(fresh, [note(5, 9)]);
-    let (told, mark) = ring.news(heard);
-    assert_eq!((told, mark), (vec![note(5, 9)], HolderMark { term: 4, heard: 1 }));
-    assert_eq!(ring.news(mark).0, []);
+    let (told, mark) = log.notes_after(heard);
+    assert_eq!((told, mark), (vec![note(5, 9)], HolderPosition { term: 4, heard: 1 }));
+    assert_eq!(log.notes_after(mark).0, []);
 }
 
 proptest! {
@@ -99,29 +99,29 @@
     fn whoever_listens_hears_the_newest_holder_of_each_part_that_is_remembered(
         steps in proptest::collection::vec((0_u64..4000, 0_u64..5, any::<bool>()), 1..6000),
     ) {
-        let mut ring = HolderRing::default();
+        let mut log = HolderLog::default();
         let mut last = std::collections::HashMap::new();
         let mut heard = std::collections::HashMap::new();
-        let mut mark = HolderMark::default();
+        let mut mark = HolderPosition::default();
         for (part, engine, listens) in steps {
-            ring.take(1, &[note(part, engine)]);
+            log.take(1, &[note(part, engine)]);
             last.insert(part, UpstreamKey(engine));
             if listens {
-                let (told, next) = ring.news(mark);
+                let (told, next) = log.notes_after(mark);
                 prop_assert!(told.len() <= NOTES_PER_MESSAGE && next.heard >= mark.heard);
                 heard.extend(told.iter().map(|note| (note.part, note.engine)));
                 mark = next;
             }
         }
         loop {
-            let (told, next) = ring.news(mark);
+            let (told, next) = log.notes_after(mark);
             if told.is_empty() {
                 break;
             }
             heard.extend(told.iter().map(|note| (note.part, note.engine)));
             mark = next;
         }
-        let (all, _) = ring.news(HolderMark { term: 1, heard: mark.heard });
+        let (all, _) = log.notes_after(HolderPosition { term: 1, heard: mark.heard });
         prop_assert!(all.is_empty(), "nothing is told twice");
         let wrong = heard.iter().filter(|(part, engine)| last[part] != **engine).count();
         prop_assert_eq!(wrong, 0);
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -7,7 +7,7 @@
 use wingshed_lib::coordination::silence::SilenceView;
 use wingshed_lib::coordination::upstream_choice::PrefixMemory;
 use wingshed_lib::coordination::upstream_load::{LoadReports, UpstreamLoad};
-use wingshed_lib::coordination::upstream_seats::SeatTable;
+use wingshed_lib::coordination::upstream_seats::RingSlotTable;
 use wingshed_lib::state::finding::Finding;
 use wingshed_lib::state::kept_list::{read_kept, write_kept, KeptList};
 use wingshed_lib::state::list_reading::{ListReading, UnreadEntry};
@@ -167,9 +167,9 @@
 fn a_restart_takes_the_seat_at_its_address_before_newcomers_do() {
     let a = at("10.0.0.1:1", entry("a", Some(1)));
     let b = at("10.0.0.2:1", entry("b", Some(1)));
-    let mut table = SeatTable::default();
+    let mut table = RingSlotTable::default();
     let mut rows = vec![a, b];
-    table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
+    table.assign(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
     let seats: Vec<_> = rows.iter().map(|row| row.seat).collect();
     let known = list(&rows);
     // A newcomer stands before the two that start again, and one of their seats is the first vacant.
@@ -179,7 +179,7 @@
         at("10.0.0.2:1", entry("b", Some(2))),
     ];
 
-    table.seat(&mut rows, &known, &BTreeSet::new(), 1500);
+    table.assign(&mut rows, &known, &BTreeSet::new(), 1500);
 
     assert_eq!(rows[1..].iter().map(|row| row.seat).collect::<Vec<_>>(), seats);
 }
@@ -209,7 +209,7 @@
 
     outliers.note_gone(entry("i", Some(1)).key());
 
-    assert!(!outliers.is_aside(entry("i", Some(2)).key(), 1000));
+    assert!(!outliers.is_ejected(entry("i", Some(2)).key(), 1000));
 }
 
 #[test]
@@ -230,7 +230,7 @@
         let mut table = HealthTable::default();
         let upstream = entry("i", Some(born)).key();
         table.take(1, &[HealthReport { upstream, well: 0, failed: 50 }], fleet, 1000);
-        table.named(1001).contains(&entry("i", Some(2)).key())
+        table.flagged(1001).contains(&entry("i", Some(2)).key())
     };
 
     assert_eq!((named(1), named(2)), (false, true));
@@ -361,26 +361,26 @@
 
 #[test]
 fn one_in_doubt_keeps_its_seat() {
-    let mut table = SeatTable::default();
+    let mut table = RingSlotTable::default();
     let mut rows = vec![entry("a", Some(1))];
-    table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
+    table.assign(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
     let (seat, known) = (rows[0].seat, list(&rows));
     let mut rows = vec![
         at("10.0.0.9:1", entry("b", Some(2))),
         doubtful(EntryDoubt::Unread, entry("a", Some(1))),
     ];
 
-    table.seat(&mut rows, &known, &BTreeSet::new(), 90_000);
+    table.assign(&mut rows, &known, &BTreeSet::new(), 90_000);
 
     assert_eq!((rows[1].seat, rows[0].seat == seat), (seat, false));
 }
 
 #[test]
 fn one_in_doubt_that_has_no_seat_gets_none() {
-    let mut table = SeatTable::default();
+    let mut table = RingSlotTable::default();
     let mut rows = vec![doubtful(EntryDoubt::State, entry("a", Some(1)))];
 
-    table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
+    table.assign(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
 
     assert_eq!(rows[0].seat, None);
 }
--- a/lib/tests/test_notices.rs
+++ b/lib/tests/test_notices.rs
@@ -11,12 +11,12 @@
 use wingshed_lib::coordination::plain_choice::{choose_by_own_load, choose_plain};
 use wingshed_lib::coordination::silence::SilenceTable;
 use wingshed_lib::coordination::upstream_candidate::{
-    earliest_return, ChoiceError, UpstreamCandidate,
+    earliest_retry, ChoiceError, UpstreamCandidate,
 };
 use wingshed_lib::coordination::upstream_choice::{choose_engine, PrefixMemory};
 use wingshed_lib::coordination::upstream_notice::ApproachPurpose::{Request, Trial};
 use wingshed_lib::coordination::upstream_notice::{
-    ApproachPurpose, NoticeTable, FIRST_SPARED_MS, LONGEST_REST_MS, RETURN_TRIAL_MS,
+    ApproachPurpose, NoticeTable, BACKOFF_TRIAL_MS, FIRST_AVOIDED_MS, MAX_BACKOFF_MS,
 };
 use wingshed_lib::state::ids::UpstreamKey;
 use wingshed_lib::state::prompt_part::PromptPart;
@@ -30,8 +30,8 @@
 /// What the node's clock tells apart, in milliseconds.
 const STEP_MS: u64 = 1;
 
-fn at_rest(key: u64, rest_ms: u64) -> UpstreamCandidate {
-    UpstreamCandidate { rest_ms, ..candidate(key, 0) }
+fn at_rest(key: u64, backoff_ms: u64) -> UpstreamCandidate {
+    UpstreamCandidate { backoff_ms, ..candidate(key, 0) }
 }
 
 fn shared_prompt() -> Vec<PromptPart> {
@@ -41,17 +41,17 @@
 #[test]
 fn rest_only_grows_and_ends_by_itself() {
     let mut notices = NoticeTable::default();
-    notices.note_rest(KEY, 3000, 1000);
-    notices.note_rest(KEY, 10, 1500);
+    notices.note_backoff(KEY, 3000, 1000);
+    notices.note_backoff(KEY, 10, 1500);
 
-    let left = [999, 1500, 3999, 4000].map(|now_ms| notices.rest_ms(KEY, now_ms));
+    let left = [999, 1500, 3999, 4000].map(|now_ms| notices.backoff_ms(KEY, now_ms));
 
     assert_eq!(left, [3001, 2500, 1, 0]);
     for purpose in [Request, Trial] {
         assert!(!notices.may_approach(KEY, purpose, 3999));
         assert!(notices.may_approach(KEY, purpose, 4000));
     }
-    assert_eq!(notices.rest_ms(UpstreamKey(8), 1500), 0, "another incarnation");
+    assert_eq!(notices.backoff_ms(UpstreamKey(8), 1500), 0, "another incarnation");
 }
 
 proptest! {
@@ -61,21 +61,21 @@
     /// than what is left of it and what two readings of a clock of whole milliseconds leave open.
     #[test]
     fn a_return_as_told_is_never_too_soon(
-        asked_us in 0..20_000_u64, refused_after_us in 0..8_000_000_u64, rest_ms in 1..8_000_u64,
+        asked_us in 0..20_000_u64, refused_after_us in 0..8_000_000_u64, backoff_ms in 1..8_000_u64,
     ) {
         let refused_us = asked_us + refused_after_us;
-        let over_us = asked_us + rest_ms * 1000;
+        let over_us = asked_us + backoff_ms * 1000;
         let mut notices = NoticeTable::default();
-        notices.note_rest(KEY, rest_ms, asked_us / 1000 + STEP_MS);
+        notices.note_backoff(KEY, backoff_ms, asked_us / 1000 + STEP_MS);
 
-        let told_ms = notices.rest_ms(KEY, refused_us / 1000);
+        let told_ms = notices.backoff_ms(KEY, refused_us / 1000);
         let back_us = refused_us + told_ms * 1000;
 
         prop_assert!(told_ms == 0 || notices.may_approach(KEY, Request, back_us / 1000));
         prop_assert!(back_us >= over_us, "{} us too soon", over_us - back_us);
         let left_us = over_us.saturating_sub(refused_us);
         prop_assert!(told_ms * 1000 < left_us + 2 * STEP_MS * 1000, "{told_ms} ms of {left_us} us");
-        prop_assert!(told_ms <= rest_ms + STEP_MS);
+        prop_assert!(told_ms <= backoff_ms + STEP_MS);
     }
 }
 
@@ -83,41 +83,41 @@
 fn a_huge_rest_is_a_day() {
     let mut notices = NoticeTable::default();
 
-    notices.note_rest(KEY, u64::MAX, 5);
+    notices.note_backoff(KEY, u64::MAX, 5);
 
-    assert_eq!(notices.rest_ms(KEY, 5), LONGEST_REST_MS);
+    assert_eq!(notices.backoff_ms(KEY, 5), MAX_BACKOFF_MS);
 }
 
 #[test]
 fn after_a_rest_one_request_goes_first() {
     let mut notices = NoticeTable::default();
-    notices.note_rest(KEY, 1000, 0);
-    assert!(!notices.is_spared(KEY, 1000), "nobody has gone yet");
+    notices.note_backoff(KEY, 1000, 0);
+    assert!(!notices.is_avoided(KEY, 1000), "nobody has gone yet");
 
     notices.note_sent(KEY, 1000);
-    let during = (notices.is_spared(KEY, 1001), notices.is_spared(KEY, 1000 + RETURN_TRIAL_MS));
-    notices.note_taken(KEY, 1010);
-    let taken = notices.is_spared(KEY, 1011);
+    let during = (notices.is_avoided(KEY, 1001), notices.is_avoided(KEY, 1000 + BACKOFF_TRIAL_MS));
+    notices.note_accepted(KEY, 1010);
+    let taken = notices.is_avoided(KEY, 1011);
     notices.note_sent(KEY, 1020);
 
     assert_eq!((during, taken), ((true, false), false), "an answer or the time ends it");
-    assert!(!notices.is_spared(KEY, 1021), "it is like any other");
+    assert!(!notices.is_avoided(KEY, 1021), "it is like any other");
 }
 
 #[test]
 fn an_upstream_that_turns_its_first_request_away_rests_again() {
     let mut notices = NoticeTable::default();
-    notices.note_rest(KEY, 1000, 0);
+    notices.note_backoff(KEY, 1000, 0);
     notices.note_sent(KEY, 1000);
 
-    notices.note_rest(KEY, 1000, 1005);
-    let rests = notices.rest_ms(KEY, 1005);
-    notices.note_taken(KEY, 1100);
+    notices.note_backoff(KEY, 1000, 1005);
+    let rests = notices.backoff_ms(KEY, 1005);
+    notices.note_accepted(KEY, 1100);
 
     assert_eq!(rests, 1000);
-    assert_eq!(notices.rest_ms(KEY, 1100), 905, "an earlier request's answer ends no rest");
+    assert_eq!(notices.backoff_ms(KEY, 1100), 905, "an earlier request's answer ends no rest");
     notices.note_sent(KEY, 2005);
-    assert!(notices.is_spared(KEY, 2006));
+    assert!(notices.is_avoided(KEY, 2006));
 }
 
 #[test]
@@ -127,14 +127,14 @@
 
     for at in 0..5 {
         let now_ms = 10_000 * (at + 1);
-        notices.note_turned_away(KEY, now_ms);
-        spared_ms.push((0..9000).find(|ms| !notices.is_spared(KEY, now_ms + ms)).unwrap());
+        notices.note_rejected(KEY, now_ms);
+        spared_ms.push((0..9000).find(|ms| !notices.is_avoided(KEY, now_ms + ms)).unwrap());
     }
-    notices.note_taken(KEY, 70_000);
-    notices.note_turned_away(KEY, 70_001);
+    notices.note_accepted(KEY, 70_000);
+    notices.note_rejected(KEY, 70_001);
 
-    assert_eq!(spared_ms, [0, 1000, 2000, 4000, 4000].map(|part| part * FIRST_SPARED_MS / 1000));
-    assert!(!notices.is_spared(KEY, 70_001), "one alone is chance");
+    assert_eq!(spared_ms, [0, 1000, 2000, 4000, 4000].map(|part| part * FIRST_AVOIDED_MS / 1000));
+    assert!(!notices.is_avoided(KEY, 70_001), "one alone is chance");
     assert!(notices.may_approach(KEY, Request, 50_001), "it asked for nothing");
 }
 
@@ -148,24 +148,24 @@
     let last = [999, 1000].map(|now_ms| notices.is_last_resort(KEY, now_ms));
     let sent = [999, 1000].map(|now_ms| notices.may_approach(KEY, Request, now_ms));
     assert_eq!((last, sent), ([true, false], [true, false]));
-    notices.note_rest(KEY, 500, 0);
+    notices.note_backoff(KEY, 500, 0);
     assert!(!notices.may_approach(KEY, Request, 400), "it rests, too");
 }
 
 #[test]
 fn what_was_said_outlasts_lists_that_lack_the_incarnation() {
     let mut notices = NoticeTable::default();
-    notices.note_rest(KEY, 2 * HOUR_MS, 0);
+    notices.note_backoff(KEY, 2 * HOUR_MS, 0);
     notices.note_leaving(UpstreamKey(8), DRAIN_MS, 0);
     notices.note_leaving(UpstreamKey(9), DRAIN_MS, 2 * HOUR_MS);
     notices.sweep(|key| key.0 < 9, 0);
 
     notices.sweep(|_| false, HOUR_MS - 1);
-    let before = (notices.rest_ms(KEY, HOUR_MS), notices.is_leaving(UpstreamKey(8)));
+    let before = (notices.backoff_ms(KEY, HOUR_MS), notices.is_leaving(UpstreamKey(8)));
     notices.sweep(|_| false, HOUR_MS);
-    let after = (notices.rest_ms(KEY, HOUR_MS), notices.is_leaving(UpstreamKey(8)));
+    let after = (notices.backoff_ms(KEY, HOUR_MS), notices.is_leaving(UpstreamKey(8)));
     notices.sweep(|_| false, 2 * HOUR_MS);
-    let last = (notices.resting(0), notices.is_leaving(UpstreamKey(9)));
+    let last = (notices.backing_off(0), notices.is_leaving(UpstreamKey(9)));
 
     assert_eq!(before, (HOUR_MS, true));
     assert_eq!(after, (HOUR_MS, false), "a rest that isn't over, and long after, nothing else");
@@ -182,8 +182,8 @@
         (vec![leaving, withheld], None),
         (vec![], None),
     ];
-    for (candidates, rest_ms) in cases {
-        assert_eq!(earliest_return(&candidates), rest_ms, "{candidates:?}");
+    for (candidates, backoff_ms) in cases {
+        assert_eq!(earliest_retry(&candidates), backoff_ms, "{candidates:?}");
     }
 }
 
@@ -203,7 +203,7 @@
     };
     assert_eq!(engine(&mixed), Ok(UpstreamKey(2)));
     let refusals = [engine(&all), choose_plain(&all, usize::MAX, 1), choose_by_own_load(&all, 1)];
-    assert_eq!(refusals, [Err(ChoiceError::Resting(30)); 3]);
+    assert_eq!(refusals, [Err(ChoiceError::BackingOff(30)); 3]);
     assert_eq!(engine(&tried), Err(ChoiceError::NoUpstream), "another attempt may go there");
 }
 
@@ -214,9 +214,9 @@
     let awake: Vec<UpstreamCandidate> = (1..=6).map(|key| candidate(key, 0)).collect();
     let best = choose_engine(&awake, &prompt, &memory, &RULES, 1).unwrap().upstream;
     memory.note_sent(&prompt, best, 1);
-    let rests = |rest_ms: u64| -> Vec<UpstreamCandidate> {
-        let rest = |c: &UpstreamCandidate| if c.key == best { rest_ms } else { 0 };
-        awake.iter().map(|c| UpstreamCandidate { rest_ms: rest(c), ..*c }).collect()
+    let rests = |backoff_ms: u64| -> Vec<UpstreamCandidate> {
+        let rest = |c: &UpstreamCandidate| if c.key == best { backoff_ms } else { 0 };
+        awake.iter().map(|c| UpstreamCandidate { backoff_ms: rest(c), ..*c }).collect()
     };
     let busy: Vec<UpstreamCandidate> =
         rests(0).iter().map(|c| UpstreamCandidate { full: c.key == best, ..*c }).collect();
@@ -269,7 +269,7 @@
         };
         let accepted = listener.accept().await.unwrap();
         kept.finish(false, None, 0).await;
-        pool.notices().borrow_mut().note_rest(KEY, 1000, 0);
+        pool.notices().borrow_mut().note_backoff(KEY, 1000, 0);
 
         let refused = [
             pool.take(approach(address, Request, 10)).await.err(),
@@ -303,7 +303,7 @@
     run_local(async {
         let (_listener, address) = listening().await;
         let pool = ConnectionPool::default();
-        let asks = async { pool.notices().borrow_mut().note_rest(KEY, 1000, 5) };
+        let asks = async { pool.notices().borrow_mut().note_backoff(KEY, 1000, 5) };
 
         // The connection isn't up when it is first polled.
         let (connected, ()) = tokio::join!(pool.connect(approach(address, Request, 0)), asks);
--- a/lib/tests/test_promises.rs
+++ b/lib/tests/test_promises.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use testutils::{returning_chat, system_with, SystemFixture};
-use wingshed_lib::coordination::outlier::FIRST_ASIDE_MS;
+use wingshed_lib::coordination::outlier::FIRST_EJECTION_MS;
 use wingshed_lib::protocol::caller::RanMark;
 use wingshed_lib::protocol::engine::run_id;
 use wingshed_lib::protocol::vm_list::{VmEntry, VmStanding};
@@ -292,7 +292,7 @@
     tired.faults().cut.store(false, Ordering::Relaxed);
     tired.faults().refuse.store(true, Ordering::Relaxed);
     tired.faults().rest_s.store(1, Ordering::Relaxed);
-    std::thread::sleep(Duration::from_millis(FIRST_ASIDE_MS + 100));
+    std::thread::sleep(Duration::from_millis(FIRST_EJECTION_MS + 100));
     call_often("tried");
     let asked_rest = counts();
     tired.faults().refuse.store(false, Ordering::Relaxed);
--- a/lib/tests/test_rest_spread.rs
+++ b/lib/tests/test_rest_spread.rs
@@ -53,10 +53,10 @@
             match sent.refused {
                 true => {
                     refused += 1;
-                    notices.note_rest(key, REST_MS, now_ms);
+                    notices.note_backoff(key, REST_MS, now_ms);
                     asked[sent.upstream].push((now_ms, 0));
                 }
-                false => notices.note_taken(key, now_ms),
+                false => notices.note_accepted(key, now_ms),
             }
         }
         flying.retain(|sent| sent.ends_ms > now_ms);
@@ -67,11 +67,11 @@
             .map(|at| {
                 let key = UpstreamKey(at as u64 + 1);
                 let own = flying.iter().filter(|sent| sent.upstream == at).count() as u32;
-                let rest_ms = notices.rest_ms(key, now_ms);
+                let backoff_ms = notices.backoff_ms(key, now_ms);
                 UpstreamCandidate {
                     own_load: own,
-                    rest_ms: if way == RestWay::Unheeded { 0 } else { rest_ms },
-                    ejected: way == RestWay::OneFirst && notices.is_spared(key, now_ms),
+                    backoff_ms: if way == RestWay::Unheeded { 0 } else { backoff_ms },
+                    ejected: way == RestWay::OneFirst && notices.is_avoided(key, now_ms),
                     ..candidate(key.0, own)
                 }
             })
--- a/lib/tests/test_vm_decisions.rs
+++ b/lib/tests/test_vm_decisions.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use testutils::engines::{candidate, prompt, RULES};
 use wingshed_lib::coordination::attempt_plan::{
-    AttemptCount, NextStep, SendOutcome, MOST_UNREACHED,
+    AttemptCount, NextStep, SendOutcome, MAX_UNREACHED,
 };
 use wingshed_lib::coordination::event_splice::EventSplice;
 use wingshed_lib::coordination::group_plan::voters_wanted;
@@ -23,7 +23,9 @@
     choose_engine, EngineRules, PrefixMemory, NEW_ENGINE_MS,
 };
 use wingshed_lib::coordination::upstream_load::{LoadReports, UpstreamLoad};
-use wingshed_lib::coordination::upstream_seats::{patient_services, SeatTable, WAIT_MS};
+use wingshed_lib::coordination::upstream_seats::{
+    waiting_services, RingSlotTable, VACANCY_WAIT_MS,
+};
 use wingshed_lib::coordination::vm_roster::{RosterRow, VmRoster};
 use wingshed_lib::state::fleet_record::{
     FleetCommand, FleetRecord, HeldDocument, RecordChange, SeatRow,
@@ -71,7 +73,7 @@
     assert_eq!(next, Fail, "an earlier send may have run, so this is no refusal");
 
     let mut count = AttemptCount::default();
-    for _ in 0..MOST_UNREACHED {
+    for _ in 0..MAX_UNREACHED {
         count.note(NotSent);
     }
     assert_eq!(count.next(NotSent, Kind::Once, 1), Refuse);
@@ -324,7 +326,7 @@
     for dead in 1..=4 {
         outliers.note_dead(UpstreamKey(dead), fleet(), 0.5, 1000);
     }
-    let aside = fleet().filter(|key| outliers.is_aside(*key, 1001)).count();
+    let aside = fleet().filter(|key| outliers.is_ejected(*key, 1001)).count();
     assert_eq!(aside, 2);
 }
 
@@ -347,15 +349,15 @@
     list.entries.get(&UpstreamKey::of(life)).and_then(|entry| entry.seat)
 }
 
-fn take(table: &mut SeatTable, list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64) {
+fn take(table: &mut RingSlotTable, list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64) {
     let mut rows = rows.to_vec();
-    table.seat(&mut rows, list, &BTreeSet::new(), now_ms);
+    table.assign(&mut rows, list, &BTreeSet::new(), now_ms);
     list.read(rows, None, 9, now_ms);
 }
 
 #[test]
 fn a_life_that_replaces_another_takes_its_seat() {
-    let (mut table, mut list) = (SeatTable::default(), UpstreamList::default());
+    let (mut table, mut list) = (RingSlotTable::default(), UpstreamList::default());
     let (a, b) = (entry("a", "10.0.0.1:1", false), entry("b", "10.0.0.2:1", false));
     take(&mut table, &mut list, &[a.clone(), b.clone()], 1000);
     let (seat_a, seat_b) = (seat_of(&list, "a").unwrap(), seat_of(&list, "b").unwrap());
@@ -379,12 +381,12 @@
     let more = entry("d", "10.0.0.4:1", false);
     let rows = [c, entry("b2", "10.0.0.2:1", false), more];
     take(&mut table, &mut list, &rows, 6000);
-    take(&mut table, &mut list, &rows, 6000 + WAIT_MS);
+    take(&mut table, &mut list, &rows, 6000 + VACANCY_WAIT_MS);
     let seat_d = seat_of(&list, "d").unwrap();
     assert!(seat_d != seat_a && seat_d != seat_b);
 
     // Another leader that was given the rows knows the same seats.
-    let mut heir = SeatTable::of(&table.rows());
+    let mut heir = RingSlotTable::of(&table.rows());
     let mut fresh = UpstreamList::default();
     take(&mut heir, &mut fresh, &rows, 9000);
     assert_eq!(seat_of(&fresh, "c"), Some(seat_a));
@@ -392,7 +394,7 @@
 
 #[test]
 fn new_engines_wait_for_a_vacant_seat_while_the_others_have_room() {
-    let (mut table, mut list) = (SeatTable::default(), UpstreamList::default());
+    let (mut table, mut list) = (RingSlotTable::default(), UpstreamList::default());
     let (a, b) = (entry("a", "10.0.0.1:1", false), entry("b", "10.0.0.2:1", false));
     let c = entry("c", "10.0.0.3:1", false);
     take(&mut table, &mut list, &[a.clone(), b.clone()], 1000);
@@ -400,25 +402,25 @@
     let patient = BTreeSet::from(["s".to_string()]);
     let mut take_patiently = |list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64| {
         let mut rows = rows.to_vec();
-        table.seat(&mut rows, list, &patient, now_ms);
+        table.assign(&mut rows, list, &patient, now_ms);
         list.read(rows, None, 9, now_ms);
     };
 
     take_patiently(&mut list, &[a.clone(), b.clone(), c.clone()], 2000);
-    take_patiently(&mut list, &[a.clone(), b.clone(), c.clone()], 2000 + 10 * WAIT_MS);
+    take_patiently(&mut list, &[a.clone(), b.clone(), c.clone()], 2000 + 10 * VACANCY_WAIT_MS);
     assert_eq!(seat_of(&list, "c"), None, "what is kept stays where it is");
-    take_patiently(&mut list, &[b.clone(), c.clone()], 2000 + 11 * WAIT_MS);
+    take_patiently(&mut list, &[b.clone(), c.clone()], 2000 + 11 * VACANCY_WAIT_MS);
     assert_eq!(seat_of(&list, "c"), Some(seat_a), "it replaces one that is gone at once");
 
     let d = entry("d", "10.0.0.4:1", false);
     take(&mut table, &mut list, &[b.clone(), c.clone(), d.clone()], 40_000);
-    take(&mut table, &mut list, &[b, c, d], 40_000 + WAIT_MS);
+    take(&mut table, &mut list, &[b, c, d], 40_000 + VACANCY_WAIT_MS);
     assert!(seat_of(&list, "d").is_some(), "where places are in use it gets its own");
 }
 
 #[test]
 fn engines_are_in_use_from_a_quarter_of_their_places_on() {
-    let (mut table, mut list) = (SeatTable::default(), UpstreamList::default());
+    let (mut table, mut list) = (RingSlotTable::default(), UpstreamList::default());
     let rows = [entry("a", "10.0.0.1:1", false), entry("b", "10.0.0.2:1", false)];
     take(&mut table, &mut list, &rows, 1000);
     let load = |life: &str, requests| UpstreamLoad { upstream: UpstreamKey::of(life), requests };
@@ -433,7 +435,7 @@
     for (case, (at_a, at_b), places, waits) in cases {
         let loads = [load("a", at_a), load("b", at_b)];
 
-        let patient = patient_services(&list, &loads, |_| places);
+        let patient = waiting_services(&list, &loads, |_| places);
 
         assert_eq!(patient.contains("s"), waits, "{case}");
     }
@@ -446,7 +448,7 @@
     let lives = |name: &str| -> Vec<UpstreamEntry> {
         (0..MANY).map(|at| entry(&format!("{name}{at}"), &address(at), false)).collect()
     };
-    let (mut table, mut list) = (SeatTable::default(), UpstreamList::default());
+    let (mut table, mut list) = (RingSlotTable::default(), UpstreamList::default());
 
     take(&mut table, &mut list, &lives("a"), 1000);
     let before = table.rows();
--- a/lib/tests/test_zones.rs
+++ b/lib/tests/test_zones.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use testutils::engines::{candidate, prompt, RULES};
-use wingshed_lib::coordination::cold_share::{cold_plan, ColdSends, FleetStanding};
+use wingshed_lib::coordination::cold_share::{cold_plan, ColdSends, FleetStatus};
 use wingshed_lib::coordination::plain_choice::choose_plain;
 use wingshed_lib::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
 use wingshed_lib::coordination::upstream_choice::{choose_engine, PrefixMemory};
@@ -143,8 +143,8 @@
     ids.map(|id| RosterRow { id, zone: u64::from(id % 3), ready: true }).collect()
 }
 
-fn standing(id: u32, vms: &[RosterRow], now_ms: u64) -> FleetStanding<'_> {
-    FleetStanding { id, vms, first_heard_ms: Some(1000), heard_ms: now_ms }
+fn standing(id: u32, vms: &[RosterRow], now_ms: u64) -> FleetStatus<'_> {
+    FleetStatus { id, vms, first_contact_ms: Some(1000), last_contact_ms: now_ms }
 }
 
 /// The most requests that one cold upstream gets in any second from all VMs that always want to
@@ -194,15 +194,15 @@
 fn a_vm_that_has_just_started_or_hears_no_leader_sends_nothing_to_cold_upstreams() {
     let vms = rows(0..2);
     let sends = ColdSends::default();
-    let ask = |fleet: &FleetStanding, now_ms| sends.may_send(UpstreamKey(1), 50.0, fleet, now_ms);
+    let ask = |fleet: &FleetStatus, now_ms| sends.may_send(UpstreamKey(1), 50.0, fleet, now_ms);
     let now_ms = 60_000;
 
     assert!(ask(&standing(1, &vms, now_ms), now_ms));
-    let fresh = FleetStanding { first_heard_ms: Some(now_ms - 500), ..standing(1, &vms, now_ms) };
+    let fresh = FleetStatus { first_contact_ms: Some(now_ms - 500), ..standing(1, &vms, now_ms) };
     assert!(!ask(&fresh, now_ms), "the roster may not be whole yet");
-    let never = FleetStanding { first_heard_ms: None, ..standing(1, &vms, now_ms) };
+    let never = FleetStatus { first_contact_ms: None, ..standing(1, &vms, now_ms) };
     assert!(!ask(&never, now_ms));
-    let alone = FleetStanding { heard_ms: now_ms - 2000, ..standing(1, &vms, now_ms) };
+    let alone = FleetStatus { last_contact_ms: now_ms - 2000, ..standing(1, &vms, now_ms) };
     assert!(!ask(&alone, now_ms), "others may have taken its share");
 }
 
