--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -8,11 +8,11 @@
 
 use crate::coordination::crash_outbox::CrashReport;
 use crate::coordination::fleet_health::HealthReport;
-use crate::coordination::holder_news::{HolderMark, HolderNote};
+use crate::coordination::holder_news::{HolderNote, HolderPosition};
 use crate::coordination::raft_message::RaftMessage;
 use crate::coordination::rollout_watch::RolloutReport;
 use crate::coordination::silence::UnresponsiveRevision;
-use crate::coordination::upstream_load::{LoadNews, UpstreamLoad};
+use crate::coordination::upstream_load::{LoadUpdate, UpstreamLoad};
 use crate::coordination::vm_roster::{RosterRevision, RosterRow, RosterUpdate};
 use crate::state::document_change::DocumentChange;
 use crate::state::ids::{Incarnation, UpstreamKey};
@@ -298,7 +298,7 @@
     /// Shared prompt parts that the sender sent to another engine than rendezvous order gives.
     pub holders: Vec<HolderNote>,
     /// The position up to which the sender has received such notes of other VMs.
-    pub holders_heard: HolderMark,
+    pub holders_heard: HolderPosition,
     /// The results of the sender's requests to upstreams.
     pub health_reports: Vec<HealthReport>,
     /// The number of zone orders that the sender has.
@@ -339,11 +339,11 @@
     /// renewal from every VM, and before that only to VMs that have no roster.
     pub roster: RosterUpdate,
     /// The requests that all VMs together have in flight, by upstream.
-    pub loads: LoadNews,
+    pub loads: LoadUpdate,
     /// Notes of other VMs on the engines that hold shared prompt parts.
     pub holders: Vec<HolderNote>,
     /// The position in these notes that the receiver has reached with this answer.
-    pub holders_heard: HolderMark,
+    pub holders_heard: HolderPosition,
     /// Upstreams that fail for all VMs that send to them.
     pub failing: Vec<UpstreamKey>,
     /// The last orders of zones, or `None` if the renewal reported as many.
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -9,9 +9,9 @@
 use super::router_serve::ServeContext;
 use super::router_shared::{lock, FleetSight, HomeDesk, RouterShared, RouterView};
 use super::seen::SeenPhase;
-use crate::coordination::plain_choice::choose_by_own;
+use crate::coordination::plain_choice::choose_by_own_load;
 use crate::coordination::retry::may_retry;
-use crate::coordination::upstream_candidate::{ChoiceFault, UpstreamCandidate};
+use crate::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
 use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
 use crate::protocol::http::HttpReply;
 use crate::protocol::peer_wire::RouteDecision;
@@ -107,10 +107,10 @@
     let now_ms = shared.clock.now_ms();
     let mut desk = lock(&shared.desk);
     let candidates = candidates(&desk, sight, tried, now_ms);
-    let chosen = choose_by_own(&candidates, UpstreamKey::of(request_id).0);
+    let chosen = choose_by_own_load(&candidates, UpstreamKey::of(request_id).0);
     let chosen = chosen.map_err(|fault| match fault {
-        ChoiceFault::Resting(rest_ms) => Some(rest_ms),
-        ChoiceFault::NoUpstream | ChoiceFault::Full => None,
+        ChoiceError::BackingOff(rest_ms) => Some(rest_ms),
+        ChoiceError::NoUpstream | ChoiceError::Full => None,
     })?;
     desk.outliers.begin_trial(chosen, now_ms);
     *desk.plain_in_flight.entry(chosen).or_default() += 1;
@@ -127,16 +127,16 @@
     let candidate = |key: UpstreamKey| {
         let own = desk.plain_in_flight.get(&key).copied().unwrap_or(0);
         UpstreamCandidate {
-            own,
+            own_load: own,
             tried: tried.contains(&key),
-            rest_ms: desk.notices.rest_ms(key, now_ms),
+            backoff_ms: desk.notices.backoff_ms(key, now_ms),
             ..UpstreamCandidate::idle(key)
         }
     };
     let staying = sight.members.iter().copied().filter(|key| {
         sight.view.engines.contains_key(key)
             && !desk.leaving.is_leaving(*key)
-            && !desk.outliers.is_aside(*key, now_ms)
+            && !desk.outliers.is_ejected(*key, now_ms)
     });
     staying.map(candidate).collect()
 }
@@ -193,6 +193,6 @@
 /// Notes the rest that an upstream asks for; false where it doesn't.
 fn hear_rest(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
     let Some(rest_ms) = plain::asked_rest(reply) else { return false };
-    lock(&shared.desk).notices.note_rest(upstream, rest_ms, shared.clock.next_ms());
+    lock(&shared.desk).notices.note_backoff(upstream, rest_ms, shared.clock.next_ms());
     true
 }
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -2,11 +2,11 @@
 
 use super::vm_node::VmNode;
 use super::vm_task::{CallerTask, RETRY_MS};
-use crate::coordination::engine_room::{RoomNews, RoomRequest, ServiceRoom};
-use crate::coordination::plain_choice::{choose_kept, choose_plain, plain_choices};
+use crate::coordination::engine_room::{CapacityRequest, ReportedLoad, ServiceCapacity};
+use crate::coordination::plain_choice::{choose_plain, choose_with_affinity, drawn_upstreams};
 use crate::coordination::rollout_watch::RolloutLane;
 use crate::coordination::upstream_candidate::{
-    earliest_return, CandidateSet, ChoiceFault, UpstreamCandidate,
+    earliest_retry, CandidateSet, ChoiceError, UpstreamCandidate,
 };
 use crate::coordination::upstream_choice::{choose_engine, EngineRules, UpstreamPick};
 use crate::state::ids::UpstreamKey;
@@ -32,9 +32,9 @@
         &self,
         service: &ServiceEntry,
         rule: &RouteRule,
-        room: Option<&RoomRequest>,
+        room: Option<&CapacityRequest>,
         tried: &[UpstreamKey],
-    ) -> Result<UpstreamPick, ChoiceFault> {
+    ) -> Result<UpstreamPick, ChoiceError> {
         let lane = self.node.rollout_lane(&service.name, rule, tried.is_empty());
         if lane == RolloutLane::Trial {
             if let Ok(pick) = self.choose_in(lane, service, rule, room, tried) {
@@ -55,7 +55,7 @@
     pub(super) fn return_ms(&self, service: &ServiceEntry) -> u64 {
         let now_ms = self.node.now_ms();
         let candidates = self.candidates(RolloutLane::Usual, service, &[], now_ms);
-        earliest_return(&candidates).unwrap_or(RETRY_MS)
+        earliest_retry(&candidates).unwrap_or(RETRY_MS)
     }
 
     fn choose_in(
@@ -63,9 +63,9 @@
         lane: RolloutLane,
         service: &ServiceEntry,
         rule: &RouteRule,
-        room: Option<&RoomRequest>,
+        room: Option<&CapacityRequest>,
         tried: &[UpstreamKey],
-    ) -> Result<UpstreamPick, ChoiceFault> {
+    ) -> Result<UpstreamPick, ChoiceError> {
         let now_ms = self.node.now_ms();
         let mut candidates = self.candidates(lane, service, tried, now_ms);
         let engine = service.engine.as_ref().filter(|_| rule.prompt_parts);
@@ -79,14 +79,14 @@
         if held_back as f64 >= WITHHELD_OVERLOADS * candidates.len() as f64 {
             self.node.overloaded_ms.set(now_ms);
         }
-        let spread = if overloaded { OVERLOADED_SPREAD } else { usize::MAX };
+        let max_engines = if overloaded { OVERLOADED_SPREAD } else { usize::MAX };
         let memory = self.node.prefixes.borrow();
         let vms = self.node.view.borrow().roster.rows.len().max(1);
-        let rate = memory.fleet_rate(&self.caller.prompt, vms, now_ms);
+        let rate = memory.estimated_fleet_rate(&self.caller.prompt, vms, now_ms);
         let hold_ms = self.node.with_room(&service.name, |room| room.hold_ms());
         let rules = EngineRules {
-            moves: engine.moves,
-            spread,
+            kv_transfer: engine.moves,
+            max_engines,
             load_limit: self.node.settings.borrow().bounds.load_limit,
             part_load: rate * hold_ms / 1000.0,
             draw: self.draw,
@@ -98,15 +98,15 @@
         &self,
         service: &ServiceEntry,
         candidates: &[UpstreamCandidate],
-    ) -> Result<UpstreamKey, ChoiceFault> {
+    ) -> Result<UpstreamKey, ChoiceError> {
         let holds = self.node.plain_holds.borrow();
         let hold = holds.get(&service.name).copied().unwrap_or_default();
-        match hold.outlasts_news() {
+        match hold.exceeds_report_interval() {
             true => {
-                let choices = plain_choices(self.node.view.borrow().roster.rows.len());
+                let choices = drawn_upstreams(self.node.view.borrow().roster.rows.len());
                 choose_plain(candidates, choices, self.draw)
             }
-            false => choose_kept(candidates, self.node.id, self.draw),
+            false => choose_with_affinity(candidates, self.node.id, self.draw),
         }
     }
 
@@ -115,7 +115,7 @@
         &self,
         service: &str,
         places: u32,
-        request: &RoomRequest,
+        request: &CapacityRequest,
         candidates: &mut [UpstreamCandidate],
     ) -> bool {
         let news = self.room_news(candidates);
@@ -136,17 +136,17 @@
         overloaded
     }
 
-    fn room_news(&self, candidates: &[UpstreamCandidate]) -> RoomNews {
+    fn room_news(&self, candidates: &[UpstreamCandidate]) -> ReportedLoad {
         let view = self.node.view.borrow();
-        let mut news = RoomNews {
+        let mut news = ReportedLoad {
             vms: view.roster.rows.len(),
             age_ms: self.node.now_ms().saturating_sub(view.heard_ms),
-            ..RoomNews::default()
+            ..ReportedLoad::default()
         };
-        let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.aside;
+        let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.ejected;
         for candidate in candidates.iter().filter(counts) {
             news.reported += candidate.load;
-            news.own += candidate.own;
+            news.own += candidate.own_load;
             news.engines += 1;
         }
         let counted = |key: &UpstreamKey| {
@@ -179,8 +179,8 @@
             UpstreamCandidate {
                 leaving: entry.leaving,
                 withheld,
-                seat: entry.ring_slot,
-                near: entry.zone == settings.zone,
+                ring_slot: entry.ring_slot,
+                same_zone: entry.zone == settings.zone,
                 first_seen_ms,
                 ..UpstreamCandidate::idle(key)
             }
@@ -191,9 +191,9 @@
         self.note_faults(&mut candidates, now_ms);
         for key in notices.known() {
             candidates.change(key, |candidate| {
-                candidate.aside |= notices.is_spared(key, now_ms);
+                candidate.ejected |= notices.is_avoided(key, now_ms);
                 candidate.leaving |= notices.is_leaving(key);
-                candidate.rest_ms = notices.rest_ms(key, now_ms);
+                candidate.backoff_ms = notices.backoff_ms(key, now_ms);
             });
         }
         tried.iter().for_each(|key| candidates.change(*key, |candidate| candidate.tried = true));
@@ -213,7 +213,8 @@
     fn note_loads(&self, candidates: &mut CandidateSet) {
         let view = self.node.view.borrow();
         for (key, own) in self.node.in_flight.borrow().iter() {
-            candidates.change(*key, |candidate| (candidate.own, candidate.load) = (*own, *own));
+            candidates
+                .change(*key, |candidate| (candidate.own_load, candidate.load) = (*own, *own));
         }
         for key in view.reports.known() {
             candidates.change(key, |candidate| candidate.load += view.reports.others(key));
@@ -228,9 +229,9 @@
         // An old grant says nothing: no VM would try them again.
         let fresh = view.heard_ms + FAILING_KEEP_MS > now_ms;
         let failing = view.failing.iter().copied().filter(|_| fresh);
-        let aside = outliers.known().filter(|key| outliers.is_aside(*key, now_ms));
+        let aside = outliers.known().filter(|key| outliers.is_ejected(*key, now_ms));
         for key in failing.chain(silence.view.unresponsive(now_ms)).chain(aside) {
-            candidates.change(key, |candidate| candidate.aside = true);
+            candidates.change(key, |candidate| candidate.ejected = true);
         }
         candidates.remove_all(outliers.known().filter(|key| outliers.is_gone(*key)));
     }
@@ -238,7 +239,11 @@
 
 impl VmNode {
     /// Lets `act` use what was learned of the room at a service.
-    pub(super) fn with_room<T>(&self, service: &str, act: impl FnOnce(&mut ServiceRoom) -> T) -> T {
+    pub(super) fn with_room<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut ServiceCapacity) -> T,
+    ) -> T {
         let mut rooms = self.rooms.borrow_mut();
         match rooms.get_mut(service) {
             Some(room) => act(room),
--- a/lib/tests/test_rest_spread.rs
+++ b/lib/tests/test_rest_spread.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use wingshed_lib::coordination::plain_choice::choose_by_own;
+use wingshed_lib::coordination::plain_choice::choose_by_own_load;
 use wingshed_lib::coordination::upstream_candidate::UpstreamCandidate;
 use wingshed_lib::coordination::upstream_notice::NoticeTable;
 use wingshed_lib::state::ids::UpstreamKey;
@@ -53,10 +53,10 @@
             match sent.refused {
                 true => {
                     refused += 1;
-                    notices.note_rest(key, REST_MS, now_ms);
+                    notices.note_backoff(key, REST_MS, now_ms);
                     asked[sent.upstream].push((now_ms, 0));
                 }
-                false => notices.note_taken(key, now_ms),
+                false => notices.note_accepted(key, now_ms),
             }
         }
         flying.retain(|sent| sent.ends_ms > now_ms);
@@ -67,16 +67,16 @@
             .map(|at| {
                 let key = UpstreamKey(at as u64 + 1);
                 let own = flying.iter().filter(|sent| sent.upstream == at).count() as u32;
-                let rest_ms = notices.rest_ms(key, now_ms);
+                let backoff_ms = notices.backoff_ms(key, now_ms);
                 UpstreamCandidate {
-                    own,
-                    rest_ms: if way == RestWay::Unheeded { 0 } else { rest_ms },
-                    aside: way == RestWay::OneFirst && notices.is_spared(key, now_ms),
+                    own_load: own,
+                    backoff_ms: if way == RestWay::Unheeded { 0 } else { backoff_ms },
+                    ejected: way == RestWay::OneFirst && notices.is_avoided(key, now_ms),
                     ..candidate(key.0, own)
                 }
             })
             .collect();
-        let key = choose_by_own(&candidates, random.gen()).unwrap();
+        let key = choose_by_own_load(&candidates, random.gen()).unwrap();
         let upstream = key.0 as usize - 1;
         let tired = upstream < TIRED && now_ms < TIRED_MS;
         notices.note_sent(key, now_ms);
