--- a/daemons/src/vm.rs
+++ b/daemons/src/vm.rs
@@ -130,7 +130,7 @@
     node.start()?;
     node.start_listeners()?;
     if let Some(place) = figures {
-        node.start_figures(place.port, place.path);
+        node.start_metrics(place.port, place.path);
     }
     let mut seen = modified(&path);
     loop {
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -1,7 +1,7 @@
 //! Which upstream a request goes to: what this VM knows of each, and whether there is room.
 
 use super::vm_node::VmNode;
-use super::vm_task::{CallerTask, RETRY_MS};
+use super::vm_task::{CallerTask, DEFAULT_RETRY_MS};
 use crate::coordination::engine_room::{RoomNews, RoomRequest, ServiceRoom};
 use crate::coordination::plain_choice::{choose_kept, choose_plain, plain_choices};
 use crate::coordination::rollout_watch::RolloutLane;
@@ -14,16 +14,16 @@
 use crate::state::upstream_list::{EntryDoubt, UpstreamEntry};
 
 /// From this part of the bound on an engine's load VMs report loads more often.
-const OVERLOADED_PART: f64 = 0.75;
+const OVERLOAD_SHARE: f64 = 0.75;
 /// While this part of a service's engines is withheld, VMs report loads as often as under
 /// overload: the others' mean is closer to the limit, which goes by the mean of all.
-const WITHHELD_OVERLOADS: f64 = 0.1;
+const WITHHELD_OVERLOAD_SHARE: f64 = 0.1;
 /// Upstreams that fail everybody are left alone for this long after the leader named them last, in
 /// milliseconds.
-const FAILING_KEEP_MS: u64 = 1000;
+const FAILING_MAX_AGE_MS: u64 = 1000;
 /// While all are overloaded a prompt is sent to so many engines of its order at most: each further one
 /// reads or moves its shared parts anew, and evicts others from its memory.
-const OVERLOADED_SPREAD: usize = 3;
+const OVERLOADED_MAX_ENGINES: usize = 3;
 
 impl CallerTask {
     /// Chooses an upstream; `room` is what asks for a place, and a request without it gets one
@@ -37,14 +37,14 @@
     ) -> Result<UpstreamPick, ChoiceFault> {
         let lane = self.node.rollout_lane(&service.name, rule, tried.is_empty());
         if lane == RolloutLane::Trial {
-            if let Ok(pick) = self.choose_in(lane, service, rule, room, tried) {
+            if let Ok(pick) = self.choose_in_lane(lane, service, rule, room, tried) {
                 return Ok(pick);
             }
         }
-        let pick = self.choose_in(RolloutLane::Usual, service, rule, room, tried);
+        let pick = self.choose_in_lane(RolloutLane::Usual, service, rule, room, tried);
         match pick {
             Err(fault) if self.node.may_go_back(&service.name) => {
-                let back = self.choose_in(RolloutLane::Back, service, rule, room, tried);
+                let back = self.choose_in_lane(RolloutLane::Back, service, rule, room, tried);
                 back.map_err(|_| fault)
             }
             pick => pick,
@@ -52,13 +52,13 @@
     }
 
     /// When a caller that is refused should come back, in milliseconds: soon, unless all rest.
-    pub(super) fn return_ms(&self, service: &ServiceEntry) -> u64 {
+    pub(super) fn earliest_retry_ms(&self, service: &ServiceEntry) -> u64 {
         let now_ms = self.node.now_ms();
         let candidates = self.candidates(RolloutLane::Usual, service, &[], now_ms);
-        earliest_return(&candidates).unwrap_or(RETRY_MS)
+        earliest_return(&candidates).unwrap_or(DEFAULT_RETRY_MS)
     }
 
-    fn choose_in(
+    fn choose_in_lane(
         &self,
         lane: RolloutLane,
         service: &ServiceEntry,
@@ -76,14 +76,14 @@
             engine.slots > 0 && self.mark_full(&service.name, engine.slots, room, &mut candidates)
         });
         let held_back = candidates.iter().filter(|candidate| candidate.is_held_back()).count();
-        if held_back as f64 >= WITHHELD_OVERLOADS * candidates.len() as f64 {
+        if held_back as f64 >= WITHHELD_OVERLOAD_SHARE * candidates.len() as f64 {
             self.node.overloaded_ms.set(now_ms);
         }
-        let spread = if overloaded { OVERLOADED_SPREAD } else { usize::MAX };
+        let spread = if overloaded { OVERLOADED_MAX_ENGINES } else { usize::MAX };
         let memory = self.node.prefixes.borrow();
         let vms = self.node.view.borrow().roster.rows.len().max(1);
         let rate = memory.fleet_rate(&self.caller.prompt, vms, now_ms);
-        let hold_ms = self.node.with_room(&service.name, |room| room.hold_ms());
+        let hold_ms = self.node.with_service_capacity(&service.name, |room| room.hold_ms());
         let rules = EngineRules {
             moves: engine.moves,
             spread,
@@ -118,7 +118,7 @@
         request: &RoomRequest,
         candidates: &mut [UpstreamCandidate],
     ) -> bool {
-        let news = self.room_news(candidates);
+        let news = self.load_summary(candidates);
         if !news.is_fresh() {
             return false;
         }
@@ -129,14 +129,14 @@
         for candidate in candidates {
             candidate.full = f64::from(candidate.load) + growth >= bound;
         }
-        let overloaded = news.mean() >= OVERLOADED_PART * bound;
+        let overloaded = news.mean() >= OVERLOAD_SHARE * bound;
         if overloaded {
             self.node.overloaded_ms.set(self.node.now_ms());
         }
         overloaded
     }
 
-    fn room_news(&self, candidates: &[UpstreamCandidate]) -> RoomNews {
+    fn load_summary(&self, candidates: &[UpstreamCandidate]) -> RoomNews {
         let view = self.node.view.borrow();
         let mut news = RoomNews {
             vms: view.roster.rows.len(),
@@ -226,7 +226,7 @@
         let outliers = self.node.outliers.borrow();
         let silence = self.node.silence.borrow();
         // An old grant says nothing: no VM would try them again.
-        let fresh = view.heard_ms + FAILING_KEEP_MS > now_ms;
+        let fresh = view.heard_ms + FAILING_MAX_AGE_MS > now_ms;
         let failing = view.failing.iter().copied().filter(|_| fresh);
         let aside = outliers.known().filter(|key| outliers.is_aside(*key, now_ms));
         for key in failing.chain(silence.view.dark(now_ms)).chain(aside) {
@@ -238,7 +238,11 @@
 
 impl VmNode {
     /// Lets `act` use what was learned of the room at a service.
-    pub(super) fn with_room<T>(&self, service: &str, act: impl FnOnce(&mut ServiceRoom) -> T) -> T {
+    pub(super) fn with_service_capacity<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut ServiceRoom) -> T,
+    ) -> T {
         let mut rooms = self.rooms.borrow_mut();
         match rooms.get_mut(service) {
             Some(room) => act(room),
--- a/lib/src/transport/vm_connection.rs
+++ b/lib/src/transport/vm_connection.rs
@@ -24,7 +24,7 @@
 use tokio::time::timeout;
 
 use super::vm_answer::close_after;
-use super::vm_guard::OpenGuard;
+use super::vm_guard::ConnectionGuard;
 use super::vm_node::VmNode;
 use super::vm_pulse::{ConnectionPulse, WatchedBody, WatchedStream};
 use super::vm_relay::AnswerBody;
@@ -32,12 +32,12 @@
 
 /// A caller's connection may rest this much longer than the configuration says, in milliseconds, so
 /// that a caller who keeps the bound never meets a closing connection.
-const REST_SLACK_MS: u64 = 1500;
+const IDLE_SLACK_MS: u64 = 1500;
 /// The rest allowed before any configuration is known, in milliseconds.
-const USUAL_REST_MS: u64 = 15_000;
+const DEFAULT_IDLE_MS: u64 = 15_000;
 /// The largest head before any configuration is known, and the least that the library takes.
-const USUAL_HEAD_BYTES: usize = 16_384;
-const LEAST_BUFFER_BYTES: usize = 8192;
+const DEFAULT_HEAD_BYTES: usize = 16_384;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 type ServedAnswer = Pin<Box<dyn Future<Output = Result<Response<WatchedBody>, Infallible>>>>;
 
@@ -47,7 +47,7 @@
     F: Fn(Rc<VmNode>, Request<Incoming>) -> R + Clone + Unpin + 'static,
     R: Future<Output = Response<AnswerBody>> + 'static,
 {
-    let _open = OpenGuard::new(&node);
+    let _open = ConnectionGuard::new(&node);
     let closing = node.closing.notified();
     tokio::pin!(closing);
     let (pulse, record) = (ConnectionPulse::default(), ConnectionRecord::default());
@@ -70,7 +70,7 @@
 
 fn rest_ms(node: &VmNode) -> u64 {
     let routes = node.routes.borrow();
-    routes.as_ref().map_or(USUAL_REST_MS, |routes| routes.table.limits.idle_ms) + REST_SLACK_MS
+    routes.as_ref().map_or(DEFAULT_IDLE_MS, |routes| routes.table.limits.idle_ms) + IDLE_SLACK_MS
 }
 
 /// Serves requests until the connection rests, and gives it back then.
@@ -87,7 +87,7 @@
     R: Future<Output = Response<AnswerBody>> + 'static,
 {
     let limits = node.routes.borrow().as_ref().map(|routes| routes.table.limits);
-    let head_bytes = limits.map_or(USUAL_HEAD_BYTES, |limits| limits.head_bytes);
+    let head_bytes = limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes);
     pulse.begin_run();
     let service = {
         let (node, pulse) = (node.clone(), pulse.clone());
@@ -112,7 +112,7 @@
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(rest_ms(node)))
-        .max_buf_size(head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let rests = tokio::select! {
         rests = poll_fn(|context| poll_run(&mut connection, &pulse, context)) => rests,
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -231,7 +231,7 @@
             }
             VmDatagram::Quarantine { term, table } => {
                 if term >= self.view.borrow().term {
-                    self.take_quarantine(table);
+                    self.apply_quarantine(table);
                 }
             }
             VmDatagram::AskNews(ask) => self.answer_ask(from, ask),
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -12,7 +12,7 @@
 use tracing::info;
 
 use super::vm_node::VmNode;
-use super::vm_place::SendPlace;
+use super::vm_place::SendTarget;
 use super::vm_pool::ConnectFault;
 use super::vm_task::CallerTask;
 use crate::coordination::crash_outbox::SeenCrash;
@@ -21,7 +21,7 @@
 /// A process that ends closes its connections and its listener one after the other, so that one which
 /// is reached is looked at again after these times; it is back after seconds at the earliest. Looks at
 /// one that lives cost nothing: the connection that came up first rests between them.
-const LOOK_AGAIN: [Duration; 3] =
+const RECHECK_DELAYS: [Duration; 3] =
     [Duration::from_millis(10), Duration::from_millis(40), Duration::from_millis(250)];
 
 /// A send whose connection broke.
@@ -42,7 +42,7 @@
 
     /// Whether upstreams ended under this request so often that it is sent nowhere. Asked before each
     /// send, by its content: it comes as a new attempt, at any VM.
-    pub(super) fn is_held(&self, workspace: Option<&str>) -> bool {
+    pub(super) fn is_quarantined(&self, workspace: Option<&str>) -> bool {
         let desk = self.node.quarantine.borrow();
         desk.knows_any() && desk.is_held(self.mark(workspace))
     }
@@ -55,39 +55,39 @@
 
     /// An answer came whole, and its end was given by its framing: one that ends with its connection
     /// may have ended with its upstream.
-    pub(super) fn note_ran(&self, place: &SendPlace, framed: bool) {
+    pub(super) fn note_ran(&self, target: &SendTarget, framed: bool) {
         if framed && self.node.quarantine.borrow().knows_any() {
-            self.node.note_ran_well(self.mark(place.send.workspace.as_deref()));
+            self.node.report_completed(self.mark(target.send.workspace.as_deref()));
         }
     }
 
     /// The connection of a send broke: looks whether the upstream has ended, beside the request.
-    pub(super) fn look_after_break(&self, place: &SendPlace) {
+    pub(super) fn check_after_break(&self, target: &SendTarget) {
         let seen = SeenCrash {
-            mark: self.mark(place.send.workspace.as_deref()),
-            upstream: place.upstream,
-            watched: place.watched,
-            ran_ms: self.node.now_ms().saturating_sub(place.sent_ms),
+            mark: self.mark(target.send.workspace.as_deref()),
+            upstream: target.upstream,
+            watched: target.watched,
+            ran_ms: self.node.now_ms().saturating_sub(target.sent_ms),
         };
         let broken = BrokenSend {
             seen,
-            address: place.address,
-            life: place.send.life.clone(),
+            address: target.address,
+            life: target.send.life.clone(),
             attempt: self.caller.attempt.clone(),
         };
-        spawn_local(self.node.clone().look_after(broken));
+        spawn_local(self.node.clone().confirm_crash(broken));
     }
 }
 
 impl VmNode {
-    async fn look_after(self: Rc<Self>, broken: BrokenSend) {
+    async fn confirm_crash(self: Rc<Self>, broken: BrokenSend) {
         let BrokenSend { seen, address, life, attempt } = broken;
         if !self.has_ended(seen.upstream, address).await {
             return;
         }
         self.outliers.borrow_mut().note_gone(seen.upstream);
         self.figures.borrow_mut().ended_under += 1;
-        self.note_ended_under(seen);
+        self.report_crash(seen);
         info!(
             target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
             "has ended under it",
@@ -99,13 +99,13 @@
             return true;
         }
         if let Some(fault) = self.connect_only(upstream, address).await {
-            return fault == ConnectFault::NobodyListens;
+            return fault == ConnectFault::ConnectionRefused;
         }
-        for pause in LOOK_AGAIN {
+        for pause in RECHECK_DELAYS {
             tokio::time::sleep(pause).await;
             match self.pool.take(self.trial(upstream, address)).await {
                 Ok(lease) => lease.finish(false, None, self.now_ms()).await,
-                Err(fault) => return fault == ConnectFault::NobodyListens,
+                Err(fault) => return fault == ConnectFault::ConnectionRefused,
             }
         }
         false
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -21,8 +21,8 @@
 use super::vm_node::{RoutesInForce, VmNode};
 use super::vm_relay::AnswerBody;
 use super::vm_reply::SendResult;
-use super::vm_request_record::{ConnectionRecord, RecordWatch, RequestRecord};
-use super::vm_task::{CallerTask, Denial, LEAST_LEFT_MS, RETRY_MS};
+use super::vm_request_record::{CallerWatch, ConnectionRecord, RequestRecord};
+use super::vm_task::{CallerTask, Denial, DEFAULT_RETRY_MS, MIN_REMAINING_MS};
 use crate::coordination::attempt_plan::{AttemptCount, NextStep, RunKnowledge, SendOutcome};
 use crate::coordination::crash_table::FIRST_HELD_MS;
 use crate::coordination::engine_room::RoomRequest;
@@ -34,12 +34,12 @@
 /// A VM that has just started holds requests until it is ready, this long at most, in
 /// milliseconds: a group that was killed whole serves again 220 ms after its start, as measured
 /// (docs/design/platform.md), and a caller that is refused meanwhile comes back later than that.
-const WAKE_HOLD_MS: u64 = 300;
+const STARTUP_WAIT_MS: u64 = 300;
 /// A VM has just started until this age, in milliseconds.
-const WAKE_AGE_MS: u64 = 3000;
+const STARTUP_AGE_MS: u64 = 3000;
 /// An age of the contact at which this VM may no longer say that a route or key is unknown:
 /// another version may be in force. In milliseconds.
-const DENY_AGE_MS: u64 = 1500;
+const DENIAL_MAX_AGE_MS: u64 = 1500;
 
 /// Serves one request of a caller.
 pub async fn serve_caller(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
@@ -56,10 +56,10 @@
             return close_after(own_answer(StatusCode::BAD_REQUEST, text));
         }
     };
-    wake(&node, arrived).await;
+    wait_until_ready(&node, arrived).await;
     let limit = match node.routes.borrow().as_ref() {
         Some(routes) => routes.table.limits.body_bytes,
-        None => return close_after(deny(&Denial::NoRoutes)),
+        None => return close_after(deny(&Denial::NoConfiguration)),
     };
     if body.size_hint().lower() > limit as u64 {
         return close_after(own_answer(StatusCode::PAYLOAD_TOO_LARGE, ""));
@@ -77,7 +77,7 @@
     };
     let draw = node.draw();
     let record = RequestRecord::new(&node, &caller.attempt);
-    let watch = RecordWatch(record.clone());
+    let watch = CallerWatch(record.clone());
     let task = CallerTask {
         node,
         head,
@@ -90,8 +90,8 @@
         mark: OnceCell::new(),
         _serving: serving,
     };
-    let answer = match task.must_end() {
-        true => task.serve_to_its_end().await,
+    let answer = match task.must_complete() {
+        true => task.serve_detached().await,
         false => task.serve().await,
     };
     watch.0.note_answered();
@@ -99,12 +99,12 @@
 }
 
 /// Waits a little for a VM that has just started to become ready.
-async fn wake(node: &VmNode, arrived: Instant) {
-    let until = arrived + Duration::from_millis(WAKE_HOLD_MS);
+async fn wait_until_ready(node: &VmNode, arrived: Instant) {
+    let until = arrived + Duration::from_millis(STARTUP_WAIT_MS);
     loop {
         let changed = node.contact_changed.notified();
         let ready = node.is_ready() && !node.upstreams.borrow().entries.is_empty();
-        let waking = node.clock.age_ms() < WAKE_AGE_MS && node.stopping_ms.get().is_none();
+        let waking = node.clock.age_ms() < STARTUP_AGE_MS && node.stopping_ms.get().is_none();
         if ready || !waking || timeout_at(until, changed).await.is_err() {
             return;
         }
@@ -114,11 +114,17 @@
 fn deny(denial: &Denial) -> Response<AnswerBody> {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match denial {
-        Denial::NoRoutes => refusal(unavailable, "no configuration is known yet", RETRY_MS),
-        Denial::OldContact => refusal(unavailable, "the configuration may be old", RETRY_MS),
+        Denial::NoConfiguration => {
+            refusal(unavailable, "no configuration is known yet", DEFAULT_RETRY_MS)
+        }
+        Denial::StaleConfiguration => {
+            refusal(unavailable, "the configuration may be old", DEFAULT_RETRY_MS)
+        }
         Denial::NoRoute => own_answer(StatusCode::NOT_FOUND, "no such route"),
         Denial::NoKey => own_answer(StatusCode::UNAUTHORIZED, "no such key"),
-        Denial::Held => refusal(unavailable, "upstreams ended under this request", FIRST_HELD_MS),
+        Denial::Quarantined => {
+            refusal(unavailable, "upstreams ended under this request", FIRST_HELD_MS)
+        }
     }
 }
 
@@ -126,7 +132,7 @@
     /// Whether the request is brought to its end although its caller leaves: it may run once, and a
     /// run that is cut leaves unknown whether it took effect. Streams are not: an engine
     /// would generate for no reader.
-    fn must_end(&self) -> bool {
+    fn must_complete(&self) -> bool {
         match self.decide() {
             Ok((routes, route, _)) => routes.table.routes[route].kind == RequestKind::Once,
             Err(_) => false,
@@ -134,7 +140,7 @@
     }
 
     /// Serves apart from the caller's connection, and logs the end if that is gone by then.
-    async fn serve_to_its_end(self) -> Response<AnswerBody> {
+    async fn serve_detached(self) -> Response<AnswerBody> {
         let (sender, receiver) = oneshot::channel();
         let record = self.record.clone();
         spawn_local(async move {
@@ -175,10 +181,10 @@
             });
             let first = !std::mem::replace(&mut noted, true);
             if first {
-                self.note_asked(&service.name, room.as_ref());
+                self.note_first_request(&service.name, room.as_ref());
             }
             let left = deadline_ms.saturating_sub(self.node.now_ms());
-            if left < LEAST_LEFT_MS {
+            if left < MIN_REMAINING_MS {
                 return self.time_out(&count);
             }
             // Where it has run it is at its end; where it hasn't, no answer would reach its caller.
@@ -187,7 +193,7 @@
             }
             let pick = match self.choose(service, rule, room.as_ref(), &tried) {
                 Ok(pick) => pick,
-                Err(fault) => return self.refuse_unplaced(&count, &service.name, fault),
+                Err(fault) => return self.refuse_unassigned(&count, &service.name, fault),
             };
             if count.sent > 0 && !self.spend_repeat(&service.name) {
                 return match count.give_up() {
@@ -196,17 +202,17 @@
                 };
             }
             if let (true, Some(room)) = (first, &room) {
-                self.node.with_room(&service.name, |known| known.note_taken(room));
+                self.node.with_service_capacity(&service.name, |known| known.note_taken(room));
             }
             tried.push(pick.upstream);
-            let Some(place) = self.place(&routes, at, workspace, pick, left, None) else {
+            let Some(target) = self.place(&routes, at, workspace, pick, left, None) else {
                 continue;
             };
             if count.sent > 0 {
                 self.node.figures.borrow_mut().repeats += 1;
             }
             self.record.note(RunKnowledge::Unknown);
-            let outcome = match self.send(&place, deadline_ms).await {
+            let outcome = match self.send(&target, deadline_ms).await {
                 SendResult::Answer(answer) => {
                     self.record.note(RunKnowledge::Ran);
                     let failed = answer.head.status.is_server_error();
@@ -216,11 +222,11 @@
                         && self.may_spend_repeat(&service.name)
                         && self.choose(service, rule, room.as_ref(), &tried).is_ok();
                     if !repeats {
-                        return self.pass_on(place, *answer, deadline_ms, &mut count).await;
+                        return self.forward_answer(target, *answer, deadline_ms, &mut count).await;
                     }
                     SendOutcome::Failed
                 }
-                SendResult::Bad(outcome) => outcome,
+                SendResult::NoAnswer(outcome) => outcome,
             };
             count.note(outcome);
             self.record.note(count.knowledge());
@@ -236,14 +242,16 @@
     /// What the routes in force say of this request now.
     pub(super) fn decide(&self) -> Result<(Rc<RoutesInForce>, usize, Option<usize>), Denial> {
         let now_ms = self.node.now_ms();
-        let Some(routes) = self.node.routes.borrow().clone() else { return Err(Denial::NoRoutes) };
+        let Some(routes) = self.node.routes.borrow().clone() else {
+            return Err(Denial::NoConfiguration);
+        };
         let contact = self.node.contact.borrow();
         let bounds = self.node.settings.borrow().bounds;
         if contact.is_behind(bounds.apply_ms, now_ms) {
-            return Err(Denial::OldContact);
+            return Err(Denial::StaleConfiguration);
         }
-        let sure = contact.age_ms(now_ms) < DENY_AGE_MS;
-        let denied = |denial| Err(if sure { denial } else { Denial::OldContact });
+        let sure = contact.age_ms(now_ms) < DENIAL_MAX_AGE_MS;
+        let denied = |denial| Err(if sure { denial } else { Denial::StaleConfiguration });
         let caller = &self.caller;
         match routes.table.decide(&caller.host, &caller.path, caller.key.as_deref()) {
             RouteDecision::NoRoute => denied(Denial::NoRoute),
@@ -251,12 +259,12 @@
             RouteDecision::Served { route, workspace } => {
                 let keyed = routes.table.workspaces.is_some() && !routes.table.routes[route].public;
                 if keyed && !contact.may_serve_keys(bounds.revoke_ms, now_ms) {
-                    return Err(Denial::OldContact);
+                    return Err(Denial::StaleConfiguration);
                 }
                 drop(contact);
                 let name = workspace.and_then(|at| routes.table.workspace(at));
-                match self.is_held(name.map(|workspace| workspace.name.as_str())) {
-                    true => Err(Denial::Held),
+                match self.is_quarantined(name.map(|workspace| workspace.name.as_str())) {
+                    true => Err(Denial::Quarantined),
                     false => Ok((routes, route, workspace)),
                 }
             }
@@ -269,26 +277,26 @@
     }
 
     /// It asks its service for the first time.
-    fn note_asked(&self, service: &str, room: Option<&RoomRequest>) {
+    fn note_first_request(&self, service: &str, room: Option<&RoomRequest>) {
         let (allowance, now_ms) = (self.node.allowance(), self.node.now_ms());
         let mut budgets = self.node.budgets.borrow_mut();
         budgets.entry(service.to_string()).or_default().note_first(&allowance, now_ms);
         if let Some(room) = room {
             self.node.prefixes.borrow_mut().note_asked(&self.caller.prompt, now_ms);
-            self.node.with_room(service, |known| known.note_asked(room, now_ms));
+            self.node.with_service_capacity(service, |known| known.note_asked(room, now_ms));
         }
     }
 
     pub(super) fn spend_repeat(&self, service: &str) -> bool {
-        self.ask_budget(service, RepeatBudget::spend)
+        self.use_budget(service, RepeatBudget::spend)
     }
 
     /// Whether [`CallerTask::spend_repeat`] would succeed.
     fn may_spend_repeat(&self, service: &str) -> bool {
-        self.ask_budget(service, RepeatBudget::may_spend)
+        self.use_budget(service, RepeatBudget::may_spend)
     }
 
-    fn ask_budget(
+    fn use_budget(
         &self,
         service: &str,
         ask: fn(&mut RepeatBudget, &RepeatAllowance, usize, u64) -> bool,
@@ -305,17 +313,24 @@
 
     fn deny(&self, denial: &Denial) -> Response<AnswerBody> {
         self.note_end(match denial {
-            Denial::NoRoutes | Denial::OldContact | Denial::Held => RequestEnd::Refused,
+            Denial::NoConfiguration | Denial::StaleConfiguration | Denial::Quarantined => {
+                RequestEnd::Refused
+            }
             Denial::NoRoute | Denial::NoKey => RequestEnd::Denied,
         });
         deny(denial)
     }
 
     fn refuse(&self, count: &AttemptCount, why: &str) -> Response<AnswerBody> {
-        self.refuse_until(count, why, RETRY_MS)
+        self.refuse_with_retry(count, why, DEFAULT_RETRY_MS)
     }
 
-    fn refuse_until(&self, count: &AttemptCount, why: &str, retry_ms: u64) -> Response<AnswerBody> {
+    fn refuse_with_retry(
+        &self,
+        count: &AttemptCount,
+        why: &str,
+        retry_ms: u64,
+    ) -> Response<AnswerBody> {
         self.note_end(RequestEnd::Refused);
         let attempt = &self.caller.attempt;
         info!(target: "request", attempt, sent = count.sent, retry_ms, "refused: {why}");
@@ -329,11 +344,11 @@
         service: &ServiceEntry,
         why: &str,
     ) -> Response<AnswerBody> {
-        self.refuse_until(count, why, self.return_ms(service))
+        self.refuse_with_retry(count, why, self.earliest_retry_ms(service))
     }
 
     /// No upstream was chosen.
-    fn refuse_unplaced(
+    fn refuse_unassigned(
         &self,
         count: &AttemptCount,
         service: &str,
@@ -348,13 +363,13 @@
             return self.fail(count, why);
         }
         let retry_ms = match fault {
-            ChoiceFault::NoUpstream => RETRY_MS,
+            ChoiceFault::NoUpstream => DEFAULT_RETRY_MS,
             ChoiceFault::Resting(rest_ms) => rest_ms,
             ChoiceFault::Full => {
-                self.node.with_room(service, |room| room.return_ms(self.node.now_ms()))
+                self.node.with_service_capacity(service, |room| room.return_ms(self.node.now_ms()))
             }
         };
-        self.refuse_until(count, why, retry_ms)
+        self.refuse_with_retry(count, why, retry_ms)
     }
 
     fn fail(&self, count: &AttemptCount, why: &str) -> Response<AnswerBody> {
@@ -368,7 +383,7 @@
         info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "time is over");
         match count.may_have_run {
             true => own_answer(StatusCode::GATEWAY_TIMEOUT, "its time is over"),
-            false => refusal(StatusCode::SERVICE_UNAVAILABLE, "its time is over", RETRY_MS),
+            false => refusal(StatusCode::SERVICE_UNAVAILABLE, "its time is over", DEFAULT_RETRY_MS),
         }
     }
 }
--- a/lib/src/transport/vm_front.rs
+++ b/lib/src/transport/vm_front.rs
@@ -18,7 +18,7 @@
 use crate::coordination::vm_roster::{addresses_ttl_s, RosterRow};
 
 /// The most addresses in one answer; callers count no more.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// Serves one listener with one function, for ever.
 pub fn serve_listener<F, R>(node: &Rc<VmNode>, address: SocketAddr, serve: F) -> std::io::Result<()>
@@ -94,10 +94,10 @@
             true => near,
             false => ready().map(|row| row.id).collect(),
         };
-        if ids.len() > MOST_ADDRESSES {
+        if ids.len() > MAX_ADDRESSES {
             let start = self.draw() as usize % ids.len();
             ids.rotate_left(start);
-            ids.truncate(MOST_ADDRESSES);
+            ids.truncate(MAX_ADDRESSES);
         }
         ids.into_iter().map(|id| SocketAddr::from((std::net::Ipv4Addr::from(id), port))).collect()
     }
@@ -121,10 +121,10 @@
     }
 
     /// Serves the VM's figures at `port` and `path`; a VM serves without that too.
-    pub fn start_figures(self: &Rc<Self>, port: u16, path: String) {
+    pub fn start_metrics(self: &Rc<Self>, port: u16, path: String) {
         let address = SocketAddr::from((self.settings.borrow().ip, port));
         *self.figures_path.borrow_mut() = path;
-        if let Err(error) = serve_listener(self, address, super::vm_metrics::serve_figures) {
+        if let Err(error) = serve_listener(self, address, super::vm_metrics::serve_metrics) {
             warn!(target: "front", %address, "figures are not told: {error}");
         }
     }
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -58,7 +58,7 @@
         let failing = self.take_health_reports(term, &note.health_reports, now_ms);
         self.take_doubts(term, from, &note.doubts);
         self.take_rollout_notes(term, from, note.life, note.rollouts);
-        self.take_crashes(term, &note.crashes, &record.quarantine, now_ms);
+        self.receive_crashes(term, &note.crashes, &record.quarantine, now_ms);
         let upstreams = self.upstreams.borrow();
         GrantNote {
             sent_ms: note.sent_ms,
@@ -180,7 +180,7 @@
             None => self.silence.borrow_mut().view.confirm(now_ms),
         }
         self.take_orders(grant.zones.take(), grant.rollouts.take(), grant.sent_ms);
-        grant.quarantine.take().into_iter().for_each(|table| self.take_quarantine(table));
+        grant.quarantine.take().into_iter().for_each(|table| self.apply_quarantine(table));
         self.quarantine.borrow_mut().confirm(grant.term, grant.crashes_heard);
         let (sent_ms, version, list) = (grant.sent_ms, grant.version, grant.list);
         self.take_view(from, grant, now_ms);
@@ -267,7 +267,7 @@
         self.take_doubts(keeper.term(), self.id, &doubts);
         let (life, notes) = (self.rollouts.borrow().life(), self.rollout_notes());
         self.take_rollout_notes(keeper.term(), self.id, life, notes);
-        self.hear_own_crashes(keeper.term(), &keeper.record.quarantine, now_ms);
+        self.receive_own_crashes(keeper.term(), &keeper.record.quarantine, now_ms);
         let mut view = self.view.borrow_mut();
         view.failing = failing;
         view.leader = Some(self.id);
--- a/lib/src/transport/vm_guard.rs
+++ b/lib/src/transport/vm_guard.rs
@@ -9,12 +9,12 @@
 pub(super) struct FlightGuard {
     node: Rc<VmNode>,
     upstream: UpstreamKey,
-    place: HeldPlace,
+    place: HeldSlot,
     began_ms: u64,
 }
 
 /// Whose place at which service a request holds.
-pub(super) struct HeldPlace {
+pub(super) struct HeldSlot {
     pub(super) service: String,
     /// Whether the service's upstreams are engines.
     pub(super) engine: bool,
@@ -22,10 +22,12 @@
 }
 
 impl FlightGuard {
-    pub(super) fn new(node: &Rc<VmNode>, upstream: UpstreamKey, place: HeldPlace) -> FlightGuard {
+    pub(super) fn new(node: &Rc<VmNode>, upstream: UpstreamKey, place: HeldSlot) -> FlightGuard {
         *node.in_flight.borrow_mut().entry(upstream).or_default() += 1;
         if place.engine {
-            node.with_room(&place.service, |room| room.enter(place.workspace.as_deref()));
+            node.with_service_capacity(&place.service, |room| {
+                room.enter(place.workspace.as_deref())
+            });
         }
         FlightGuard { node: node.clone(), upstream, place, began_ms: node.now_ms() }
     }
@@ -44,7 +46,7 @@
         let held_ms = self.node.now_ms().saturating_sub(self.began_ms);
         if place.engine {
             let workspace = place.workspace.as_deref();
-            self.node.with_room(&place.service, |room| room.leave(workspace, held_ms));
+            self.node.with_service_capacity(&place.service, |room| room.leave(workspace, held_ms));
         } else {
             let mut holds = self.node.plain_holds.borrow_mut();
             holds.entry(place.service.clone()).or_default().note(held_ms);
@@ -69,16 +71,16 @@
 }
 
 /// Counts a connection that is open.
-pub(super) struct OpenGuard(Rc<VmNode>);
+pub(super) struct ConnectionGuard(Rc<VmNode>);
 
-impl OpenGuard {
-    pub(super) fn new(node: &Rc<VmNode>) -> OpenGuard {
+impl ConnectionGuard {
+    pub(super) fn new(node: &Rc<VmNode>) -> ConnectionGuard {
         node.connections.set(node.connections.get() + 1);
-        OpenGuard(node.clone())
+        ConnectionGuard(node.clone())
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -15,7 +15,7 @@
 
 use super::vm_keeper::KeeperDriver;
 use super::vm_node::VmNode;
-use super::vm_pool::UpstreamApproach;
+use super::vm_pool::ConnectTarget;
 use crate::coordination::line_budget::LINES_A_PLACE;
 use crate::coordination::list_reader::{list_action, ListAction, ListCost, ListStanding};
 use crate::coordination::upstream_notice::ApproachPurpose;
@@ -370,7 +370,7 @@
     async fn call_list(&self, call: &str) -> Result<Bytes, ListFault> {
         let other = |text: String| ListFault::Other(text);
         let address = self.settings.borrow().list.address;
-        let approach = UpstreamApproach {
+        let approach = ConnectTarget {
             upstream: self.list_key(),
             address,
             purpose: ApproachPurpose::Request,
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -1,6 +1,6 @@
 //! The figures of a VM in the text form of the metrics world.
 //!
-//! [`FIGURES`] names each with its kind and unit; a test holds it against the table of
+//! [`METRICS`] names each with its kind and unit; a test holds it against the table of
 //! `docs/operators/metrics.md`.
 
 use std::fmt::Write;
@@ -22,10 +22,10 @@
 use crate::state::vm_figures::{RequestEnd, VmFigures, BUCKETS_MS};
 
 /// One figure: name, kind, meaning and unit.
-pub type FigureEntry = (&'static str, &'static str, &'static str);
+pub type MetricEntry = (&'static str, &'static str, &'static str);
 
 /// Every figure, in the order in which they are written.
-pub const FIGURES: [FigureEntry; 46] = [
+pub const METRICS: [MetricEntry; 46] = [
     ("wingshed_requests_total", "counter", "Requests by end."),
     ("wingshed_first_byte_ms", "histogram", "Milliseconds to an answer's first byte."),
     ("wingshed_repeats_total", "counter", "Sends beyond the first of each request."),
@@ -83,12 +83,12 @@
 ];
 
 /// Serves the figures.
-pub async fn serve_figures(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn serve_metrics(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let path = node.figures_path.borrow().clone();
     if request.uri().path() != path {
         return own_answer(StatusCode::NOT_FOUND, "");
     }
-    let mut answer = own_answer(StatusCode::OK, node.write_figures());
+    let mut answer = own_answer(StatusCode::OK, node.write_metrics());
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     answer.headers_mut().insert(CONTENT_TYPE, kind);
     answer
@@ -96,17 +96,17 @@
 
 impl VmNode {
     /// All figures as text.
-    pub fn write_figures(&self) -> String {
+    pub fn write_metrics(&self) -> String {
         let mut text = String::new();
-        for (name, kind, help) in FIGURES {
+        for (name, kind, help) in METRICS {
             // Writing to a string doesn't fail.
             let _ = write!(text, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
-            self.write_figure(&mut text, name);
+            self.write_metric(&mut text, name);
         }
         text
     }
 
-    fn write_figure(&self, text: &mut String, name: &str) {
+    fn write_metric(&self, text: &mut String, name: &str) {
         let figures = self.figures.borrow();
         match name {
             "wingshed_requests_total" => write_ends(text, &figures),
@@ -125,11 +125,11 @@
                 self.write_rooms(text, name, |room| 100.0 * room.used_part());
             }
             name if name.starts_with("wingshed_rollout_") => self.write_rollout_rows(text, name),
-            _ => drop(writeln!(text, "{name} {}", self.plain_figure(&figures, name))),
+            _ => drop(writeln!(text, "{name} {}", self.scalar_metric(&figures, name))),
         }
     }
 
-    fn plain_figure(&self, figures: &VmFigures, name: &str) -> u64 {
+    fn scalar_metric(&self, figures: &VmFigures, name: &str) -> u64 {
         let now_ms = self.now_ms();
         let keeper = self.keeper.borrow();
         let upstreams = self.upstreams.borrow();
@@ -212,7 +212,7 @@
                     let _ = writeln!(text, "{name}{{service=\"{service}\"}} {percent:.1}");
                 }
                 _ => {
-                    let phase = phase_figure(row.phase);
+                    let phase = phase_value(row.phase);
                     let _ = writeln!(text, "{name}{{service=\"{service}\"}} {phase}");
                 }
             }
@@ -231,7 +231,7 @@
     }
 }
 
-fn phase_figure(phase: RolloutPhase) -> u8 {
+fn phase_value(phase: RolloutPhase) -> u8 {
     match phase {
         RolloutPhase::Trial => 1,
         RolloutPhase::Shift => 2,
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -382,7 +382,7 @@
             self.send_rollouts();
         }
         if outcome.quarantine_changed {
-            self.send_quarantine();
+            self.publish_quarantine();
         }
         if !outcome.changed {
             return;
@@ -582,7 +582,7 @@
             self.step_keeper(KeeperDriver::tick);
             self.announce_leadership(self.now_ms());
             self.lead_rollouts();
-            self.lead_quarantine();
+            self.propose_quarantine();
         }
     }
 }
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -6,13 +6,13 @@
 use hyper::http::response;
 use tracing::info;
 
-use super::vm_place::SendPlace;
+use super::vm_place::SendTarget;
 use super::vm_task::CallerTask;
 use crate::protocol::wire_adapter::UpstreamAnswer;
 
 impl CallerTask {
     /// Takes the notices of the head of an answer to this request.
-    pub(super) fn hear_notices(&self, place: &SendPlace, facts: &UpstreamAnswer) {
+    pub(super) fn record_notices(&self, target: &SendTarget, facts: &UpstreamAnswer) {
         if facts.other_life {
             return;
         }
@@ -21,28 +21,28 @@
         let mut notices = self.node.pool.notices().borrow_mut();
         match facts.rest_ms {
             Some(rest_ms) => {
-                notices.note_rest(place.upstream, rest_ms, self.node.clock.next_ms());
+                notices.note_rest(target.upstream, rest_ms, self.node.clock.next_ms());
                 self.node.figures.borrow_mut().rests_asked += 1;
             }
-            None if facts.not_run => notices.note_turned_away(place.upstream, now_ms),
-            None => notices.note_taken(place.upstream, now_ms),
+            None if facts.not_run => notices.note_turned_away(target.upstream, now_ms),
+            None => notices.note_taken(target.upstream, now_ms),
         }
-        if facts.leaving && notices.note_leaving(place.upstream, drain_ms, now_ms) {
-            info!(target: "upstream", life = place.send.life, "says that it leaves");
+        if facts.leaving && notices.note_leaving(target.upstream, drain_ms, now_ms) {
+            info!(target: "upstream", life = target.send.life, "says that it leaves");
         }
     }
 
     /// Logs that an upstream turned the request away, and whether it had asked for rest before.
-    pub(super) fn log_turned_away(
+    pub(super) fn log_refusal(
         &self,
-        place: &SendPlace,
+        target: &SendTarget,
         facts: &UpstreamAnswer,
         head: &response::Parts,
         kept: bool,
     ) {
-        let rests_ms = self.node.pool.notices().borrow().rest_ms(place.upstream, place.sent_ms);
+        let rests_ms = self.node.pool.notices().borrow().rest_ms(target.upstream, target.sent_ms);
         info!(
-            target: "upstream", life = place.send.life, attempt = self.caller.attempt,
+            target: "upstream", life = target.send.life, attempt = self.caller.attempt,
             status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
             kept, "did not run it",
         );
--- a/lib/src/transport/vm_place.rs
+++ b/lib/src/transport/vm_place.rs
@@ -12,7 +12,7 @@
 use crate::state::prompt_part::shared_parts;
 
 /// One send's place.
-pub(super) struct SendPlace {
+pub(super) struct SendTarget {
     pub(super) routes: Rc<RoutesInForce>,
     pub(super) route: usize,
     pub(super) service: usize,
@@ -40,7 +40,7 @@
         pick: UpstreamPick,
         left_ms: u64,
         resume_after: Option<String>,
-    ) -> Option<SendPlace> {
+    ) -> Option<SendTarget> {
         let rule = &routes.table.routes[route];
         let upstreams = self.node.upstreams.borrow();
         let entry = upstreams.entries.get(&pick.upstream)?;
@@ -60,9 +60,9 @@
         };
         let name = &routes.table.services[service].name;
         let tag = self.node.note_rollout_send(name, rule, entry, &self.caller.attempt);
-        let held = tag.is_some() && self.is_held_at(pick.upstream);
+        let held = tag.is_some() && self.has_cached_prompt(pick.upstream);
         let stream = rule.kind.is_stream();
-        Some(SendPlace {
+        Some(SendTarget {
             routes: routes.clone(),
             route,
             service,
@@ -78,7 +78,7 @@
     }
 
     /// Whether an engine surely held the shared parts of the prompt lately; true where there are none.
-    fn is_held_at(&self, engine: UpstreamKey) -> bool {
+    fn has_cached_prompt(&self, engine: UpstreamKey) -> bool {
         let Some(deep) = shared_parts(&self.caller.prompt).last() else { return true };
         self.node.prefixes.borrow().holds(deep.id, engine, self.node.now_ms())
     }
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -32,11 +32,11 @@
 use crate::state::ids::UpstreamKey;
 
 /// How long a resting connection is kept when the upstream doesn't say, in milliseconds.
-const USUAL_REST_MS: u64 = 4000;
+const DEFAULT_IDLE_MS: u64 = 4000;
 /// A connection is left alone this long before the upstream would close it, in milliseconds.
-const REST_MARGIN_MS: u64 = 700;
+const IDLE_MARGIN_MS: u64 = 700;
 /// A connection whose request has been written rests within this time after its answer.
-const FINISH_TIME: Duration = Duration::from_millis(10);
+const FINISH_WAIT: Duration = Duration::from_millis(10);
 /// The buffer of a connection, in bytes; the least that the library takes.
 const BUFFER_BYTES: usize = 8192;
 
@@ -44,16 +44,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFault {
     /// The address refuses connections: that process has ended.
-    NobodyListens,
+    ConnectionRefused,
     /// Nothing came, or nothing usable.
     NoAnswer,
     /// The upstream wants nothing of this kind from this VM now. It was left alone, and nothing is known of it.
-    Unwanted,
+    NotAttempted,
 }
 
 /// Who is approached, where, what for, and when by the node's clock.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamApproach {
+pub struct ConnectTarget {
     /// The incarnation.
     pub upstream: UpstreamKey,
     /// Where it listens.
@@ -64,7 +64,7 @@
     pub now_ms: u64,
 }
 
-struct RestingConnection {
+struct IdleConnection {
     stream: TcpStream,
     until_ms: u64,
 }
@@ -72,7 +72,7 @@
 /// What a VM has, and had last, to one upstream.
 #[derive(Default)]
 struct UpstreamConnections {
-    resting: Vec<RestingConnection>,
+    resting: Vec<IdleConnection>,
     in_use: u32,
     /// Why the one that ended last did so.
     ended: Option<ConnectCause>,
@@ -111,7 +111,7 @@
     }
 }
 
-impl RestingConnection {
+impl IdleConnection {
     /// Why it can't be used, if so.
     fn fault(&self, silent: fn(&TcpStream) -> bool, now_ms: u64) -> Option<ConnectCause> {
         if self.until_ms <= now_ms {
@@ -134,20 +134,20 @@
 pub struct ConnectionLease {
     sender: Option<SendRequest<Full<Bytes>>>,
     task: JoinHandle<Option<TcpStream>>,
-    in_use: UseGuard,
+    in_use: InUseGuard,
     kept: bool,
 }
 
 /// Counts a connection that is in use, or is being opened for it.
-struct UseGuard {
+struct InUseGuard {
     upstream: UpstreamKey,
     pool: ConnectionPool,
 }
 
-impl UseGuard {
-    fn new(pool: &ConnectionPool, upstream: UpstreamKey) -> UseGuard {
+impl InUseGuard {
+    fn new(pool: &ConnectionPool, upstream: UpstreamKey) -> InUseGuard {
         pool.upstreams.borrow_mut().entry(upstream).or_default().in_use += 1;
-        UseGuard { upstream, pool: pool.clone() }
+        InUseGuard { upstream, pool: pool.clone() }
     }
 
     fn note(&self, act: impl FnOnce(&mut UpstreamConnections)) {
@@ -157,7 +157,7 @@
     }
 }
 
-impl Drop for UseGuard {
+impl Drop for InUseGuard {
     fn drop(&mut self) {
         self.note(|had| had.in_use -= 1);
     }
@@ -165,34 +165,34 @@
 
 impl ConnectionPool {
     /// A resting connection to the upstream, or a new one.
-    pub async fn take(&self, approach: UpstreamApproach) -> Result<ConnectionLease, ConnectFault> {
-        self.check_wanted(approach)?;
+    pub async fn take(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
+        self.check_allowed(approach)?;
         match self.pop(approach.upstream, approach.now_ms) {
             Some(stream) => {
-                let in_use = UseGuard::new(self, approach.upstream);
+                let in_use = InUseGuard::new(self, approach.upstream);
                 self.lease(approach, in_use, stream, true).await
             }
             None => self.connect(approach).await,
         }
     }
 
-    fn check_wanted(&self, approach: UpstreamApproach) -> Result<(), ConnectFault> {
-        let UpstreamApproach { upstream, purpose, now_ms, .. } = approach;
+    fn check_allowed(&self, approach: ConnectTarget) -> Result<(), ConnectFault> {
+        let ConnectTarget { upstream, purpose, now_ms, .. } = approach;
         match self.notices.borrow().may_approach(upstream, purpose, now_ms) {
             true => Ok(()),
-            false => Err(ConnectFault::Unwanted),
+            false => Err(ConnectFault::NotAttempted),
         }
     }
 
     async fn lease(
         &self,
-        approach: UpstreamApproach,
-        in_use: UseGuard,
+        approach: ConnectTarget,
+        in_use: InUseGuard,
         stream: TcpStream,
         kept: bool,
     ) -> Result<ConnectionLease, ConnectFault> {
         let lease = lease(in_use, stream, kept).await?;
-        self.check_wanted(approach)?;
+        self.check_allowed(approach)?;
         Ok(lease)
     }
 
@@ -202,21 +202,18 @@
 
     /// A new connection to the upstream. One that isn't up after some times what connecting takes is
     /// given up: nothing was sent, so another upstream can still be asked.
-    pub async fn connect(
-        &self,
-        approach: UpstreamApproach,
-    ) -> Result<ConnectionLease, ConnectFault> {
-        self.check_wanted(approach)?;
-        let UpstreamApproach { upstream, address, .. } = approach;
+    pub async fn connect(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
+        self.check_allowed(approach)?;
+        let ConnectTarget { upstream, address, .. } = approach;
         let cause =
             self.upstreams.borrow().get(&upstream).map_or(ConnectCause::First, |had| had.cause());
-        let in_use = UseGuard::new(self, upstream);
+        let in_use = InUseGuard::new(self, upstream);
         let wait = Duration::from_millis(self.patience.get().wait_ms());
         let began = Instant::now();
         let stream = match timeout(wait, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                return Err(ConnectFault::NobodyListens)
+                return Err(ConnectFault::ConnectionRefused)
             }
             Ok(Err(_)) | Err(_) => return Err(ConnectFault::NoAnswer),
         };
@@ -256,7 +253,7 @@
 }
 
 async fn lease(
-    in_use: UseGuard,
+    in_use: InUseGuard,
     stream: TcpStream,
     kept: bool,
 ) -> Result<ConnectionLease, ConnectFault> {
@@ -280,7 +277,7 @@
     }
 
     /// Whether it served requests before.
-    pub fn is_kept(&self) -> bool {
+    pub fn is_reused(&self) -> bool {
         self.kept
     }
 
@@ -290,12 +287,12 @@
         // Without its sender the connection's task ends once it has seen the end of the answer and has
         // written the request.
         drop(self.sender.take());
-        let rest_ms = idle_ms.unwrap_or(USUAL_REST_MS).saturating_sub(REST_MARGIN_MS);
+        let rest_ms = idle_ms.unwrap_or(DEFAULT_IDLE_MS).saturating_sub(IDLE_MARGIN_MS);
         let until_ms = now_ms + rest_ms;
         if closes {
             return self.rest(None, until_ms);
         }
-        match timeout(FINISH_TIME, &mut self.task).await {
+        match timeout(FINISH_WAIT, &mut self.task).await {
             Ok(ended) => self.rest(ended.ok().flatten(), until_ms),
             Err(_) => {
                 spawn_local(async move {
@@ -308,7 +305,7 @@
 
     fn rest(&self, stream: Option<TcpStream>, until_ms: u64) {
         self.in_use.note(|had| match stream {
-            Some(stream) => had.resting.push(RestingConnection { stream, until_ms }),
+            Some(stream) => had.resting.push(IdleConnection { stream, until_ms }),
             None => had.ended = Some(ConnectCause::Closed),
         });
     }
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -17,14 +17,14 @@
 
 impl VmNode {
     /// An upstream ended under a request. The leader hears it at once, as fast as it can take renewals.
-    pub(super) fn note_ended_under(self: &Rc<Self>, seen: SeenCrash) {
+    pub(super) fn report_crash(self: &Rc<Self>, seen: SeenCrash) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_ended(seen, pause_ms, now_ms));
     }
 
     /// A request ran to its end and its upstream lives: likewise, where that is asked for.
-    pub(super) fn note_ran_well(self: &Rc<Self>, mark: RequestMark) {
+    pub(super) fn report_completed(self: &Rc<Self>, mark: RequestMark) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_well(mark, pause_ms, now_ms));
@@ -45,7 +45,7 @@
     }
 
     /// Takes what a VM reports of upstreams that ended, as the leader of `term`.
-    pub(super) fn take_crashes(
+    pub(super) fn receive_crashes(
         &self,
         term: u64,
         report: &CrashReport,
@@ -56,7 +56,7 @@
     }
 
     /// The same for what this VM saw itself while it leads; and takes what is recorded.
-    pub(super) fn hear_own_crashes(&self, term: u64, recorded: &QuarantineTable, now_ms: u64) {
+    pub(super) fn receive_own_crashes(&self, term: u64, recorded: &QuarantineTable, now_ms: u64) {
         let news = {
             let mut desk = self.quarantine.borrow_mut();
             let own = desk.take_report(now_ms);
@@ -64,11 +64,11 @@
             desk.confirm(term, own.last());
             recorded.news(desk.changes())
         };
-        news.into_iter().for_each(|table| self.take_quarantine(table));
+        news.into_iter().for_each(|table| self.apply_quarantine(table));
     }
 
     /// Proposes what is to be recorded, as the leader.
-    pub(super) fn lead_quarantine(&self) {
+    pub(super) fn propose_quarantine(&self) {
         let now_ms = self.now_ms();
         let wanted = match &*self.keeper.borrow() {
             Some(keeper) if keeper.may_vouch(now_ms) => {
@@ -95,7 +95,7 @@
     }
 
     /// Takes the requests that are held, as a leader sent them.
-    pub(super) fn take_quarantine(&self, table: QuarantineTable) {
+    pub(super) fn apply_quarantine(&self, table: QuarantineTable) {
         for mark in self.quarantine.borrow_mut().take(table) {
             info!(target: "quarantine", request = %mark, "is refused from now on");
         }
@@ -103,7 +103,7 @@
 
     /// Publishes to all VMs at once what is held, as the leader: each request that is sent meanwhile ends one
     /// more upstream. A VM that misses it hears of it with its next grant.
-    pub(super) fn send_quarantine(&self) {
+    pub(super) fn publish_quarantine(&self) {
         let now_ms = self.now_ms();
         let (term, table) = match &*self.keeper.borrow() {
             Some(keeper) if keeper.may_vouch(now_ms) => {
@@ -111,12 +111,12 @@
             }
             _ => return,
         };
-        self.take_quarantine(table.clone());
-        self.send_others(&VmDatagram::Quarantine { term, table });
+        self.apply_quarantine(table.clone());
+        self.send_to_others(&VmDatagram::Quarantine { term, table });
     }
 
     /// Sends a datagram to all VMs that this one knows.
-    pub(super) fn send_others(&self, datagram: &VmDatagram) {
+    pub(super) fn send_to_others(&self, datagram: &VmDatagram) {
         let view = self.view.borrow();
         let others = view.roster.rows.iter().map(|row| row.id).filter(|id| *id != self.id);
         self.send_datagrams(others, datagram);
--- a/lib/src/transport/vm_relay.rs
+++ b/lib/src/transport/vm_relay.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
 /// Pieces that wait for a caller that doesn't read; then the upstream is held up.
-const PIECES_WAITING: usize = 16;
+const MAX_BUFFERED_PIECES: usize = 16;
 
 /// Why an answer ends early: its connection must be cut, so that it can't look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
 
     /// A body that comes piece by piece.
     pub fn pieces() -> (PieceSender, AnswerBody) {
-        let (sender, pieces) = channel(PIECES_WAITING);
+        let (sender, pieces) = channel(MAX_BUFFERED_PIECES);
         (PieceSender(sender), AnswerBody::Pieces(PieceReceiver { pieces, ended: false }))
     }
 }
--- a/lib/src/transport/vm_request_record.rs
+++ b/lib/src/transport/vm_request_record.rs
@@ -17,7 +17,7 @@
 
 /// An answer that was handed to its connection less than this long before that broke may not have
 /// come to the caller, in milliseconds; the longest that a kept connection retries is seconds.
-const HANDED_MS: u64 = 2000;
+const UNCONFIRMED_MS: u64 = 2000;
 
 /// What is known of one request.
 pub(super) struct RequestRecord {
@@ -70,9 +70,9 @@
 }
 
 /// Stands for a caller that waits; dropped with its connection.
-pub(super) struct RecordWatch(pub(super) Rc<RequestRecord>);
+pub(super) struct CallerWatch(pub(super) Rc<RequestRecord>);
 
-impl Drop for RecordWatch {
+impl Drop for CallerWatch {
     fn drop(&mut self) {
         if !self.0.answered.get() {
             self.0.log_left();
@@ -104,7 +104,7 @@
         let last = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         let Some((attempt, handed_ms)) = last else { return };
         let ago_ms = now_ms.saturating_sub(handed_ms);
-        if ago_ms < HANDED_MS {
+        if ago_ms < UNCONFIRMED_MS {
             info!(target: "request", attempt, ago_ms, "its connection broke after its answer");
         }
     }
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -352,7 +352,7 @@
 
     fn mean_hold_ms(&self, service: &str) -> f64 {
         match self.places(service) {
-            Some(_) => self.with_room(service, |room| room.hold_ms()),
+            Some(_) => self.with_service_capacity(service, |room| room.hold_ms()),
             None => self.plain_holds.borrow().get(service).map_or(0.0, |hold| hold.mean_ms()),
         }
     }
@@ -368,6 +368,6 @@
             _ => return,
         };
         self.take_rollouts(table.clone());
-        self.send_others(&VmDatagram::Rollouts { term, table });
+        self.send_to_others(&VmDatagram::Rollouts { term, table });
     }
 }
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -7,13 +7,13 @@
 use crate::state::ids::UpstreamKey;
 
 /// At most this share of a service's upstreams is set aside on passive health checks.
-const ASIDE_SHARE: f64 = 0.34;
+const MAX_EJECTED_SHARE: f64 = 0.34;
 /// What a send shows against an upstream.
 enum HealthFault {
     /// This life has ended.
-    Gone,
+    Ended,
     /// It can't be reached.
-    Silent,
+    Unreachable,
     /// It failed a request.
     Failure,
     /// It broke an answer off after its head.
@@ -21,15 +21,15 @@
 }
 
 impl CallerTask {
-    pub(super) fn note_fault(&self, upstream: UpstreamKey, fault: ConnectFault) {
+    pub(super) fn note_connect_fault(&self, upstream: UpstreamKey, fault: ConnectFault) {
         match fault {
-            ConnectFault::NobodyListens => {
-                self.note_health_fault(upstream, HealthFault::Gone, "connection refused");
+            ConnectFault::ConnectionRefused => {
+                self.note_health_fault(upstream, HealthFault::Ended, "connection refused");
             }
             ConnectFault::NoAnswer => {
-                self.note_health_fault(upstream, HealthFault::Silent, "cannot be reached");
+                self.note_health_fault(upstream, HealthFault::Unreachable, "cannot be reached");
             }
-            ConnectFault::Unwanted => {}
+            ConnectFault::NotAttempted => {}
         }
     }
 
@@ -54,10 +54,14 @@
         self.node.figures.borrow_mut().signs += 1;
         let mut outliers = self.node.outliers.borrow_mut();
         match fault {
-            HealthFault::Gone => outliers.note_gone(upstream),
-            HealthFault::Silent => outliers.note_dead(upstream, fleet, ASIDE_SHARE, now_ms),
-            HealthFault::Cut => outliers.note_cut(upstream, fleet, ASIDE_SHARE, now_ms),
-            HealthFault::Failure => outliers.note_failure(upstream, fleet, ASIDE_SHARE, now_ms),
+            HealthFault::Ended => outliers.note_gone(upstream),
+            HealthFault::Unreachable => {
+                outliers.note_dead(upstream, fleet, MAX_EJECTED_SHARE, now_ms)
+            }
+            HealthFault::Cut => outliers.note_cut(upstream, fleet, MAX_EJECTED_SHARE, now_ms),
+            HealthFault::Failure => {
+                outliers.note_failure(upstream, fleet, MAX_EJECTED_SHARE, now_ms)
+            }
         }
         self.note_outcome(upstream, false);
         info!(
@@ -68,6 +72,6 @@
 
     /// This life has ended.
     pub(super) fn note_gone(&self, upstream: UpstreamKey, what: &'static str) {
-        self.note_health_fault(upstream, HealthFault::Gone, what);
+        self.note_health_fault(upstream, HealthFault::Ended, what);
     }
 }
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -13,7 +13,7 @@
 use tracing::info;
 
 use super::vm_node::VmNode;
-use super::vm_pool::{ConnectFault, UpstreamApproach};
+use super::vm_pool::{ConnectFault, ConnectTarget};
 use crate::coordination::silence::DarkMark;
 use crate::coordination::upstream_notice::ApproachPurpose;
 use crate::coordination::vm_roster::overloaded_renew_ms;
@@ -81,7 +81,7 @@
         let now_ms = self.now_ms();
         match fault {
             None => self.silence.borrow_mut().view.reached(upstream),
-            Some(ConnectFault::NobodyListens | ConnectFault::Unwanted) => {}
+            Some(ConnectFault::ConnectionRefused | ConnectFault::NotAttempted) => {}
             Some(ConnectFault::NoAnswer) => {
                 {
                     let mut desk = self.silence.borrow_mut();
@@ -127,9 +127,9 @@
     }
 
     /// To see whether an upstream can be reached, now.
-    pub(super) fn trial(&self, upstream: UpstreamKey, address: SocketAddr) -> UpstreamApproach {
+    pub(super) fn trial(&self, upstream: UpstreamKey, address: SocketAddr) -> ConnectTarget {
         let (purpose, now_ms) = (ApproachPurpose::Trial, self.now_ms());
-        UpstreamApproach { upstream, address, purpose, now_ms }
+        ConnectTarget { upstream, address, purpose, now_ms }
     }
 
     /// Takes a VM's doubts, as the leader of `term`.
@@ -166,9 +166,9 @@
         let now_ms = self.now_ms();
         let table = &mut self.silence.borrow_mut().table;
         match fault {
-            Some(ConnectFault::Unwanted) => table.left_alone(upstream, now_ms),
+            Some(ConnectFault::NotAttempted) => table.left_alone(upstream, now_ms),
             // A machine that refuses connections can be reached.
-            None | Some(ConnectFault::NobodyListens) => {
+            None | Some(ConnectFault::ConnectionRefused) => {
                 table.tried(upstream, self.id, true, now_ms);
             }
             Some(ConnectFault::NoAnswer) => table.tried(upstream, self.id, false, now_ms),
@@ -193,7 +193,7 @@
         if dark.len() > MOST_SENT_AT_ONCE {
             return;
         }
-        self.send_others(&VmDatagram::Dark { term, upstreams: dark });
+        self.send_to_others(&VmDatagram::Dark { term, upstreams: dark });
     }
 
     /// What a leader answers to a VM that received the dark upstreams `known`.
--- a/lib/src/transport/vm_task.rs
+++ b/lib/src/transport/vm_task.rs
@@ -13,9 +13,9 @@
 use crate::state::ids::RequestMark;
 
 /// A request with less than this left isn't sent any more, in milliseconds.
-pub(super) const LEAST_LEFT_MS: u64 = 10;
+pub(super) const MIN_REMAINING_MS: u64 = 10;
 /// When a refused caller may come back, in milliseconds, where nothing says otherwise.
-pub(super) const RETRY_MS: u64 = 400;
+pub(super) const DEFAULT_RETRY_MS: u64 = 400;
 
 /// Everything that stays the same over the sends of one request.
 pub(super) struct CallerTask {
@@ -36,10 +36,10 @@
 
 /// Why a request gets no send.
 pub(super) enum Denial {
-    NoRoutes,
-    OldContact,
+    NoConfiguration,
+    StaleConfiguration,
     NoRoute,
     NoKey,
     /// Upstreams ended under it.
-    Held,
+    Quarantined,
 }
--- a/lib/src/transport/vm_trial.rs
+++ b/lib/src/transport/vm_trial.rs
@@ -12,7 +12,7 @@
 /// A caller that leaves after this long without a first event counts the upstream as slow, in
 /// milliseconds; one that leaves sooner counts nothing. Callers leave slow versions more often than
 /// others, so that without this the slowest answers would be missing.
-const LEFT_SLOW_MS: f64 = 1000.0;
+const ABANDONED_SLOW_MS: f64 = 1000.0;
 
 /// Follows one send. Whatever it is dropped with counts nothing more.
 pub(super) struct TrialGuard {
@@ -63,7 +63,7 @@
     }
 
     /// The whole answer came, and is a success.
-    pub(super) fn end_well(&self) {
+    pub(super) fn end_success(&self) {
         let whole_ms = self.sent.elapsed().as_secs_f64() * 1000.0;
         let pace_ms = match self.stream {
             true => self.event_pace_ms(),
@@ -76,13 +76,13 @@
     }
 
     /// The answer is a failure, belongs to another request, or didn't come in time.
-    pub(super) fn end_bad(&self) {
+    pub(super) fn end_failure(&self) {
         self.end(TrialOutcome::Bad);
     }
 
     /// How it ended says nothing of the version: it wasn't run, or the connection broke. A server that
     /// crashes breaks all that it runs, and a trial goes to few of them.
-    pub(super) fn end_unsaid(&self) {
+    pub(super) fn end_inconclusive(&self) {
         self.tag.replace(None);
     }
 
@@ -106,7 +106,7 @@
 impl Drop for TrialGuard {
     fn drop(&mut self) {
         let waited_ms = self.sent.elapsed().as_secs_f64() * 1000.0;
-        if self.first.get().is_some() || waited_ms < LEFT_SLOW_MS {
+        if self.first.get().is_some() || waited_ms < ABANDONED_SLOW_MS {
             return;
         }
         let slow = Some(waited_ms).filter(|_| self.warm);
--- a/lib/tests/test_explaining.rs
+++ b/lib/tests/test_explaining.rs
@@ -9,7 +9,7 @@
     read_log, request_story, span_story, LogLine, StoryReason,
 };
 use wingshed_lib::state::vm_figures::{RequestEnd, VmFigures, MOST_WORKSPACES, OTHER_WORKSPACES};
-use wingshed_lib::transport::vm_metrics::FIGURES;
+use wingshed_lib::transport::vm_metrics::METRICS;
 
 fn count(verdicts: &[LineVerdict], wanted: fn(&LineVerdict) -> bool) -> usize {
     verdicts.iter().filter(|verdict| wanted(verdict)).count()
@@ -74,7 +74,7 @@
         .collect();
 
     let code: Vec<Vec<&str>> =
-        FIGURES.iter().map(|(name, kind, tells)| vec![*name, *kind, *tells, ""]).collect();
+        METRICS.iter().map(|(name, kind, tells)| vec![*name, *kind, *tells, ""]).collect();
     assert_eq!(told, code);
 }
 
