--- a/lib/src/transport/vm_answer.rs
+++ b/lib/src/transport/vm_answer.rs
@@ -1,25 +1,26 @@
-//! Answers of a VM's own: what it says itself, without an upstream.
+//! Answers that a VM creates itself, without an upstream.
 
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
 use super::vm_relay::AnswerBody;
 
-/// An answer of this VM's own.
+/// An answer created by this VM, with a plain body.
 pub fn own_answer(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response<AnswerBody> {
     let mut answer = Response::new(AnswerBody::whole(body));
     *answer.status_mut() = status;
     answer
 }
 
-/// What was asked for, as JSON.
+/// A successful answer with a JSON body.
 pub fn json_answer(body: impl Into<bytes::Bytes>) -> Response<AnswerBody> {
     let mut answer = own_answer(StatusCode::OK, body);
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
-/// A refusal: the request has not run; it may come back after `retry_ms`.
+/// A refusal: the request has not run and may be retried after `retry_ms`, which is sent as `retry-after` in
+/// seconds.
 pub fn refusal(status: StatusCode, text: &str, retry_ms: u64) -> Response<AnswerBody> {
     let mut answer = own_answer(status, text.to_string());
     let seconds = format!("{:.3}", retry_ms as f64 / 1000.0);
@@ -29,7 +30,7 @@
     answer
 }
 
-/// Marks the connection as ending with this answer.
+/// Asks the caller to close the connection after this answer.
 pub fn close_after<B>(mut answer: Response<B>) -> Response<B> {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -1,4 +1,5 @@
-//! Which upstream a request goes to: what this VM knows of each, and whether there is room.
+//! Selects the upstream for a request from the loads, faults and notices that this VM has of each
+//! upstream, and from the capacity that is left.
 
 use super::vm_node::VmNode;
 use super::vm_task::{CallerTask, DEFAULT_RETRY_MS};
@@ -13,57 +14,62 @@
 use crate::state::route_table::{RouteRule, ServiceEntry};
 use crate::state::upstream_list::{EntryDoubt, UpstreamEntry};
 
-/// From this part of the bound on an engine's load VMs report loads more often.
+/// A service counts as overloaded when the mean load of its engines reaches this share of the bound on
+/// an engine's load. VMs then report loads more often.
 const OVERLOAD_SHARE: f64 = 0.75;
-/// While this part of a service's engines is withheld, VMs report loads as often as under
-/// overload: the others' mean is closer to the limit, which goes by the mean of all.
+/// When at least this share of a service's engines is held back, VMs report loads as often as under
+/// overload: the mean load of the remaining engines is then closer to the limit, which is derived
+/// from the mean of all engines.
 const WITHHELD_OVERLOAD_SHARE: f64 = 0.1;
-/// Upstreams that fail everybody are left alone for this long after the leader named them last, in
-/// milliseconds.
+/// The maximum age of a grant, in milliseconds, at which its list of upstreams that fail at all VMs is
+/// still followed. With an older list no VM would try these upstreams again.
 const FAILING_MAX_AGE_MS: u64 = 1000;
-/// While all are overloaded a prompt is sent to so many engines of its order at most: each further one
-/// reads or moves its shared parts anew, and evicts others from its memory.
+/// The maximum number of engines, first in a prompt's rendezvous order, that the prompt is sent to while
+/// the service is overloaded. Each further engine would compute or fetch the shared parts of the prompt
+/// again and evict other parts from its cache.
 const OVERLOADED_MAX_ENGINES: usize = 3;
 
 impl CallerTask {
-    /// Chooses an upstream; `room` is what asks for a place, and a request without it gets one
-    /// wherever there is an upstream.
+    /// Chooses an upstream. `demand` describes the request to the capacity check; without it the request
+    /// is placed even if all upstreams are full.
     pub(super) fn choose(
         &self,
         service: &ServiceEntry,
         rule: &RouteRule,
-        room: Option<&RoomRequest>,
+        demand: Option<&RoomRequest>,
         tried: &[UpstreamKey],
     ) -> Result<UpstreamPick, ChoiceFault> {
         let lane = self.node.rollout_lane(&service.name, rule, tried.is_empty());
         if lane == RolloutLane::Trial {
-            if let Ok(pick) = self.choose_in_lane(lane, service, rule, room, tried) {
+            if let Ok(pick) = self.choose_in_lane(lane, service, rule, demand, tried) {
                 return Ok(pick);
             }
         }
-        let pick = self.choose_in_lane(RolloutLane::Usual, service, rule, room, tried);
+        let pick = self.choose_in_lane(RolloutLane::Usual, service, rule, demand, tried);
         match pick {
             Err(fault) if self.node.may_go_back(&service.name) => {
-                let back = self.choose_in_lane(RolloutLane::Back, service, rule, room, tried);
+                let back = self.choose_in_lane(RolloutLane::Back, service, rule, demand, tried);
                 back.map_err(|_| fault)
             }
             pick => pick,
         }
     }
 
-    /// When a caller that is refused should come back, in milliseconds: soon, unless all rest.
+    /// The time after which a refused caller should retry, in milliseconds: [`DEFAULT_RETRY_MS`], or the
+    /// earliest end of a backoff when all upstreams have requested one.
     pub(super) fn earliest_retry_ms(&self, service: &ServiceEntry) -> u64 {
         let now_ms = self.node.now_ms();
         let candidates = self.candidates(RolloutLane::Usual, service, &[], now_ms);
         earliest_return(&candidates).unwrap_or(DEFAULT_RETRY_MS)
     }
 
+    /// Chooses among the upstreams whose version may serve `lane`.
     fn choose_in_lane(
         &self,
         lane: RolloutLane,
         service: &ServiceEntry,
         rule: &RouteRule,
-        room: Option<&RoomRequest>,
+        demand: Option<&RoomRequest>,
         tried: &[UpstreamKey],
     ) -> Result<UpstreamPick, ChoiceFault> {
         let now_ms = self.node.now_ms();
@@ -72,8 +78,8 @@
         let Some(engine) = engine else {
             return self.choose_plain(service, &candidates).map(UpstreamPick::plain);
         };
-        let overloaded = room.is_some_and(|room| {
-            engine.slots > 0 && self.mark_full(&service.name, engine.slots, room, &mut candidates)
+        let overloaded = demand.is_some_and(|demand| {
+            engine.slots > 0 && self.mark_full(&service.name, engine.slots, demand, &mut candidates)
         });
         let held_back = candidates.iter().filter(|candidate| candidate.is_held_back()).count();
         if held_back as f64 >= WITHHELD_OVERLOAD_SHARE * candidates.len() as f64 {
@@ -83,7 +89,7 @@
         let memory = self.node.prefixes.borrow();
         let vms = self.node.view.borrow().roster.rows.len().max(1);
         let rate = memory.fleet_rate(&self.caller.prompt, vms, now_ms);
-        let hold_ms = self.node.with_service_capacity(&service.name, |room| room.hold_ms());
+        let hold_ms = self.node.with_service_capacity(&service.name, |capacity| capacity.hold_ms());
         let rules = EngineRules {
             moves: engine.moves,
             spread,
@@ -94,6 +100,9 @@
         choose_engine(&candidates, &self.caller.prompt, &memory, &rules, now_ms)
     }
 
+    /// Chooses an upstream of a service without prompt caches. Requests that take longer than the interval
+    /// between load reports are balanced by the reported loads. For shorter ones these are outdated, and
+    /// the choice favors upstreams to which this VM keeps connections.
     fn choose_plain(
         &self,
         service: &ServiceEntry,
@@ -110,56 +119,60 @@
         }
     }
 
-    /// Marks the engines that have no room for a request; true when all are nearly full.
+    /// Marks the engines that have no capacity for the request. Returns whether the service is overloaded.
+    /// Without recent load reports no engine is marked.
     fn mark_full(
         &self,
         service: &str,
-        places: u32,
+        slots: u32,
         request: &RoomRequest,
         candidates: &mut [UpstreamCandidate],
     ) -> bool {
-        let news = self.load_summary(candidates);
-        if !news.is_fresh() {
+        let summary = self.load_summary(candidates);
+        if !summary.is_fresh() {
             return false;
         }
         let rooms = self.node.rooms.borrow();
-        let bound = rooms.get(service).map(|room| room.bound(places, request));
-        let bound = bound.unwrap_or(f64::from(places));
-        let growth = news.growth();
+        let bound = rooms.get(service).map(|capacity| capacity.bound(slots, request));
+        let bound = bound.unwrap_or(f64::from(slots));
+        let growth = summary.growth();
         for candidate in candidates {
             candidate.full = f64::from(candidate.load) + growth >= bound;
         }
-        let overloaded = news.mean() >= OVERLOAD_SHARE * bound;
+        let overloaded = summary.mean() >= OVERLOAD_SHARE * bound;
         if overloaded {
             self.node.overloaded_ms.set(self.node.now_ms());
         }
         overloaded
     }
 
+    /// Sums the loads of the engines that accept work and are not ejected: as reported by all VMs, and as
+    /// this VM counts its own requests.
     fn load_summary(&self, candidates: &[UpstreamCandidate]) -> RoomNews {
         let view = self.node.view.borrow();
-        let mut news = RoomNews {
+        let mut summary = RoomNews {
             vms: view.roster.rows.len(),
             age_ms: self.node.now_ms().saturating_sub(view.heard_ms),
             ..RoomNews::default()
         };
         let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.aside;
         for candidate in candidates.iter().filter(counts) {
-            news.reported += candidate.load;
-            news.own += candidate.own;
-            news.engines += 1;
+            summary.reported += candidate.load;
+            summary.own += candidate.own;
+            summary.engines += 1;
         }
         let counted = |key: &UpstreamKey| {
             let at = candidates.binary_search_by_key(key, |candidate| candidate.key);
             at.is_ok_and(|at| counts(&&candidates[at]))
         };
         let loads = view.reports.own_loads().filter(|load| counted(&load.upstream));
-        news.own_reported = loads.map(|load| load.requests).sum();
-        news
+        summary.own_reported = loads.map(|load| load.requests).sum();
+        summary
     }
 
-    /// The upstreams of a service as a choice sees them. The list gives all of them; the tables of this
-    /// VM hold few, so each of these is looked up among the candidates and not the other way round.
+    /// Returns the upstreams of a service with everything that a choice depends on. The list contains all
+    /// upstreams, while the other tables contain few: it is cheaper to look up each of their entries
+    /// among the candidates than each candidate in every table.
     fn candidates(
         &self,
         lane: RolloutLane,
@@ -199,7 +212,8 @@
         tried.iter().for_each(|key| candidates.change(*key, |candidate| candidate.tried = true));
         let mut candidates = candidates.into_rows();
         if !candidates.iter().any(UpstreamCandidate::takes_work) {
-            // Who leaves as the list says does so for longer than anybody is a last resort.
+            // An upstream that the list shows as leaving has been leaving for longer than the last-resort
+            // period lasts.
             let listed = |key| upstreams.entries.get(&key).is_some_and(|entry| entry.leaving);
             let last = |c: &&mut UpstreamCandidate| {
                 notices.is_last_resort(c.key, now_ms) && !listed(c.key)
@@ -209,7 +223,7 @@
         candidates
     }
 
-    /// Notes what this VM and others have in flight.
+    /// Sets each candidate's load: the requests that this VM and all other VMs have in flight there.
     fn note_loads(&self, candidates: &mut CandidateSet) {
         let view = self.node.view.borrow();
         for (key, own) in self.node.in_flight.borrow().iter() {
@@ -220,12 +234,13 @@
         }
     }
 
-    /// Notes which upstreams fail or are silent, here or for all; those whose life has ended go.
+    /// Marks as ejected the upstreams that fail or are unresponsive at this VM or at all VMs, and removes
+    /// those whose process has ended.
     fn note_faults(&self, candidates: &mut CandidateSet, now_ms: u64) {
         let view = self.node.view.borrow();
         let outliers = self.node.outliers.borrow();
         let silence = self.node.silence.borrow();
-        // An old grant says nothing: no VM would try them again.
+        // The list of an old grant is ignored; otherwise no VM would try these upstreams again.
         let fresh = view.heard_ms + FAILING_MAX_AGE_MS > now_ms;
         let failing = view.failing.iter().copied().filter(|_| fresh);
         let aside = outliers.known().filter(|key| outliers.is_aside(*key, now_ms));
@@ -237,7 +252,7 @@
 }
 
 impl VmNode {
-    /// Lets `act` use what was learned of the room at a service.
+    /// Calls `act` with this VM's capacity estimate of a service, creating it if there is none.
     pub(super) fn with_service_capacity<T>(
         &self,
         service: &str,
@@ -245,7 +260,7 @@
     ) -> T {
         let mut rooms = self.rooms.borrow_mut();
         match rooms.get_mut(service) {
-            Some(room) => act(room),
+            Some(capacity) => act(capacity),
             None => act(rooms.entry(service.to_string()).or_default()),
         }
     }
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -1,8 +1,8 @@
-//! A caller's request on its way to an upstream, and the answer on its way back.
+//! Serves a caller's request: reads it, sends it to upstreams until one answers, and returns the answer.
 //!
-//! Invariants: what was decided by one route table is decided anew before each send, so that no
-//! request goes by an older version than the one in force; a request in flight is
-//! counted by a guard, and dropping a send closes its connection.
+//! Invariants: the routing decision is repeated before each send, so that no request is routed by an older
+//! configuration than the one in force. A guard counts each request in flight, and dropping a send
+//! closes its connection.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -31,17 +31,17 @@
 use crate::state::route_table::{pick_share, RequestKind, RouteDecision, RouteRule, ServiceEntry};
 use crate::state::vm_figures::RequestEnd;
 
-/// A VM that has just started holds requests until it is ready, this long at most, in
-/// milliseconds: a group that was killed whole serves again 220 ms after its start, as measured
-/// (docs/design/platform.md), and a caller that is refused meanwhile comes back later than that.
+/// The maximum time for which a VM that has just started holds a request until it is ready, in
+/// milliseconds. A group of VMs that was killed as a whole serves again 220 ms after its start
+/// (docs/design/platform.md); a caller that is refused in the meantime retries later than that.
 const STARTUP_WAIT_MS: u64 = 300;
-/// A VM has just started until this age, in milliseconds.
+/// The age up to which a VM counts as just started, in milliseconds.
 const STARTUP_AGE_MS: u64 = 3000;
-/// An age of the contact at which this VM may no longer say that a route or key is unknown:
-/// another version may be in force. In milliseconds.
+/// The contact age from which this VM no longer rejects a route or key as unknown, in milliseconds:
+/// another version of the configuration, which has it, may be in force by then.
 const DENIAL_MAX_AGE_MS: u64 = 1500;
 
-/// Serves one request of a caller.
+/// Serves one request of a caller, from reading its body to the answer.
 pub async fn serve_caller(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let (arrived, arrived_ms) = (Instant::now(), node.now_ms());
     let serving = ServingGuard::new(&node);
@@ -98,19 +98,20 @@
     answer
 }
 
-/// Waits a little for a VM that has just started to become ready.
+/// Waits up to [`STARTUP_WAIT_MS`] for a VM that has just started to become ready.
 async fn wait_until_ready(node: &VmNode, arrived: Instant) {
     let until = arrived + Duration::from_millis(STARTUP_WAIT_MS);
     loop {
         let changed = node.contact_changed.notified();
         let ready = node.is_ready() && !node.upstreams.borrow().entries.is_empty();
-        let waking = node.clock.age_ms() < STARTUP_AGE_MS && node.stopping_ms.get().is_none();
-        if ready || !waking || timeout_at(until, changed).await.is_err() {
+        let starting = node.clock.age_ms() < STARTUP_AGE_MS && node.stopping_ms.get().is_none();
+        if ready || !starting || timeout_at(until, changed).await.is_err() {
             return;
         }
     }
 }
 
+/// The answer to a request that is not sent to any upstream because of the configuration or the quarantine.
 fn deny(denial: &Denial) -> Response<AnswerBody> {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match denial {
@@ -129,9 +130,9 @@
 }
 
 impl CallerTask {
-    /// Whether the request is brought to its end although its caller leaves: it may run once, and a
-    /// run that is cut leaves unknown whether it took effect. Streams are not: an engine
-    /// would generate for no reader.
+    /// Whether the request is completed even if its caller disconnects. This holds for requests that may
+    /// run only once, since a canceled run leaves open whether it took effect. Streams are canceled:
+    /// an engine would otherwise generate output that is never read.
     fn must_complete(&self) -> bool {
         match self.decide() {
             Ok((routes, route, _)) => routes.table.routes[route].kind == RequestKind::Once,
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Serves apart from the caller's connection, and logs the end if that is gone by then.
+    /// Serves in a task of its own that outlives the caller's connection, and logs how the request ended if
+    /// the connection has closed by then.
     async fn serve_detached(self) -> Response<AnswerBody> {
         let (sender, receiver) = oneshot::channel();
         let record = self.record.clone();
@@ -153,15 +155,16 @@
         receiver.await.unwrap_or_else(|_| own_answer(StatusCode::BAD_GATEWAY, "given up"))
     }
 
+    /// Sends the request until an upstream's answer can be passed on or no further send is allowed.
     async fn serve(self) -> Response<AnswerBody> {
         let mut count = AttemptCount::default();
         let mut tried = Vec::new();
         let draw = self.draw;
-        let mut noted = false;
+        let mut first_noted = false;
         loop {
             let (routes, route, workspace) = match self.decide() {
                 Ok(decided) => decided,
-                // A request that may have run can't be refused as not run any more.
+                // A refusal would state that the request has not run, which is no longer certain.
                 Err(_) if count.may_have_run => return self.fail(&count, "withdrawn"),
                 Err(denial) => return self.deny(&denial),
             };
@@ -173,25 +176,26 @@
             let at = (route, service);
             let service = &routes.table.services[service];
             let named = workspace.and_then(|at| routes.table.workspace(at));
-            let room = service.engine.as_ref().map(|_| RoomRequest {
+            let demand = service.engine.as_ref().map(|_| RoomRequest {
                 rank: rule.priority,
                 workspace: named.map(|workspace| workspace.name.as_str()),
                 goal_ms: rule.goal_ms,
                 wait_ms: self.caller.wait_ms.unwrap_or(rule.timeout_ms),
             });
-            let first = !std::mem::replace(&mut noted, true);
+            let first = !std::mem::replace(&mut first_noted, true);
             if first {
-                self.note_first_request(&service.name, room.as_ref());
+                self.note_first_request(&service.name, demand.as_ref());
             }
             let left = deadline_ms.saturating_sub(self.node.now_ms());
             if left < MIN_REMAINING_MS {
                 return self.time_out(&count);
             }
-            // Where it has run it is at its end; where it hasn't, no answer would reach its caller.
+            // A run that has completed needs no further send, and without one no answer would reach the
+            // caller any more.
             if self.record.has_left() {
                 return self.refuse(&count, "its caller left");
             }
-            let pick = match self.choose(service, rule, room.as_ref(), &tried) {
+            let pick = match self.choose(service, rule, demand.as_ref(), &tried) {
                 Ok(pick) => pick,
                 Err(fault) => return self.refuse_unassigned(&count, &service.name, fault),
             };
@@ -201,8 +205,9 @@
                     _ => self.fail(&count, "no repeat left"),
                 };
             }
-            if let (true, Some(room)) = (first, &room) {
-                self.node.with_service_capacity(&service.name, |known| known.note_taken(room));
+            if let (true, Some(demand)) = (first, &demand) {
+                self.node
+                    .with_service_capacity(&service.name, |capacity| capacity.note_taken(demand));
             }
             tried.push(pick.upstream);
             let Some(target) = self.place(&routes, at, workspace, pick, left, None) else {
@@ -216,11 +221,12 @@
                 SendResult::Answer(answer) => {
                     self.record.note(RunKnowledge::Ran);
                     let failed = answer.head.status.is_server_error();
-                    // Without an upstream left for a repeat its caller gets the upstream's own failure, not ours.
+                    // If no upstream is left for a retry, the caller gets the upstream's own error answer
+                    // instead of one of this VM.
                     let repeats = failed
                         && count.repeats_failure(rule.kind, rule.most_upstreams)
                         && self.may_spend_repeat(&service.name)
-                        && self.choose(service, rule, room.as_ref(), &tried).is_ok();
+                        && self.choose(service, rule, demand.as_ref(), &tried).is_ok();
                     if !repeats {
                         return self.forward_answer(target, *answer, deadline_ms, &mut count).await;
                     }
@@ -239,7 +245,8 @@
         }
     }
 
-    /// What the routes in force say of this request now.
+    /// Routes the request by the configuration in force: the configuration, the index of the route, and the
+    /// index of the workspace whose key the caller sent.
     pub(super) fn decide(&self) -> Result<(Rc<RoutesInForce>, usize, Option<usize>), Denial> {
         let now_ms = self.node.now_ms();
         let Some(routes) = self.node.routes.borrow().clone() else {
@@ -271,22 +278,26 @@
         }
     }
 
+    /// The deadline by the node's clock: the caller's own limit, but no later than the route's.
     fn deadline_ms(&self, rule: &RouteRule) -> u64 {
         let wait_ms = self.caller.wait_ms.unwrap_or(rule.timeout_ms).min(rule.timeout_ms);
         self.arrived_ms + wait_ms
     }
 
-    /// It asks its service for the first time.
-    fn note_first_request(&self, service: &str, room: Option<&RoomRequest>) {
+    /// Counts the request for the retry budget of its service and, for engines, in the prefix rates and the
+    /// capacity estimate. Called before its first send.
+    fn note_first_request(&self, service: &str, demand: Option<&RoomRequest>) {
         let (allowance, now_ms) = (self.node.allowance(), self.node.now_ms());
         let mut budgets = self.node.budgets.borrow_mut();
         budgets.entry(service.to_string()).or_default().note_first(&allowance, now_ms);
-        if let Some(room) = room {
+        if let Some(demand) = demand {
             self.node.prefixes.borrow_mut().note_asked(&self.caller.prompt, now_ms);
-            self.node.with_service_capacity(service, |known| known.note_asked(room, now_ms));
+            self.node
+                .with_service_capacity(service, |capacity| capacity.note_asked(demand, now_ms));
         }
     }
 
+    /// Takes one retry from the service's retry budget; false if none is left.
     pub(super) fn spend_repeat(&self, service: &str) -> bool {
         self.use_budget(service, RepeatBudget::spend)
     }
@@ -321,10 +332,12 @@
         deny(denial)
     }
 
+    /// Answers that the request has not run, with the default time to retry.
     fn refuse(&self, count: &AttemptCount, why: &str) -> Response<AnswerBody> {
         self.refuse_with_retry(count, why, DEFAULT_RETRY_MS)
     }
 
+    /// Answers that the request has not run and may be retried after `retry_ms`.
     fn refuse_with_retry(
         &self,
         count: &AttemptCount,
@@ -337,7 +350,7 @@
         refusal(StatusCode::SERVICE_UNAVAILABLE, why, retry_ms)
     }
 
-    /// It was sent, and no upstream ran it.
+    /// Refuses a request that was sent and that no upstream ran.
     fn refuse_not_run(
         &self,
         count: &AttemptCount,
@@ -347,7 +360,7 @@
         self.refuse_with_retry(count, why, self.earliest_retry_ms(service))
     }
 
-    /// No upstream was chosen.
+    /// Refuses a request for which no upstream could be chosen, or fails it if it may have run.
     fn refuse_unassigned(
         &self,
         count: &AttemptCount,
@@ -365,22 +378,24 @@
         let retry_ms = match fault {
             ChoiceFault::NoUpstream => DEFAULT_RETRY_MS,
             ChoiceFault::Resting(rest_ms) => rest_ms,
-            ChoiceFault::Full => {
-                self.node.with_service_capacity(service, |room| room.return_ms(self.node.now_ms()))
-            }
+            ChoiceFault::Full => self
+                .node
+                .with_service_capacity(service, |capacity| capacity.return_ms(self.node.now_ms())),
         };
         self.refuse_with_retry(count, why, retry_ms)
     }
 
+    /// Answers with an error that doesn't state whether the request has run.
     fn fail(&self, count: &AttemptCount, why: &str) -> Response<AnswerBody> {
         self.note_end(RequestEnd::Failed);
         info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "failed: {why}");
         own_answer(StatusCode::BAD_GATEWAY, why.to_string())
     }
 
+    /// Answers that the deadline has passed: as a refusal if the request certainly has not run.
     fn time_out(&self, count: &AttemptCount) -> Response<AnswerBody> {
         self.note_end(RequestEnd::TimedOut);
-        info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "time is over");
+        info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "deadline exceeded");
         match count.may_have_run {
             true => own_answer(StatusCode::GATEWAY_TIMEOUT, "its time is over"),
             false => refusal(StatusCode::SERVICE_UNAVAILABLE, "its time is over", DEFAULT_RETRY_MS),
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -147,7 +147,7 @@
             "wingshed_upstreams_leaving" => self.pool.notices().borrow().leaving() as u64,
             "wingshed_serving" => u64::from(self.serving.get()),
             "wingshed_connections" => u64::from(self.connections.get()),
-            "wingshed_resting" => self.pool.resting() as u64,
+            "wingshed_resting" => self.pool.idle_count() as u64,
             "wingshed_heap_used_bytes" => heap_bytes().0,
             "wingshed_heap_held_bytes" => heap_bytes().1,
             "wingshed_in_flight" => self.in_flight.borrow().values().map(|n| u64::from(*n)).sum(),
--- a/lib/src/transport/vm_place.rs
+++ b/lib/src/transport/vm_place.rs
@@ -1,4 +1,4 @@
-//! Where one send goes, and under which names.
+//! Prepares one send: its upstream and address, and the fields that are written into its head.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,27 +11,32 @@
 use crate::state::ids::UpstreamKey;
 use crate::state::prompt_part::shared_parts;
 
-/// One send's place.
+/// The upstream of one send, with what was decided for the send.
 pub(super) struct SendTarget {
+    /// The configuration that the send was routed by.
     pub(super) routes: Rc<RoutesInForce>,
+    /// The index of its route there.
     pub(super) route: usize,
+    /// The index of its service there.
     pub(super) service: usize,
     pub(super) upstream: UpstreamKey,
     pub(super) address: SocketAddr,
     pub(super) send: UpstreamSend,
-    /// Whether VMs were to report how this request fares when it was sent here.
+    /// Whether, at the time of the send, VMs were asked to report how this request ends.
     pub(super) watched: bool,
-    /// When it was placed, by the node's clock.
+    /// When the send was prepared, by the node's clock, in milliseconds.
     pub(super) sent_ms: u64,
     /// See [`UpstreamPick::against_order`].
     pub(super) against_order: Option<u64>,
     /// See [`UpstreamPick::new_root`].
     pub(super) new_root: Option<u64>,
-    /// What the send shows of the upstream's version.
+    /// Reports the outcome as evidence about the upstream's version.
     pub(super) trial: TrialGuard,
 }
 
 impl CallerTask {
+    /// Prepares a send to the chosen upstream and counts it; `None` if the upstream is no longer on the list.
+    /// `resume_after` is the id of the last event of a stream that is resumed.
     pub(super) fn place(
         &self,
         routes: &Rc<RoutesInForce>,
@@ -48,8 +53,9 @@
         self.node.pool.notices().borrow_mut().note_sent(pick.upstream, self.node.now_ms());
         let source = pick.fetch_from.and_then(|key| upstreams.entries.get(&key));
         let workspace = workspace.and_then(|at| routes.table.workspace(at));
-        let rank = workspace.map_or(0, |workspace| workspace.priority);
-        let engine_priority = rule.prompt_parts.then(|| engine_rank(rank, rule.priority));
+        let workspace_priority = workspace.map_or(0, |workspace| workspace.priority);
+        let engine_priority =
+            rule.prompt_parts.then(|| engine_priority(workspace_priority, rule.priority));
         let send = UpstreamSend {
             life: entry.life.clone(),
             left_ms,
@@ -77,14 +83,15 @@
         })
     }
 
-    /// Whether an engine surely held the shared parts of the prompt lately; true where there are none.
+    /// Whether this VM recorded that the engine recently cached the shared parts of the prompt; true if the
+    /// prompt has none.
     fn has_cached_prompt(&self, engine: UpstreamKey) -> bool {
-        let Some(deep) = shared_parts(&self.caller.prompt).last() else { return true };
-        self.node.prefixes.borrow().holds(deep.id, engine, self.node.now_ms())
+        let Some(deepest) = shared_parts(&self.caller.prompt).last() else { return true };
+        self.node.prefixes.borrow().holds(deepest.id, engine, self.node.now_ms())
     }
 }
 
-/// The rank at an engine, 0 to 9: a workspace's rank goes before the route's.
-fn engine_rank(workspace: u8, route: u8) -> u8 {
+/// The priority at an engine, 0 to 9: the workspace's priority outranks the route's.
+fn engine_priority(workspace: u8, route: u8) -> u8 {
     (workspace.min(2) * 3 + route.min(2)).min(9)
 }
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -1,14 +1,14 @@
-//! Connections to upstreams, kept while both ends allow it.
+//! The pool of connections to upstreams, which are reused while both ends allow it.
 //!
-//! A connection serves one request at a time. Dropping a lease without finishing
-//! it closes the connection at once, which is how an upstream learns that its caller
-//! has left. A connection that rests is a socket and nothing else: the client and its
-//! buffers, some 17 KB, are made for one request and given back after it; see
-//! `docs/design/small-vms.md`.
+//! A connection serves one request at a time. Dropping a lease without finishing it closes the connection
+//! at once, which signals to the upstream that the caller has disconnected. An idle connection is only a
+//! socket: the HTTP client and its buffers, some 17 KB, are created for one request and freed after it;
+//! see `docs/design/small-vms.md`.
 //!
-//! Invariant: nothing goes to an upstream by another way, so that what it says of itself is heeded here for
-//! all of them: sends, repeats, resumed streams, looks at one that broke off, tries of silent ones. Asked
-//! before a connection is opened and once more when it is up, since it may have said so meanwhile.
+//! Invariant: every connection to an upstream comes from this pool, so that an upstream's notices (backoff,
+//! leaving) are enforced here for all purposes: first sends, retries, resumed streams, checks after a
+//! connection broke, and probes of upstreams that don't answer. They are checked before a connection is
+//! opened and once more when it is established, since a notice may arrive in between.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -31,57 +31,61 @@
 use crate::state::connect_count::{ConnectCause, ConnectCount};
 use crate::state::ids::UpstreamKey;
 
-/// How long a resting connection is kept when the upstream doesn't say, in milliseconds.
+/// How long an idle connection is kept if the upstream doesn't announce a limit, in milliseconds.
 const DEFAULT_IDLE_MS: u64 = 4000;
-/// A connection is left alone this long before the upstream would close it, in milliseconds.
+/// An idle connection is no longer used from this long before the upstream would close it, in
+/// milliseconds: a request sent then could meet the close.
 const IDLE_MARGIN_MS: u64 = 700;
-/// A connection whose request has been written rests within this time after its answer.
+/// How long a request waits, after its answer, for its connection to become idle. A connection whose
+/// request has been written in full becomes idle within this time.
 const FINISH_WAIT: Duration = Duration::from_millis(10);
-/// The buffer of a connection, in bytes; the least that the library takes.
+/// The buffer size of a connection, in bytes: the minimum that the HTTP library accepts.
 const BUFFER_BYTES: usize = 8192;
 
-/// Why there is no connection.
+/// Why no connection was established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFault {
-    /// The address refuses connections: that process has ended.
+    /// The address refuses connections: the process that listened there has ended.
     ConnectionRefused,
-    /// Nothing came, or nothing usable.
+    /// The upstream didn't answer in time, or the connection failed otherwise.
     NoAnswer,
-    /// The upstream wants nothing of this kind from this VM now. It was left alone, and nothing is known of it.
+    /// The upstream's own notices rule out a connection for this purpose now. None was attempted, so this
+    /// says nothing about its health.
     NotAttempted,
 }
 
-/// Who is approached, where, what for, and when by the node's clock.
+/// An upstream to connect to, and the purpose and time of the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectTarget {
-    /// The incarnation.
+    /// The incarnation of the upstream.
     pub upstream: UpstreamKey,
     /// Where it listens.
     pub address: SocketAddr,
-    /// What for.
+    /// The purpose, which decides which notices of the upstream apply.
     pub purpose: ApproachPurpose,
-    /// The present time, in milliseconds.
+    /// The present time by the node's clock, in milliseconds.
     pub now_ms: u64,
 }
 
+/// A connection without a request, and the time until which it may be used.
 struct IdleConnection {
     stream: TcpStream,
-    until_ms: u64,
+    expires_ms: u64,
 }
 
-/// What a VM has, and had last, to one upstream.
+/// This VM's connections to one upstream.
 #[derive(Default)]
 struct UpstreamConnections {
-    resting: Vec<IdleConnection>,
+    idle: Vec<IdleConnection>,
     in_use: u32,
-    /// Why the one that ended last did so.
-    ended: Option<ConnectCause>,
+    /// Why the most recently closed connection ended.
+    last_end: Option<ConnectCause>,
 }
 
 impl UpstreamConnections {
-    /// Why a new one is opened now.
+    /// The reason for opening another connection now.
     fn cause(&self) -> ConnectCause {
-        match (self.in_use, self.ended) {
+        match (self.in_use, self.last_end) {
             (0, Some(ended)) => ended,
             (0, None) => ConnectCause::First,
             _ => ConnectCause::Busy,
@@ -89,10 +93,10 @@
     }
 
     fn pop(&mut self, now_ms: u64) -> Option<TcpStream> {
-        while let Some(connection) = self.resting.pop() {
+        while let Some(connection) = self.idle.pop() {
             match connection.fault(is_silent, now_ms) {
                 None => return Some(connection.stream),
-                ended => self.ended = ended,
+                fault => self.last_end = fault,
             }
         }
         None
@@ -100,28 +104,28 @@
 
     fn sweep(&mut self, now_ms: u64) {
         let mut ended = None;
-        self.resting.retain(|connection| match connection.fault(seems_silent, now_ms) {
+        self.idle.retain(|connection| match connection.fault(seems_silent, now_ms) {
             None => true,
             fault => {
                 ended = fault;
                 false
             }
         });
-        self.ended = ended.or(self.ended);
+        self.last_end = ended.or(self.last_end);
     }
 }
 
 impl IdleConnection {
-    /// Why it can't be used, if so.
+    /// Why the connection can't be used any more; `None` if it can.
     fn fault(&self, silent: fn(&TcpStream) -> bool, now_ms: u64) -> Option<ConnectCause> {
-        if self.until_ms <= now_ms {
+        if self.expires_ms <= now_ms {
             return Some(ConnectCause::Rested);
         }
         (!silent(&self.stream)).then_some(ConnectCause::Closed)
     }
 }
 
-/// All connections of one VM to upstreams.
+/// All connections of one VM to upstreams. Clones share the same pool.
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
     upstreams: Rc<RefCell<HashMap<UpstreamKey, UpstreamConnections>>>,
@@ -135,10 +139,10 @@
     sender: Option<SendRequest<Full<Bytes>>>,
     task: JoinHandle<Option<TcpStream>>,
     in_use: InUseGuard,
-    kept: bool,
+    reused: bool,
 }
 
-/// Counts a connection that is in use, or is being opened for it.
+/// Counts a connection as in use while it is being opened or serves a request.
 struct InUseGuard {
     upstream: UpstreamKey,
     pool: ConnectionPool,
@@ -151,20 +155,20 @@
     }
 
     fn note(&self, act: impl FnOnce(&mut UpstreamConnections)) {
-        if let Some(had) = self.pool.upstreams.borrow_mut().get_mut(&self.upstream) {
-            act(had);
+        if let Some(connections) = self.pool.upstreams.borrow_mut().get_mut(&self.upstream) {
+            act(connections);
         }
     }
 }
 
 impl Drop for InUseGuard {
     fn drop(&mut self) {
-        self.note(|had| had.in_use -= 1);
+        self.note(|connections| connections.in_use -= 1);
     }
 }
 
 impl ConnectionPool {
-    /// A resting connection to the upstream, or a new one.
+    /// Returns an idle connection to the upstream, or opens a new one.
     pub async fn take(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
         self.check_allowed(approach)?;
         match self.pop(approach.upstream, approach.now_ms) {
@@ -189,9 +193,9 @@
         approach: ConnectTarget,
         in_use: InUseGuard,
         stream: TcpStream,
-        kept: bool,
+        reused: bool,
     ) -> Result<ConnectionLease, ConnectFault> {
-        let lease = lease(in_use, stream, kept).await?;
+        let lease = lease(in_use, stream, reused).await?;
         self.check_allowed(approach)?;
         Ok(lease)
     }
@@ -200,13 +204,16 @@
         self.upstreams.borrow_mut().get_mut(&upstream)?.pop(now_ms)
     }
 
-    /// A new connection to the upstream. One that isn't up after some times what connecting takes is
-    /// given up: nothing was sent, so another upstream can still be asked.
+    /// Opens a new connection to the upstream. The attempt is abandoned after a multiple of the usual
+    /// connect time: nothing was sent yet, so the request can still go to another upstream.
     pub async fn connect(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
         self.check_allowed(approach)?;
         let ConnectTarget { upstream, address, .. } = approach;
-        let cause =
-            self.upstreams.borrow().get(&upstream).map_or(ConnectCause::First, |had| had.cause());
+        let cause = self
+            .upstreams
+            .borrow()
+            .get(&upstream)
+            .map_or(ConnectCause::First, |connections| connections.cause());
         let in_use = InUseGuard::new(self, upstream);
         let wait = Duration::from_millis(self.patience.get().wait_ms());
         let began = Instant::now();
@@ -225,88 +232,92 @@
         self.lease(approach, in_use, stream, false).await
     }
 
-    /// Closes what has rested for long enough, and what belongs to upstreams that are gone.
+    /// Closes idle connections that have expired, and all idle connections to upstreams that are not
+    /// `known` any more.
     pub fn sweep(&self, known: impl Fn(UpstreamKey) -> bool, now_ms: u64) {
         self.upstreams.borrow_mut().retain(|upstream, connections| {
             connections.sweep(now_ms);
             if !known(*upstream) {
-                connections.resting.clear();
+                connections.idle.clear();
             }
             known(*upstream) || connections.in_use > 0
         });
     }
 
-    /// What upstreams have said of themselves.
+    /// The notices that upstreams sent in their answers.
     pub fn notices(&self) -> &RefCell<NoticeTable> {
         &self.notices
     }
 
-    /// How many connections rest.
-    pub fn resting(&self) -> usize {
-        self.upstreams.borrow().values().map(|connections| connections.resting.len()).sum()
+    /// The number of idle connections.
+    pub fn idle_count(&self) -> usize {
+        self.upstreams.borrow().values().map(|connections| connections.idle.len()).sum()
     }
 
-    /// How many connections were opened, by cause.
+    /// The number of connections opened, by cause.
     pub fn opened(&self) -> ConnectCount {
         *self.opened.borrow()
     }
 }
 
+/// Starts the HTTP client on a connected socket.
 async fn lease(
     in_use: InUseGuard,
     stream: TcpStream,
-    kept: bool,
+    reused: bool,
 ) -> Result<ConnectionLease, ConnectFault> {
     let mut builder = http1::Builder::new();
     builder.max_buf_size(BUFFER_BYTES);
     let (sender, connection) =
         builder.handshake(TokioIo::new(stream)).await.map_err(|_| ConnectFault::NoAnswer)?;
     let task = spawn_local(async move {
-        // What goes wrong on a connection is reported to the request that waits for its answer. Bytes beyond
-        // the answer belong to no request.
+        // Errors of the connection are reported to the request that waits for its answer. If bytes follow the
+        // answer, the connection is not reused: they belong to no request.
         let parts = connection.without_shutdown().await.ok()?;
         parts.read_buf.is_empty().then(|| parts.io.into_inner())
     });
-    Ok(ConnectionLease { sender: Some(sender), task, in_use, kept })
+    Ok(ConnectionLease { sender: Some(sender), task, in_use, reused })
 }
 
 impl ConnectionLease {
-    /// The connection, to send a request over.
+    /// The sending half of the connection.
     pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         self.sender.as_mut().expect("a lease holds its connection until it is finished")
     }
 
-    /// Whether it served requests before.
+    /// Whether the connection served requests before this lease.
     pub fn is_reused(&self) -> bool {
-        self.kept
+        self.reused
     }
 
-    /// The whole answer came: the connection may rest for `idle_ms`, or is closed. An upstream may answer
-    /// before it has read the request; then the connection rests once it has, if that is within the same time.
+    /// Ends the lease after the whole answer was received: the connection is closed, or kept idle for
+    /// `idle_ms`. An upstream may answer before it has read the whole request; the connection then
+    /// becomes idle once the request is written, if that happens within the same time.
     pub async fn finish(mut self, closes: bool, idle_ms: Option<u64>, now_ms: u64) {
-        // Without its sender the connection's task ends once it has seen the end of the answer and has
-        // written the request.
+        // Once its sender is dropped, the connection's task ends when the answer has been read and the request
+        // has been written.
         drop(self.sender.take());
-        let rest_ms = idle_ms.unwrap_or(DEFAULT_IDLE_MS).saturating_sub(IDLE_MARGIN_MS);
-        let until_ms = now_ms + rest_ms;
+        let idle_for_ms = idle_ms.unwrap_or(DEFAULT_IDLE_MS).saturating_sub(IDLE_MARGIN_MS);
+        let expires_ms = now_ms + idle_for_ms;
         if closes {
-            return self.rest(None, until_ms);
+            return self.keep(None, expires_ms);
         }
         match timeout(FINISH_WAIT, &mut self.task).await {
-            Ok(ended) => self.rest(ended.ok().flatten(), until_ms),
+            Ok(ended) => self.keep(ended.ok().flatten(), expires_ms),
             Err(_) => {
                 spawn_local(async move {
-                    let ended = timeout(Duration::from_millis(rest_ms), &mut self.task).await;
-                    self.rest(ended.ok().and_then(|ended| ended.ok().flatten()), until_ms);
+                    let ended = timeout(Duration::from_millis(idle_for_ms), &mut self.task).await;
+                    self.keep(ended.ok().and_then(|ended| ended.ok().flatten()), expires_ms);
                 });
             }
         }
     }
 
-    fn rest(&self, stream: Option<TcpStream>, until_ms: u64) {
-        self.in_use.note(|had| match stream {
-            Some(stream) => had.resting.push(IdleConnection { stream, until_ms }),
-            None => had.ended = Some(ConnectCause::Closed),
+    /// Adds the connection to the idle ones, or notes that it was closed.
+    fn keep(&self, stream: Option<TcpStream>, expires_ms: u64) {
+        self.in_use.note(|connections| match stream {
+            Some(stream) => connections.idle.push(IdleConnection { stream, expires_ms }),
+            None => connections.last_end = Some(ConnectCause::Closed),
         });
     }
 }
@@ -315,7 +326,7 @@
     fn drop(&mut self) {
         self.task.abort();
         if self.sender.is_some() {
-            self.in_use.note(|had| had.ended = Some(ConnectCause::Cut));
+            self.in_use.note(|connections| connections.last_end = Some(ConnectCause::Cut));
         }
     }
 }
--- a/lib/src/transport/vm_relay.rs
+++ b/lib/src/transport/vm_relay.rs
@@ -1,7 +1,7 @@
-//! The body of an answer on its way to the caller.
+//! The body of an answer to a caller.
 //!
-//! Invariant: an answer that comes piece by piece is complete only if its relay says so. However a relay ends
-//! otherwise, its caller gets an answer that is cut.
+//! Invariant: an answer that is relayed in pieces is complete only if its relay calls
+//! [`PieceSender::complete`]. If the relay ends in any other way, the caller's connection is cut.
 
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
@@ -10,10 +10,12 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
-/// Pieces that wait for a caller that doesn't read; then the upstream is held up.
+/// The maximum number of pieces buffered for a caller that doesn't read. Beyond it the relay stops reading
+/// from the upstream.
 const MAX_BUFFERED_PIECES: usize = 16;
 
-/// Why an answer ends early: its connection must be cut, so that it can't look complete.
+/// The error of an answer that ends early. It makes the server cut the connection, so that the answer can't
+/// look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CutShort;
 
@@ -27,38 +29,39 @@
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// All of it is here.
+    /// A body that is available in full; `None` once it was written.
     Whole(Option<Bytes>),
-    /// It comes piece by piece.
+    /// A body that is relayed in pieces.
     Pieces(PieceReceiver),
 }
 
+/// A message from the relay to the caller's side.
 enum AnswerPiece {
     Data(Bytes),
     End,
 }
 
-/// The relay's side of an answer that comes piece by piece. Dropping it cuts the answer.
+/// The relay's side of an answer that is relayed in pieces. Dropping it cuts the answer.
 pub struct PieceSender(Sender<AnswerPiece>);
 
 impl PieceSender {
-    /// Passes a piece on; false once the caller has left.
+    /// Passes a piece on; false once the caller has disconnected.
     pub async fn send(&self, data: Bytes) -> bool {
         self.0.send(AnswerPiece::Data(data)).await.is_ok()
     }
 
-    /// The answer is complete.
+    /// Marks the answer as complete.
     pub async fn complete(self) {
         let _ = self.0.send(AnswerPiece::End).await;
     }
 
-    /// Returns once the caller has left.
+    /// Returns once the caller has disconnected.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// The caller's side of an answer that comes piece by piece.
+/// The caller's side of an answer that is relayed in pieces.
 pub struct PieceReceiver {
     pieces: Receiver<AnswerPiece>,
     ended: bool,
@@ -83,12 +86,12 @@
 }
 
 impl AnswerBody {
-    /// A body that is here.
+    /// Creates a body that is available in full.
     pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
         AnswerBody::Whole(Some(bytes.into()))
     }
 
-    /// A body that comes piece by piece.
+    /// Creates a body that is relayed in pieces, and the sender of its pieces.
     pub fn pieces() -> (PieceSender, AnswerBody) {
         let (sender, pieces) = channel(MAX_BUFFERED_PIECES);
         (PieceSender(sender), AnswerBody::Pieces(PieceReceiver { pieces, ended: false }))
--- a/lib/src/transport/vm_reply.rs
+++ b/lib/src/transport/vm_reply.rs
@@ -1,6 +1,7 @@
-//! What came back of a send: whose answer it is, whether the request ran, and its body.
+//! Checks the answer to a send: whether it belongs to this request, whether the request ran, and how its
+//! body is delivered.
 //!
-//! Invariant: nothing is believed of an answer before it is known to be the one to this request.
+//! Invariant: nothing in an answer is used before it is certain that it answers this request.
 
 use std::time::Duration;
 
@@ -24,37 +25,41 @@
 use crate::protocol::wire_adapter::UpstreamAnswer;
 use crate::state::body_end::BodyFraming;
 
-/// A plain answer up to this length is taken whole before it is passed on, so that one that
-/// breaks off can still be asked for again.
+/// The maximum length, in bytes, of a plain answer that is received in full before it is passed on. If
+/// such an answer breaks off, the request can still be retried.
 const BUFFERED_BYTES: u64 = 64 << 10;
 
-/// How long the body of a refusal may take before its connection is closed.
+/// How long reading the body of a refusal may take. After that its connection is closed and not reused.
 const REFUSAL_BODY_WAIT: Duration = Duration::from_secs(1);
 
-/// What a send brought.
+/// The result of a send.
 pub(super) enum SendResult {
+    /// An answer that may be passed on.
     Answer(Box<UsableAnswer>),
+    /// No answer that may be passed on, and what is known of the send.
     NoAnswer(SendOutcome),
 }
 
-/// An answer that may be passed on.
+/// An upstream's answer that may be passed on to the caller.
 pub(super) struct UsableAnswer {
     pub(super) head: response::Parts,
     pub(super) body: AnswerContent,
-    /// The upstream turns this VM away with it, which says nothing of its health.
+    /// Whether the upstream requests a backoff with this answer, which says nothing about its health.
     pub(super) asks_backoff: bool,
 }
 
+/// The body of a [`UsableAnswer`].
 pub(super) enum AnswerContent {
-    /// A short plain answer, all of it here.
+    /// A short plain answer that was received in full.
     Whole(Bytes),
-    /// A stream, or a long answer, that still comes.
+    /// A stream or a long answer whose body is still being received.
     Streamed(Box<StreamedBody>),
 }
 
+/// A body that is still being received, with the connection that it arrives on.
 pub(super) struct StreamedBody {
     pub(super) facts: UpstreamAnswer,
-    /// The status is one of success.
+    /// Whether the status is a success.
     pub(super) success: bool,
     pub(super) tracker: BodyTracker,
     pub(super) body: Incoming,
@@ -62,7 +67,7 @@
     pub(super) guard: FlightGuard,
 }
 
-/// What delimits the body. A transfer coding other than chunked leaves that to the connection's end.
+/// What delimits the body. If the last transfer coding isn't chunked, that is the end of the connection.
 fn body_framing(head: &response::Parts, body: &Incoming) -> BodyFraming {
     let codings = head.headers.get_all(TRANSFER_ENCODING).into_iter().next_back();
     let last = codings.and_then(|value| value.to_str().ok()?.rsplit(',').next());
@@ -74,18 +79,19 @@
     }
 }
 
-/// Whether callers take the status as a promise that the request has not run.
+/// Whether callers conclude from the status that the request has not run.
 fn implies_not_run(status: StatusCode) -> bool {
-    let promises = [
+    let statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    promises.contains(&status)
+    statuses.contains(&status)
 }
 
 impl CallerTask {
-    /// Whose answer it is, what it says of its upstream, and whether the request ran.
+    /// Checks the head of an answer: that it answers this request, what the upstream announces in it, and
+    /// whether the request ran. Then starts or completes reading its body.
     pub(super) async fn check_answer(
         &self,
         target: &SendTarget,
@@ -96,16 +102,18 @@
     ) -> SendResult {
         let (head, body) = answer.into_parts();
         let facts = self.node.adapter.read_answer(&head);
-        let own = facts.attempt.as_deref().map(|attempt| attempt == self.caller.attempt);
-        // Also where it is a refusal: this request may run while another's answer is read in its place.
-        if own == Some(false) {
+        let matches_attempt =
+            facts.attempt.as_deref().map(|attempt| attempt == self.caller.attempt);
+        // This includes refusals: this request may be running while the answer to another one is read in its
+        // place.
+        if matches_attempt == Some(false) {
             return self.reject_foreign(target);
         }
         self.record_notices(target, &facts);
         if facts.not_run {
             return self.handle_refusal(target, &facts, &head, body, lease);
         }
-        if own.is_none() || (head.status.is_success() && !facts.stamped) {
+        if matches_attempt.is_none() || (head.status.is_success() && !facts.stamped) {
             return self.reject_foreign(target);
         }
         match (head.status.is_server_error(), facts.rest_ms) {
@@ -115,7 +123,7 @@
         }
         let rule = &target.routes.table.routes[target.route];
         if implies_not_run(head.status) && !rule.kind.may_repeat() {
-            self.note_failure(target.upstream, "a refusal that may have run");
+            self.note_failure(target.upstream, "refusal status, but the request may have run");
             return SendResult::NoAnswer(SendOutcome::Broken);
         }
         let short = body.size_hint().exact().is_some_and(|length| length <= BUFFERED_BYTES);
@@ -131,14 +139,14 @@
         self.read_whole(target, &facts, head, body, lease, deadline_ms).await
     }
 
-    /// What came is no answer to this request.
+    /// Discards an answer that doesn't belong to this request, and counts it as a failure of the upstream.
     fn reject_foreign(&self, target: &SendTarget) -> SendResult {
         target.trial.end_failure();
-        self.note_failure(target.upstream, "another answer");
+        self.note_failure(target.upstream, "answer to another request");
         SendResult::NoAnswer(SendOutcome::Broken)
     }
 
-    /// The upstream says that it did not run the request.
+    /// Handles an answer that states that the upstream did not run the request.
     fn handle_refusal(
         &self,
         target: &SendTarget,
@@ -152,7 +160,8 @@
             true => self.note_gone(target.upstream, "another life listens there"),
             false => self.log_refusal(target, facts, head, lease.is_reused()),
         }
-        // The head says all. The body is read for the connection's sake, which the request doesn't wait for.
+        // Only the head matters to the request. The body is read in the background so that the connection can
+        // be reused.
         let (node, closes, idle_ms) = (self.node.clone(), facts.closes, facts.idle_ms);
         spawn_local(async move {
             let read = Limited::new(body, BUFFERED_BYTES as usize).collect();
@@ -163,7 +172,7 @@
         SendResult::NoAnswer(SendOutcome::NotRun)
     }
 
-    /// A short plain answer, all of it before it is passed on.
+    /// Receives a short plain answer in full before it is passed on.
     async fn read_whole(
         &self,
         target: &SendTarget,
@@ -195,8 +204,8 @@
         }
     }
 
-    /// Counts an answer's first byte, and logs one that comes after its goal with what decided
-    /// its way.
+    /// Counts the time to an answer's first byte. If it exceeds the route's goal, logs what the choice of
+    /// the upstream was based on.
     pub(super) fn note_first_byte(&self, target: &SendTarget, what: &'static str) {
         let rule = &target.routes.table.routes[target.route];
         let took_ms = self.node.now_ms().saturating_sub(self.arrived_ms);
@@ -210,8 +219,8 @@
         let others = self.node.view.borrow().reports.others(target.upstream);
         let service = &target.routes.table.services[target.service];
         if let Some(engine) = &service.engine {
-            self.node.with_service_capacity(&service.name, |room| {
-                room.note_first_event(late, own + others, engine.slots);
+            self.node.with_service_capacity(&service.name, |capacity| {
+                capacity.note_first_event(late, own + others, engine.slots);
             });
         }
         if !late {
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -1,6 +1,6 @@
-//! One send of a caller's request to one upstream, until an answer begins or it is known that none will.
+//! Sends a caller's request to one upstream and waits until an answer begins or the send has failed.
 //!
-//! Invariant: it fails without a trace at the upstream ([`SendOutcome::NotSent`]) or counts as sent.
+//! Invariant: a failed send either never reached the upstream ([`SendOutcome::NotSent`]) or counts as sent.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,7 +16,8 @@
 use crate::coordination::attempt_plan::SendOutcome;
 use crate::coordination::upstream_notice::ApproachPurpose;
 
-/// Fresh connections on which one send is tried when resting ones turn out closed.
+/// The maximum number of connections that one send is tried on: an idle one may turn out to be closed, and
+/// only then is a new one opened.
 const MAX_CONNECTION_TRIES: usize = 3;
 
 impl CallerTask {
@@ -73,13 +74,13 @@
                     target.trial.end_inconclusive();
                     info!(
                         target: "upstream", life = target.send.life,
-                        attempt = self.caller.attempt, "is dark, is not waited for",
+                        attempt = self.caller.attempt, "upstream unresponsive; no longer waiting for its answer",
                     );
                     return SendResult::NoAnswer(SendOutcome::Broken);
                 }
                 Waited::TimedOut => {
                     target.trial.end_failure();
-                    self.note_failure(target.upstream, "silent");
+                    self.note_failure(target.upstream, "no answer before the deadline");
                     return SendResult::NoAnswer(SendOutcome::TimedOut);
                 }
             }
@@ -88,6 +89,7 @@
         SendResult::NoAnswer(SendOutcome::NotSent)
     }
 
+    /// Builds the request as it is sent to the upstream.
     fn upstream_request(&self, target: &SendTarget) -> Request<Full<Bytes>> {
         let path = self.head.uri.path_and_query().map_or("/", |path| path.as_str());
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -1,4 +1,4 @@
-//! An answer that comes piece by piece, and a stream that is taken up at another upstream.
+//! Passes an upstream's answer on to the caller, and resumes a broken stream at another upstream.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -21,15 +21,21 @@
 use crate::state::route_table::{pick_share, RequestKind};
 use crate::state::vm_figures::RequestEnd;
 
+/// How the relay of one upstream's body ended.
 enum RelayEnd {
+    /// The body is complete.
     Complete,
+    /// The body broke off, or it ended at a point where the stream can't be complete.
     Broken,
+    /// The deadline has passed.
     TimedOut,
+    /// The caller has disconnected.
     CallerLeft,
 }
 
 impl CallerTask {
-    /// Passes an upstream's answer on.
+    /// Returns the answer for the caller, and starts a task that relays its body if that is still being
+    /// received.
     pub(super) async fn forward_answer(
         self,
         target: SendTarget,
@@ -84,7 +90,8 @@
         let (pieces, body) = AnswerBody::pieces();
         let mut response = respond(body, headers);
         let resumable = rule.kind == RequestKind::ResumableStream && response.status().is_success();
-        // A length beside another framing isn't that of the body, and one of a stream would make it complete inside an event.
+        // A content-length next to another framing isn't the length of the body. In a stream it would let the
+        // answer look complete in the middle of an event.
         let is_stream = rule.kind.is_stream() && response.status().is_success();
         if is_stream || streamed.tracker.framing() != BodyFraming::Length {
             response.headers_mut().remove(CONTENT_LENGTH);
@@ -95,7 +102,7 @@
         response
     }
 
-    /// Relays a stream, taking it up elsewhere when it breaks and may be resumed.
+    /// Relays a body to the caller. A resumable stream that breaks is continued at another upstream.
     async fn relay(
         self,
         target: SendTarget,
@@ -120,7 +127,7 @@
                     target.trial.end_failure();
                     info!(
                         target: "request", attempt = self.caller.attempt,
-                        "a stream is cut, since its time is over",
+                        "stream cut: deadline exceeded",
                     );
                     break;
                 }
@@ -139,9 +146,11 @@
             }
         }
         self.node.figures.borrow_mut().cut += 1;
-        info!(target: "request", attempt = self.caller.attempt, "a stream is cut short");
+        info!(target: "request", attempt = self.caller.attempt, "stream cut short");
     }
 
+    /// Sends the request to another upstream, to continue the stream after the event `after`; `None` if no
+    /// upstream, time or retry is left.
     async fn resume(
         &self,
         after: Option<String>,
@@ -161,7 +170,7 @@
             if count.sent >= rule.most_upstreams || left < MIN_REMAINING_MS {
                 return None;
             }
-            // What was begun goes on whatever room there is.
+            // A stream that has begun is resumed regardless of the capacity that is left.
             let pick = self.choose(entry, rule, None, tried).ok()?;
             if !self.spend_repeat(&entry.name) {
                 return None;
@@ -177,7 +186,7 @@
                     {
                         let attempt = &self.caller.attempt;
                         self.node.figures.borrow_mut().resumed += 1;
-                        info!(target: "request", attempt, "a stream is resumed");
+                        info!(target: "request", attempt, "stream resumed");
                         return Some((target, streamed));
                     }
                 }
@@ -186,6 +195,7 @@
         }
     }
 
+    /// Relays the body of one upstream's answer until it ends, breaks off or is abandoned.
     async fn relay_body(
         &self,
         target: &SendTarget,
@@ -234,8 +244,8 @@
             }
         }
         self.note_body_end(target, &tracker);
-        let is_owing = splice.as_ref().is_some_and(|splice| splice.owes_event());
-        if is_owing || !tracker.is_whole() {
+        let misses_event = splice.as_ref().is_some_and(|splice| splice.owes_event());
+        if misses_event || !tracker.is_whole() {
             return RelayEnd::Broken;
         }
         if let Some(splice) = splice {
@@ -255,7 +265,7 @@
         RelayEnd::Complete
     }
 
-    /// Counts where a body stopped that its framing calls complete.
+    /// Counts where a body ended that is complete by its framing, and logs an end outside an event boundary.
     fn note_body_end(&self, target: &SendTarget, tracker: &BodyTracker) {
         let (framing, end) = (tracker.framing(), tracker.end());
         self.node.figures.borrow_mut().note_body_end(framing, end);
@@ -267,6 +277,7 @@
         }
     }
 
+    /// Logs a body that its connection broke off.
     fn log_broken_body(&self, target: &SendTarget, tracker: &BodyTracker, error: &hyper::Error) {
         info!(
             target: "upstream", life = target.send.life, attempt = self.caller.attempt,
--- a/lib/src/transport/vm_task.rs
+++ b/lib/src/transport/vm_task.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, and what stays the same over its sends.
+//! The state of a caller's request that is shared by all of its sends.
 
 use bytes::Bytes;
 use hyper::http::request;
@@ -12,34 +12,38 @@
 use crate::protocol::wire_adapter::CallerRequest;
 use crate::state::ids::RequestMark;
 
-/// A request with less than this left isn't sent any more, in milliseconds.
+/// The minimum time left before the deadline at which a request is still sent, in milliseconds.
 pub(super) const MIN_REMAINING_MS: u64 = 10;
-/// When a refused caller may come back, in milliseconds, where nothing says otherwise.
+/// The time after which a refused caller may retry, in milliseconds, unless a longer wait is known.
 pub(super) const DEFAULT_RETRY_MS: u64 = 400;
 
-/// Everything that stays the same over the sends of one request.
+/// One request of a caller, with everything that stays the same over its sends.
 pub(super) struct CallerTask {
     pub(super) node: Rc<VmNode>,
     pub(super) head: request::Parts,
     pub(super) body: Bytes,
     pub(super) caller: CallerRequest,
-    /// When it came, by the node's clock.
+    /// When the request arrived, by the node's clock, in milliseconds.
     pub(super) arrived_ms: u64,
-    /// Decides between the services of a split route, for all sends alike.
+    /// A random number that selects among the services of a split route, and is the same for all sends.
     pub(super) draw: u64,
     pub(super) record: Rc<RequestRecord>,
     pub(super) connection: ConnectionRecord,
-    /// The request by its content, once anybody asked; see [`CallerTask::mark`].
+    /// The hash of the request's content, computed on first use; see [`CallerTask::mark`].
     pub(super) mark: OnceCell<RequestMark>,
     pub(super) _serving: ServingGuard,
 }
 
-/// Why a request gets no send.
+/// Why a request is not sent to any upstream.
 pub(super) enum Denial {
+    /// This VM has no configuration yet.
     NoConfiguration,
+    /// The configuration in force may be outdated.
     StaleConfiguration,
+    /// No route matches the request.
     NoRoute,
+    /// The key is missing or unknown.
     NoKey,
-    /// Upstreams ended under it.
+    /// The request is quarantined, since upstreams ended while running it.
     Quarantined,
 }
--- a/lib/src/transport/vm_trial.rs
+++ b/lib/src/transport/vm_trial.rs
@@ -1,4 +1,4 @@
-//! What one send shows of the version of its upstream, while that is rolled out.
+//! Reports the outcome of a send as evidence about its upstream's version while that is being rolled out.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,34 +9,37 @@
 use crate::coordination::rollout_evidence::TrialOutcome;
 use crate::coordination::rollout_watch::TrialTag;
 
-/// A caller that leaves after this long without a first event counts the upstream as slow, in
-/// milliseconds; one that leaves sooner counts nothing. Callers leave slow versions more often than
-/// others, so that without this the slowest answers would be missing.
+/// When a caller disconnects after this many milliseconds without a first event, the time it waited counts as the
+/// upstream's time. Earlier disconnects are not counted. Callers disconnect from slow versions more often
+/// than from others, so that without this rule the slowest answers would be missing from the comparison.
 const ABANDONED_SLOW_MS: f64 = 1000.0;
 
-/// Follows one send. Whatever it is dropped with counts nothing more.
+/// Measures one send and reports its outcome once. When it is dropped before an outcome was set, only a long
+/// wait without a first event is counted.
 pub(super) struct TrialGuard {
     node: Rc<VmNode>,
     tag: RefCell<Option<TrialTag>>,
     sent: Instant,
+    /// When the first and the last piece of the body arrived.
     first: Cell<Option<Instant>>,
     last: Cell<Option<Instant>>,
     events: Cell<u32>,
     stream: bool,
-    /// The upstream is warm, so that its pace can be compared.
+    /// The upstream is not cold, so that its pace can be compared.
     warm: bool,
-    /// It also held what it needs of the prompt, so that its first event can.
-    held: bool,
+    /// The upstream also had the shared parts of the prompt cached, so that its time to the first event can be
+    /// compared.
+    cached: bool,
 }
 
 impl TrialGuard {
-    /// Follows a send of an order's service; one without a tag is not followed.
+    /// Measures a send to a service that is being rolled out. Without a tag nothing is measured.
     pub(super) fn new(
         node: Rc<VmNode>,
         tag: Option<TrialTag>,
         stream: bool,
         warm: bool,
-        held: bool,
+        cached: bool,
     ) -> TrialGuard {
         TrialGuard {
             node,
@@ -47,11 +50,11 @@
             events: Cell::new(0),
             stream,
             warm,
-            held,
+            cached,
         }
     }
 
-    /// A piece of a stream came, which completes this many events.
+    /// Notes a received piece of the body that completes `events` events.
     pub(super) fn note_piece(&self, events: u64) {
         if self.tag.borrow().is_none() {
             return;
@@ -62,7 +65,7 @@
         self.events.set(self.events.get() + events as u32);
     }
 
-    /// The whole answer came, and is a success.
+    /// The whole answer was received, and its status is a success.
     pub(super) fn end_success(&self) {
         let whole_ms = self.sent.elapsed().as_secs_f64() * 1000.0;
         let pace_ms = match self.stream {
@@ -71,17 +74,17 @@
         };
         self.end(TrialOutcome::Well {
             pace_ms: pace_ms.filter(|_| self.warm),
-            first_ms: self.first_ms().filter(|_| self.warm && self.held),
+            first_ms: self.first_ms().filter(|_| self.warm && self.cached),
         });
     }
 
-    /// The answer is a failure, belongs to another request, or didn't come in time.
+    /// The answer is an error, belongs to another request, or didn't arrive in time.
     pub(super) fn end_failure(&self) {
         self.end(TrialOutcome::Bad);
     }
 
-    /// How it ended says nothing of the version: it wasn't run, or the connection broke. A server that
-    /// crashes breaks all that it runs, and a trial goes to few of them.
+    /// The outcome says nothing about the version: the request wasn't run, or the connection broke. A server
+    /// that crashes breaks all requests that it runs, of which only a few are part of the trial.
     pub(super) fn end_inconclusive(&self) {
         self.tag.replace(None);
     }
@@ -90,6 +93,7 @@
         self.first.get().map(|first| (first - self.sent).as_secs_f64() * 1000.0)
     }
 
+    /// The mean time between events, in milliseconds; `None` with fewer than two events.
     fn event_pace_ms(&self) -> Option<f64> {
         let (first, last) = (self.first.get()?, self.last.get()?);
         let gaps = self.events.get().checked_sub(1).filter(|gaps| *gaps > 0)?;
@@ -111,7 +115,7 @@
         }
         let slow = Some(waited_ms).filter(|_| self.warm);
         let pace_ms = slow.filter(|_| !self.stream);
-        let first_ms = slow.filter(|_| self.stream && self.held);
+        let first_ms = slow.filter(|_| self.stream && self.cached);
         self.end(TrialOutcome::Well { pace_ms, first_ms });
     }
 }
