--- a/lib/src/transport/vm_answer.rs
+++ b/lib/src/transport/vm_answer.rs
@@ -30,7 +30,7 @@
     answer
 }
 
-/// Asks the caller to close the connection after this answer.
+/// Marks the answer as the last one on its connection.
 pub fn close_after<B>(mut answer: Response<B>) -> Response<B> {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
--- a/lib/src/transport/vm_connection.rs
+++ b/lib/src/transport/vm_connection.rs
@@ -1,10 +1,10 @@
-//! A caller's connection, from its first request to its end.
+//! Serves a caller's connection from its first request until it closes.
 //!
-//! Between requests a connection keeps its socket and nothing else: the server and its buffers are
-//! made for a run of requests and given back once the last of them is answered. With the server kept,
-//! each connection that rested took some 30 KB; a VM with 220 of them and 180 to upstreams had 13 MB
-//! in use, of which 0.6 was all the rest (allocator's own count, each 0.5 s of a troubled day of 63
-//! VMs). See `docs/design/small-vms.md`.
+//! An idle connection holds only its socket: the HTTP server and its buffers are created for a run of
+//! requests and freed once the last of them is answered. If the server were kept, each idle connection
+//! would take some 30 KB: a VM with 220 of them and 180 connections to upstreams had 13 MB of heap in use, of
+//! which only 0.6 MB was for anything else (as counted by the allocator, among 63 VMs with faults). See
+//! `docs/design/small-vms.md`.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -30,18 +30,19 @@
 use super::vm_relay::AnswerBody;
 use super::vm_request_record::ConnectionRecord;
 
-/// A caller's connection may rest this much longer than the configuration says, in milliseconds, so
-/// that a caller who keeps the bound never meets a closing connection.
+/// How much longer than the configured idle timeout a caller's connection is kept, in milliseconds. A
+/// caller that observes the timeout therefore never sends a request on a connection that is being closed.
 const IDLE_SLACK_MS: u64 = 1500;
-/// The rest allowed before any configuration is known, in milliseconds.
+/// The idle timeout while no configuration is known, in milliseconds.
 const DEFAULT_IDLE_MS: u64 = 15_000;
-/// The largest head before any configuration is known, and the least that the library takes.
+/// The maximum size of a request head while no configuration is known, in bytes.
 const DEFAULT_HEAD_BYTES: usize = 16_384;
+/// The minimum buffer size that the HTTP library accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8192;
 
 type ServedAnswer = Pin<Box<dyn Future<Output = Result<Response<WatchedBody>, Infallible>>>>;
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed by either end, its idle timeout, or the stop of the VM.
 pub(super) async fn serve_connection<F, R>(node: Rc<VmNode>, stream: TcpStream, serve: F)
 where
     F: Fn(Rc<VmNode>, Request<Incoming>) -> R + Clone + Unpin + 'static,
@@ -51,29 +52,29 @@
     let closing = node.closing.notified();
     tokio::pin!(closing);
     let (pulse, record) = (ConnectionPulse::default(), ConnectionRecord::default());
-    let mut resting = Some(WatchedStream::new(stream, pulse.clone()));
-    while let Some(stream) = resting.take() {
-        let rest_ms = rest_ms(&node);
+    let mut idle = Some(WatchedStream::new(stream, pulse.clone()));
+    while let Some(stream) = idle.take() {
+        let idle_ms = idle_timeout_ms(&node);
         tokio::select! {
-            came = timeout(Duration::from_millis(rest_ms), stream.wait()) => if came.is_err() { return },
+            readable = timeout(Duration::from_millis(idle_ms), stream.wait()) => if readable.is_err() { return },
             () = closing.as_mut() => return,
         }
         let (pulse, record, serve) = (pulse.clone(), record.clone(), serve.clone());
-        // Boxed, so that a connection at rest doesn't hold the room of a run.
-        resting =
-            Box::pin(run_requests(&node, stream, serve, pulse, record, closing.as_mut())).await;
+        // Boxed, so that an idle connection doesn't keep the memory of this future.
+        idle = Box::pin(run_requests(&node, stream, serve, pulse, record, closing.as_mut())).await;
     }
     if pulse.is_broken() {
         record.log_broken(node.now_ms());
     }
 }
 
-fn rest_ms(node: &VmNode) -> u64 {
+/// How long a connection may be idle, or a request head incomplete, in milliseconds.
+fn idle_timeout_ms(node: &VmNode) -> u64 {
     let routes = node.routes.borrow();
     routes.as_ref().map_or(DEFAULT_IDLE_MS, |routes| routes.table.limits.idle_ms) + IDLE_SLACK_MS
 }
 
-/// Serves requests until the connection rests, and gives it back then.
+/// Serves requests until the connection is idle, and returns its stream then; `None` if it was closed.
 async fn run_requests<F, R>(
     node: &Rc<VmNode>,
     stream: WatchedStream,
@@ -111,18 +112,18 @@
     };
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(rest_ms(node)))
+        .header_read_timeout(Duration::from_millis(idle_timeout_ms(node)))
         .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
-    let rests = tokio::select! {
-        rests = poll_fn(|context| poll_run(&mut connection, &pulse, context)) => rests,
+    let is_idle = tokio::select! {
+        is_idle = poll_fn(|context| poll_run(&mut connection, &pulse, context)) => is_idle,
         () = closing => {
             Pin::new(&mut connection).graceful_shutdown();
             let _ = (&mut connection).await;
             false
         }
     };
-    rests.then(|| {
+    is_idle.then(|| {
         let parts = connection.into_parts();
         let mut stream = parts.io.into_inner();
         stream.put_back(parts.read_buf);
@@ -130,18 +131,18 @@
     })
 }
 
-/// Whether nothing but the end of the connection delimits the answer to a caller that reads no chunks.
+/// Whether only the end of the connection delimits the answer, to a caller that can't read chunked bodies.
 fn is_open_ended(answer: &Response<AnswerBody>) -> bool {
     !matches!(answer.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
         && answer.body().size_hint().exact().is_none()
         && !answer.headers().contains_key(CONTENT_LENGTH)
 }
 
-/// Ready with whether the connection rests, or else has ended.
+/// Polls the connection until it is idle (true) or closed (false).
 ///
-/// A connection that seems to rest is polled once more: only then has the server seen that nothing
-/// reads the rest of a request's body, reads that to its end, or closes. Else the rest would be taken
-/// for the next request.
+/// A connection that seems idle is polled once more. Only then has the server found that the remainder of a
+/// request's body is not being read, and either reads it to its end or closes the connection. Otherwise
+/// that remainder would be parsed as the next request.
 fn poll_run<S>(
     connection: &mut Connection<TokioIo<WatchedStream>, S>,
     pulse: &ConnectionPulse,
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -1,7 +1,7 @@
-//! Whether an upstream has ended under a request, or only their connection broke.
+//! Determines whether an upstream's process ended while it ran a request, or only the connection broke.
 //!
-//! Invariant: an upstream counts as ended only where its address refuses connections; a reset,
-//! an answer that is cut, or silence on the way says nothing of that. See
+//! Invariant: an upstream counts as ended only if its address refuses connections. A reset, a truncated
+//! answer or a missing answer is no evidence of that. See
 //! `docs/design/quarantine.md`.
 
 use std::net::SocketAddr;
@@ -18,13 +18,14 @@
 use crate::coordination::crash_outbox::SeenCrash;
 use crate::state::ids::{RequestMark, UpstreamKey};
 
-/// A process that ends closes its connections and its listener one after the other, so that one which
-/// is reached is looked at again after these times; it is back after seconds at the earliest. Looks at
-/// one that lives cost nothing: the connection that came up first rests between them.
+/// The delays after which an upstream that still accepts connections is checked again. A process that ends
+/// closes its connections and its listener one after the other, so that the first check may come too early. A
+/// restarted process listens again after seconds at the earliest. Checking a live upstream is cheap, since
+/// the connection of the first check stays idle in the pool in between.
 const RECHECK_DELAYS: [Duration; 3] =
     [Duration::from_millis(10), Duration::from_millis(40), Duration::from_millis(250)];
 
-/// A send whose connection broke.
+/// A send whose connection broke, for the check whether its upstream has ended.
 struct BrokenSend {
     seen: SeenCrash,
     address: SocketAddr,
@@ -33,35 +34,37 @@
 }
 
 impl CallerTask {
-    /// The request by its content; `workspace` is whose key the caller gave.
+    /// The hash of the request's content, by which it is quarantined; `workspace` is the one whose key the
+    /// caller sent.
     pub(super) fn mark(&self, workspace: Option<&str>) -> RequestMark {
         let path = self.head.uri.path_and_query().map_or("/", |path| path.as_str());
         let (method, host) = (self.head.method.as_str(), self.caller.host.as_str());
         *self.mark.get_or_init(|| RequestMark::of(method, host, path, workspace, &self.body))
     }
 
-    /// Whether upstreams ended under this request so often that it is sent nowhere. Asked before each
-    /// send, by its content: it comes as a new attempt, at any VM.
+    /// Whether the request is quarantined: upstreams ended so often while running it that it is no longer
+    /// sent. This is checked before each send and by content, since the request may come as a new attempt
+    /// and at any VM.
     pub(super) fn is_quarantined(&self, workspace: Option<&str>) -> bool {
-        let desk = self.node.quarantine.borrow();
-        desk.knows_any() && desk.is_held(self.mark(workspace))
+        let quarantine = self.node.quarantine.borrow();
+        quarantine.knows_any() && quarantine.is_held(self.mark(workspace))
     }
 
-    /// Whether VMs are to report how this request fares.
+    /// Whether VMs are asked to report how this request ends.
     pub(super) fn is_watched(&self, workspace: Option<&str>) -> bool {
-        let desk = self.node.quarantine.borrow();
-        desk.knows_any() && desk.is_watched(self.mark(workspace))
+        let quarantine = self.node.quarantine.borrow();
+        quarantine.knows_any() && quarantine.is_watched(self.mark(workspace))
     }
 
-    /// An answer came whole, and its end was given by its framing: one that ends with its connection
-    /// may have ended with its upstream.
+    /// Notes that the request was answered in full. That is certain only if the body was `framed`: a body that
+    /// is delimited by the end of its connection may have been truncated by the end of the upstream.
     pub(super) fn note_ran(&self, target: &SendTarget, framed: bool) {
         if framed && self.node.quarantine.borrow().knows_any() {
             self.node.report_completed(self.mark(target.send.workspace.as_deref()));
         }
     }
 
-    /// The connection of a send broke: looks whether the upstream has ended, beside the request.
+    /// Starts a check in the background whether the upstream has ended, after the connection of a send broke.
     pub(super) fn check_after_break(&self, target: &SendTarget) {
         let seen = SeenCrash {
             mark: self.mark(target.send.workspace.as_deref()),
@@ -80,6 +83,7 @@
 }
 
 impl VmNode {
+    /// Reports a crash to the leader if the upstream of the broken send has ended.
     async fn confirm_crash(self: Rc<Self>, broken: BrokenSend) {
         let BrokenSend { seen, address, life, attempt } = broken;
         if !self.has_ended(seen.upstream, address).await {
@@ -90,10 +94,11 @@
         self.report_crash(seen);
         info!(
             target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
-            "has ended under it",
+            "upstream ended while running the request",
         );
     }
 
+    /// Whether the upstream's address refuses connections, now or at one of the later checks.
     async fn has_ended(&self, upstream: UpstreamKey, address: SocketAddr) -> bool {
         if self.outliers.borrow().is_gone(upstream) {
             return true;
@@ -101,8 +106,8 @@
         if let Some(fault) = self.connect_only(upstream, address).await {
             return fault == ConnectFault::ConnectionRefused;
         }
-        for pause in RECHECK_DELAYS {
-            tokio::time::sleep(pause).await;
+        for delay in RECHECK_DELAYS {
+            tokio::time::sleep(delay).await;
             match self.pool.take(self.trial(upstream, address)).await {
                 Ok(lease) => lease.finish(false, None, self.now_ms()).await,
                 Err(fault) => return fault == ConnectFault::ConnectionRefused,
--- a/lib/src/transport/vm_front.rs
+++ b/lib/src/transport/vm_front.rs
@@ -1,4 +1,4 @@
-//! The listeners of a VM: callers, addresses, readiness.
+//! The HTTP listeners of a VM (callers, VM addresses, readiness, operators, metrics) and its planned stop.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use super::vm_sockets::{listen, set_stream};
 use crate::coordination::vm_roster::{addresses_ttl_s, RosterRow};
 
-/// The most addresses in one answer; callers count no more.
+/// The maximum number of VM addresses in one answer. Callers use no more than this.
 const MAX_ADDRESSES: usize = 64;
 
-/// Serves one listener with one function, for ever.
+/// Listens at `address` and serves each request with `serve`, until the VM closes its listeners.
 pub fn serve_listener<F, R>(node: &Rc<VmNode>, address: SocketAddr, serve: F) -> std::io::Result<()>
 where
     F: Fn(Rc<VmNode>, Request<Incoming>) -> R + Clone + Unpin + 'static,
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Answers whether the VM is ready.
+/// Answers a readiness check.
 pub async fn serve_ready(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     if !node.adapter.ready_call(request.method(), request.uri()) {
         return own_answer(StatusCode::NOT_FOUND, "");
@@ -62,7 +62,7 @@
     }
 }
 
-/// Answers a caller with the addresses to go to.
+/// Answers a caller with the addresses of VMs to send its requests to.
 pub async fn serve_addresses(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let Some(zone) = node.adapter.address_call(request.method(), request.uri()) else {
         return own_answer(StatusCode::NOT_FOUND, "");
@@ -77,15 +77,15 @@
 }
 
 impl VmNode {
-    /// The addresses for a caller in `zone`: VMs of that zone while two or more are ready
-    /// there, since bytes between zones cost; else all.
+    /// The VM addresses for a caller in `zone`: the ready VMs of that zone if there are at least two, since
+    /// traffic between zones is charged; otherwise all ready VMs.
     fn addresses_for(&self, zone: &str) -> Vec<SocketAddr> {
         let Some(port) = self.settings.borrow().front.map(|front| front.port()) else {
             return Vec::new();
         };
         let zone = xxhash_rust::xxh3::xxh3_64(zone.as_bytes());
         let mut rows = self.view.borrow().roster.rows.clone();
-        // The leader may not have heard yet that this VM is ready.
+        // The roster may not show yet that this VM is ready.
         rows.retain(|row| row.id != self.id);
         rows.push(RosterRow { id: self.id, zone: self.zone, ready: self.is_ready() });
         let ready = || rows.iter().filter(|row| row.ready);
@@ -120,19 +120,19 @@
         Ok(())
     }
 
-    /// Serves the VM's figures at `port` and `path`; a VM serves without that too.
+    /// Serves the VM's metrics at `port` and `path`. If that fails it is logged, and the VM runs without.
     pub fn start_metrics(self: &Rc<Self>, port: u16, path: String) {
         let address = SocketAddr::from((self.settings.borrow().ip, port));
         *self.figures_path.borrow_mut() = path;
         if let Err(error) = serve_listener(self, address, super::vm_metrics::serve_metrics) {
-            warn!(target: "front", %address, "figures are not told: {error}");
+            warn!(target: "front", %address, "cannot serve metrics: {error}");
         }
     }
 
-    /// A planned stop: out of the directory at once, late callers still served for a while;
-    /// then nothing new is taken, and what was taken is brought to its end.
+    /// Stops the VM as planned. It leaves the directory at once and still accepts requests for a while. Then
+    /// it closes its listeners and completes the requests that it has accepted.
     pub async fn stop(self: Rc<Self>) {
-        info!(target: "node", serving = self.serving.get(), "stops");
+        info!(target: "node", serving = self.serving.get(), "VM stopping");
         let began_ms = self.now_ms();
         self.stopping_ms.set(Some(began_ms));
         self.step_keeper(|keeper, now_ms| keeper.hand_over(now_ms));
@@ -141,16 +141,18 @@
         tokio::time::sleep(Duration::from_millis(LINGER_MS.min(grace_ms / 2))).await;
         self.closing.notify_waiters();
         let end_ms = began_ms + grace_ms.saturating_sub(GRACE_MARGIN_MS);
-        let at_work = || self.connections.get() > 0 || self.serving.get() > 0;
-        while at_work() && self.now_ms() < end_ms {
+        let is_busy = || self.connections.get() > 0 || self.serving.get() > 0;
+        while is_busy() && self.now_ms() < end_ms {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        info!(target: "node", serving = self.serving.get(), "ends");
+        info!(target: "node", serving = self.serving.get(), "VM stopped");
     }
 }
 
-/// How long a stopping VM still takes callers who kept its address, in milliseconds: what is
-/// taken later than 3 s after the signal must be brought to its end, however long it is.
+/// How long a stopping VM still accepts requests from callers that have cached its address, in
+/// milliseconds. A request accepted more than 3 s after the stop signal must be completed, however long it
+/// takes, so this stays below 3 s.
 const LINGER_MS: u64 = 2800;
-/// A stopping VM ends this much before it is killed, in milliseconds.
+/// How long before the end of the grace period, when it would be killed, a stopping VM ends by itself, in
+/// milliseconds.
 const GRACE_MARGIN_MS: u64 = 400;
--- a/lib/src/transport/vm_guard.rs
+++ b/lib/src/transport/vm_guard.rs
@@ -1,19 +1,19 @@
-//! Guards that count what is in flight, at whatever end it takes.
+//! Guards that count requests and connections, and stop counting them when they are dropped.
 
 use std::rc::Rc;
 
 use super::vm_node::VmNode;
 use crate::state::ids::UpstreamKey;
 
-/// Counts a request in flight at an upstream, and the place that it holds there.
+/// Counts a request in flight at an upstream, and the slot that it occupies there.
 pub(super) struct FlightGuard {
     node: Rc<VmNode>,
     upstream: UpstreamKey,
-    place: HeldSlot,
+    slot: HeldSlot,
     began_ms: u64,
 }
 
-/// Whose place at which service a request holds.
+/// The service and workspace for which a request occupies a slot.
 pub(super) struct HeldSlot {
     pub(super) service: String,
     /// Whether the service's upstreams are engines.
@@ -22,14 +22,14 @@
 }
 
 impl FlightGuard {
-    pub(super) fn new(node: &Rc<VmNode>, upstream: UpstreamKey, place: HeldSlot) -> FlightGuard {
+    pub(super) fn new(node: &Rc<VmNode>, upstream: UpstreamKey, slot: HeldSlot) -> FlightGuard {
         *node.in_flight.borrow_mut().entry(upstream).or_default() += 1;
-        if place.engine {
-            node.with_service_capacity(&place.service, |room| {
-                room.enter(place.workspace.as_deref())
+        if slot.engine {
+            node.with_service_capacity(&slot.service, |capacity| {
+                capacity.enter(slot.workspace.as_deref())
             });
         }
-        FlightGuard { node: node.clone(), upstream, place, began_ms: node.now_ms() }
+        FlightGuard { node: node.clone(), upstream, slot, began_ms: node.now_ms() }
     }
 }
 
@@ -42,19 +42,21 @@
                 in_flight.remove(&self.upstream);
             }
         }
-        let place = &self.place;
+        let slot = &self.slot;
         let held_ms = self.node.now_ms().saturating_sub(self.began_ms);
-        if place.engine {
-            let workspace = place.workspace.as_deref();
-            self.node.with_service_capacity(&place.service, |room| room.leave(workspace, held_ms));
+        if slot.engine {
+            let workspace = slot.workspace.as_deref();
+            self.node.with_service_capacity(&slot.service, |capacity| {
+                capacity.leave(workspace, held_ms)
+            });
         } else {
             let mut holds = self.node.plain_holds.borrow_mut();
-            holds.entry(place.service.clone()).or_default().note(held_ms);
+            holds.entry(slot.service.clone()).or_default().note(held_ms);
         }
     }
 }
 
-/// Counts a request that is being served by this VM.
+/// Counts a request that this VM is serving.
 pub(super) struct ServingGuard(Rc<VmNode>);
 
 impl ServingGuard {
@@ -70,7 +72,7 @@
     }
 }
 
-/// Counts a connection that is open.
+/// Counts an open connection of a caller.
 pub(super) struct ConnectionGuard(Rc<VmNode>);
 
 impl ConnectionGuard {
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -1,6 +1,6 @@
-//! The figures of a VM in the text form of the metrics world.
+//! Writes the metrics of a VM in the Prometheus text format.
 //!
-//! [`METRICS`] names each with its kind and unit; a test holds it against the table of
+//! [`METRICS`] lists each metric with its kind and help text. A test compares it with the table in
 //! `docs/operators/metrics.md`.
 
 use std::fmt::Write;
@@ -21,10 +21,10 @@
 use crate::state::rollout_order::{RolloutPhase, RolloutRow};
 use crate::state::vm_figures::{RequestEnd, VmFigures, BUCKETS_MS};
 
-/// One figure: name, kind, meaning and unit.
+/// The name, kind and help text of one metric.
 pub type MetricEntry = (&'static str, &'static str, &'static str);
 
-/// Every figure, in the order in which they are written.
+/// All metrics, in the order in which they are written.
 pub const METRICS: [MetricEntry; 46] = [
     ("wingshed_requests_total", "counter", "Requests by end."),
     ("wingshed_first_byte_ms", "histogram", "Milliseconds to an answer's first byte."),
@@ -82,7 +82,7 @@
     ("wingshed_peer_messages_total", "counter", "Messages to and from other VMs, by kind."),
 ];
 
-/// Serves the figures.
+/// Answers a request for the metrics.
 pub async fn serve_metrics(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let path = node.figures_path.borrow().clone();
     if request.uri().path() != path {
@@ -95,17 +95,18 @@
 }
 
 impl VmNode {
-    /// All figures as text.
+    /// Returns all metrics as text.
     pub fn write_metrics(&self) -> String {
         let mut text = String::new();
         for (name, kind, help) in METRICS {
-            // Writing to a string doesn't fail.
+            // Writing to a string can't fail.
             let _ = write!(text, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
             self.write_metric(&mut text, name);
         }
         text
     }
 
+    /// Writes the samples of one metric.
     fn write_metric(&self, text: &mut String, name: &str) {
         let figures = self.figures.borrow();
         match name {
@@ -120,15 +121,16 @@
                 write_wire(text, name, &self.wire, |row| [row.sent, row.received]);
             }
             "wingshed_repeats_left" => self.write_repeats_left(text),
-            "wingshed_hold_ms" => self.write_rooms(text, name, ServiceRoom::hold_ms),
+            "wingshed_hold_ms" => self.write_capacities(text, name, ServiceRoom::hold_ms),
             "wingshed_places_used" => {
-                self.write_rooms(text, name, |room| 100.0 * room.used_part());
+                self.write_capacities(text, name, |capacity| 100.0 * capacity.used_part());
             }
             name if name.starts_with("wingshed_rollout_") => self.write_rollout_rows(text, name),
             _ => drop(writeln!(text, "{name} {}", self.scalar_metric(&figures, name))),
         }
     }
 
+    /// The value of a metric without labels.
     fn scalar_metric(&self, figures: &VmFigures, name: &str) -> u64 {
         let now_ms = self.now_ms();
         let keeper = self.keeper.borrow();
@@ -174,23 +176,25 @@
             "wingshed_term" => keeper.as_ref().map_or(0, |keeper| keeper.term()),
             "wingshed_voters" => keeper.as_ref().map_or(0, |keeper| keeper.voters() as u64),
             "wingshed_rollouts_known" => self.rollouts.borrow().watch().table().rows().len() as u64,
-            other => unreachable!("{other} is no plain figure"),
+            other => unreachable!("{other} is not a metric without labels"),
         }
     }
 
-    fn write_rooms(&self, text: &mut String, name: &str, value: impl Fn(&ServiceRoom) -> f64) {
+    /// Writes a metric that is derived from the capacity estimate of each service.
+    fn write_capacities(&self, text: &mut String, name: &str, value: impl Fn(&ServiceRoom) -> f64) {
         let rooms = self.rooms.borrow();
         let mut rows: Vec<(&String, u64)> =
-            rooms.iter().map(|(service, room)| (service, value(room) as u64)).collect();
+            rooms.iter().map(|(service, capacity)| (service, value(capacity) as u64)).collect();
         rows.sort_unstable();
         for (service, value) in rows {
             let _ = writeln!(text, "{name}{{service=\"{service}\"}} {value}");
         }
     }
 
+    /// Writes a metric of the rollouts, by service.
     fn write_rollout_rows(&self, text: &mut String, name: &str) {
-        let desk = self.rollouts.borrow();
-        let watch = desk.watch();
+        let rollouts = self.rollouts.borrow();
+        let watch = rollouts.watch();
         let mut rows: Vec<&RolloutRow> = watch.table().rows().iter().collect();
         rows.sort_unstable_by_key(|row| &row.order.service);
         for row in rows {
@@ -277,10 +281,10 @@
     }
 }
 
-/// What the allocator says that is in use, and all that it holds, in bytes. What is free isn't given
-/// back to the system at once, so the peak of the second is what a process takes.
+/// The bytes of the heap that are in use, and all bytes that the allocator holds. Freed memory isn't returned
+/// to the system at once, so the process takes as much memory as the peak of the second value.
 fn heap_bytes() -> (u64, u64) {
-    // SAFETY: it takes nothing and gives plain numbers.
+    // SAFETY: `mallinfo2` takes no arguments and returns plain numbers.
     let heap = unsafe { libc::mallinfo2() };
     (heap.uordblks as u64 + heap.hblkhd as u64, heap.arena as u64 + heap.hblkhd as u64)
 }
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -1,7 +1,7 @@
-//! Hears what an upstream says of itself in an answer.
+//! Records the notices (backoff, leaving) that an upstream sends in its answers.
 //!
-//! Invariant: only an answer to the request that was sent, by the incarnation that it was sent to, says
-//! something of that incarnation. See `docs/design/upstream-notices.md`.
+//! Invariant: a notice is recorded for an incarnation only from an answer to a request that was sent to that
+//! incarnation. See `docs/design/upstream-notices.md`.
 
 use hyper::http::response;
 use tracing::info;
@@ -11,7 +11,7 @@
 use crate::protocol::wire_adapter::UpstreamAnswer;
 
 impl CallerTask {
-    /// Takes the notices of the head of an answer to this request.
+    /// Records the notices in the head of an answer to this request.
     pub(super) fn record_notices(&self, target: &SendTarget, facts: &UpstreamAnswer) {
         if facts.other_life {
             return;
@@ -28,23 +28,24 @@
             None => notices.note_taken(target.upstream, now_ms),
         }
         if facts.leaving && notices.note_leaving(target.upstream, drain_ms, now_ms) {
-            info!(target: "upstream", life = target.send.life, "says that it leaves");
+            info!(target: "upstream", life = target.send.life, "upstream announced that it is leaving");
         }
     }
 
-    /// Logs that an upstream turned the request away, and whether it had asked for rest before.
+    /// Logs that an upstream refused to run the request, and how much of an earlier requested backoff was left
+    /// when the request was sent.
     pub(super) fn log_refusal(
         &self,
         target: &SendTarget,
         facts: &UpstreamAnswer,
         head: &response::Parts,
-        kept: bool,
+        reused: bool,
     ) {
         let rests_ms = self.node.pool.notices().borrow().rest_ms(target.upstream, target.sent_ms);
         info!(
             target: "upstream", life = target.send.life, attempt = self.caller.attempt,
             status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
-            kept, "did not run it",
+            kept = reused, "did not run it",
         );
     }
 }
--- a/lib/src/transport/vm_place.rs
+++ b/lib/src/transport/vm_place.rs
@@ -66,7 +66,7 @@
         };
         let name = &routes.table.services[service].name;
         let tag = self.node.note_rollout_send(name, rule, entry, &self.caller.attempt);
-        let held = tag.is_some() && self.has_cached_prompt(pick.upstream);
+        let cached = tag.is_some() && self.has_cached_prompt(pick.upstream);
         let stream = rule.kind.is_stream();
         Some(SendTarget {
             routes: routes.clone(),
@@ -79,7 +79,7 @@
             send,
             against_order: pick.against_order,
             new_root: pick.new_root,
-            trial: TrialGuard::new(self.node.clone(), tag, stream, !entry.cold, held),
+            trial: TrialGuard::new(self.node.clone(), tag, stream, !entry.cold, cached),
         })
     }
 
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that end upstreams: from what a VM saw to the leader, and from the log into what every VM
-//! refuses. See `docs/design/quarantine.md`.
+//! The quarantine of requests that end upstreams: VMs report crashes to the leader, the leader proposes which
+//! requests are quarantined, and all VMs refuse those. See `docs/design/quarantine.md`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,25 +16,28 @@
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 impl VmNode {
-    /// An upstream ended under a request. The leader hears it at once, as fast as it can take renewals.
+    /// Reports to the leader that an upstream ended while running a request: at once, but no more often than the
+    /// leader can receive renewals.
     pub(super) fn report_crash(self: &Rc<Self>, seen: SeenCrash) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_ended(seen, pause_ms, now_ms));
     }
 
-    /// A request ran to its end and its upstream lives: likewise, where that is asked for.
+    /// Reports to the leader that a request ran to its end without ending its upstream, if the request is
+    /// watched.
     pub(super) fn report_completed(self: &Rc<Self>, mark: RequestMark) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_well(mark, pause_ms, now_ms));
     }
 
+    /// The shortest interval between renewals that the leader can receive from all VMs, in milliseconds.
     fn renewal_pause_ms(&self) -> u64 {
         overloaded_renew_ms(self.view.borrow().roster.rows.len())
     }
 
-    /// Renews after so many milliseconds, if that is due.
+    /// Sends a renewal after `wait_ms` milliseconds; none if `wait_ms` is `None`.
     fn renew_after(self: &Rc<Self>, wait_ms: Option<u64>) {
         let Some(wait_ms) = wait_ms else { return };
         let node = self.clone();
@@ -44,7 +47,7 @@
         });
     }
 
-    /// Takes what a VM reports of upstreams that ended, as the leader of `term`.
+    /// Adds a VM's report of upstreams that ended, as the leader of `term`.
     pub(super) fn receive_crashes(
         &self,
         term: u64,
@@ -55,7 +58,7 @@
         self.quarantine.borrow_mut().hear(term, report, recorded, now_ms);
     }
 
-    /// The same for what this VM saw itself while it leads; and takes what is recorded.
+    /// Adds this VM's own report, as the leader of `term`, and applies the recorded quarantine to this VM.
     pub(super) fn receive_own_crashes(&self, term: u64, recorded: &QuarantineTable, now_ms: u64) {
         let news = {
             let mut desk = self.quarantine.borrow_mut();
@@ -67,7 +70,7 @@
         news.into_iter().for_each(|table| self.apply_quarantine(table));
     }
 
-    /// Proposes what is to be recorded, as the leader.
+    /// Proposes changes of the quarantine to the replicated log, as the leader.
     pub(super) fn propose_quarantine(&self) {
         let now_ms = self.now_ms();
         let wanted = match &*self.keeper.borrow() {
@@ -82,27 +85,27 @@
             match &command {
                 QuarantineCommand::Set(row) => info!(
                     target: "quarantine", request = %row.mark, held = row.held, times = row.times,
-                    ended = row.ended.len(), "decides",
+                    ended = row.ended.len(), "quarantine decided",
                 ),
                 QuarantineCommand::Clear(mark) => {
-                    info!(target: "quarantine", request = %mark, "is cleared");
+                    info!(target: "quarantine", request = %mark, "quarantine cleared");
                 }
             }
             let command = FleetCommand::Quarantine(command);
-            // Whether it is taken shows in the log; what isn't is proposed again.
+            // The result is not checked: a change that the log doesn't accept is proposed again.
             self.step_keeper(|keeper, now_ms| keeper.order(command, now_ms).1);
         }
     }
 
-    /// Takes the requests that are held, as a leader sent them.
+    /// Applies the table of quarantined requests that a leader sent.
     pub(super) fn apply_quarantine(&self, table: QuarantineTable) {
         for mark in self.quarantine.borrow_mut().take(table) {
-            info!(target: "quarantine", request = %mark, "is refused from now on");
+            info!(target: "quarantine", request = %mark, "request quarantined");
         }
     }
 
-    /// Publishes to all VMs at once what is held, as the leader: each request that is sent meanwhile ends one
-    /// more upstream. A VM that misses it hears of it with its next grant.
+    /// Sends the quarantined requests to all VMs at once, as the leader, since each quarantined request that is
+    /// still sent ends one more upstream. A VM that misses the datagram receives them with its next grant.
     pub(super) fn publish_quarantine(&self) {
         let now_ms = self.now_ms();
         let (term, table) = match &*self.keeper.borrow() {
@@ -115,7 +118,7 @@
         self.send_to_others(&VmDatagram::Quarantine { term, table });
     }
 
-    /// Sends a datagram to all VMs that this one knows.
+    /// Sends a datagram to all other VMs in the roster.
     pub(super) fn send_to_others(&self, datagram: &VmDatagram) {
         let view = self.view.borrow();
         let others = view.roster.rows.iter().map(|row| row.id).filter(|id| *id != self.id);
--- a/lib/src/transport/vm_request_record.rs
+++ b/lib/src/transport/vm_request_record.rs
@@ -1,10 +1,9 @@
-//! What became of a request whose caller left, or whose connection broke, by its id.
+//! Logs, by request id, the fate of a request whose caller disconnected or whose connection broke.
 //!
-//! A caller whose connection is reset can't know whether its request went through, and may send it
-//! again. The VM knows most of the truth and says it in one line: not run, run, begun, or that it
-//! may have run; nothing is said that isn't surely so. A request that must not repeat is brought to
-//! its end although its caller has left, since a run that is cut looks like one that never was. See
-//! `docs/OPERATIONS.md`.
+//! A caller whose connection is reset can't determine whether its request went through, and may send it
+//! again. The VM logs one line with what is certain: not run, run, begun, or that it may have run. A request
+//! that must not be repeated is completed even if its caller has disconnected, since a canceled run can't be
+//! told apart from one that never started. See `docs/OPERATIONS.md`.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,11 +14,11 @@
 use super::vm_node::VmNode;
 use crate::coordination::attempt_plan::RunKnowledge;
 
-/// An answer that was handed to its connection less than this long before that broke may not have
-/// come to the caller, in milliseconds; the longest that a kept connection retries is seconds.
+/// An answer that was written to its connection less than this long before the connection broke may not
+/// have reached the caller, in milliseconds. An established connection retransmits for seconds at most.
 const UNCONFIRMED_MS: u64 = 2000;
 
-/// What is known of one request.
+/// What is certain about the fate of one request.
 pub(super) struct RequestRecord {
     node: Rc<VmNode>,
     attempt: String,
@@ -39,22 +38,22 @@
         })
     }
 
-    /// Something became known.
+    /// Sets what is certain about whether the request ran.
     pub(super) fn note(&self, ran: RunKnowledge) {
         self.ran.set(ran);
     }
 
-    /// The caller's connection has the answer, or the head of a stream.
+    /// Notes that the answer, or the head of a stream, was handed to the caller's connection.
     pub(super) fn note_answered(&self) {
         self.answered.set(true);
     }
 
-    /// Whether the caller left before it had the whole answer.
+    /// Whether the caller disconnected before the whole answer was handed over.
     pub(super) fn has_left(&self) -> bool {
         self.left.get()
     }
 
-    /// Logs that the caller left before it had the whole answer.
+    /// Counts and logs that the caller disconnected before the whole answer was handed over.
     pub(super) fn log_left(&self) {
         self.left.set(true);
         self.node.figures.borrow_mut().left += 1;
@@ -62,14 +61,15 @@
         info!(target: "request", attempt = self.attempt, ran, "its caller left");
     }
 
-    /// Logs how a request ended that was brought to its end without its caller.
+    /// Logs how a request ended that was completed after its caller had disconnected.
     pub(super) fn log_ended(&self, status: u16) {
         let ran = self.ran.get().name();
         info!(target: "request", attempt = self.attempt, ran, status, "ended without its caller");
     }
 }
 
-/// Stands for a caller that waits; dropped with its connection.
+/// Logs that the caller disconnected if it is dropped before the answer. It is dropped together with the
+/// caller's connection.
 pub(super) struct CallerWatch(pub(super) Rc<RequestRecord>);
 
 impl Drop for CallerWatch {
@@ -80,17 +80,17 @@
     }
 }
 
-/// The last answer that a connection was handed: the attempt and when.
+/// The last answer that was handed to a connection: its attempt id and the time in milliseconds.
 #[derive(Clone, Default)]
 pub(super) struct ConnectionRecord(Arc<Mutex<Option<(String, u64)>>>);
 
 impl ConnectionRecord {
-    /// A request came, so that the answer before it did come to the caller.
+    /// Notes that a request arrived, which implies that the caller received the answer before it.
     pub(super) fn note_request(&self) {
         self.set(None);
     }
 
-    /// The whole answer to a request was handed over.
+    /// Notes that the whole answer to a request was handed over.
     pub(super) fn note_answer(&self, attempt: &str, now_ms: u64) {
         self.set(Some((attempt.to_string(), now_ms)));
     }
@@ -99,7 +99,7 @@
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = last;
     }
 
-    /// Logs an answer that may not have come to its caller, as the connection broke.
+    /// Logs, after the connection broke, the answer that may not have reached the caller.
     pub(super) fn log_broken(&self, now_ms: u64) {
         let last = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         let Some((attempt, handed_ms)) = last else { return };
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -16,8 +16,8 @@
 use crate::coordination::attempt_plan::SendOutcome;
 use crate::coordination::upstream_notice::ApproachPurpose;
 
-/// The maximum number of connections that one send is tried on: an idle one may turn out to be closed, and
-/// only then is a new one opened.
+/// The maximum number of connections that one send is tried on. The first may be an idle one that turns out
+/// to be closed; the others are new.
 const MAX_CONNECTION_TRIES: usize = 3;
 
 impl CallerTask {
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -1,4 +1,4 @@
-//! What a send shows for and against its upstream's health, here and for the leader.
+//! Passive health checks: records how sends went, for this VM's outlier ejection and for the leader.
 
 use tracing::info;
 
@@ -6,21 +6,23 @@
 use super::vm_task::CallerTask;
 use crate::state::ids::UpstreamKey;
 
-/// At most this share of a service's upstreams is set aside on passive health checks.
+/// The maximum share of a service's upstreams that is ejected by passive health checks.
 const MAX_EJECTED_SHARE: f64 = 0.34;
-/// What a send shows against an upstream.
+
+/// A fault of an upstream that a send revealed.
 enum HealthFault {
-    /// This life has ended.
+    /// This incarnation's process has ended.
     Ended,
-    /// It can't be reached.
+    /// The upstream can't be reached.
     Unreachable,
-    /// It failed a request.
+    /// The upstream failed a request.
     Failure,
-    /// It broke an answer off after its head.
+    /// The upstream broke off an answer after its head.
     Cut,
 }
 
 impl CallerTask {
+    /// Records that no connection to an upstream was established.
     pub(super) fn note_connect_fault(&self, upstream: UpstreamKey, fault: ConnectFault) {
         match fault {
             ConnectFault::ConnectionRefused => {
@@ -33,19 +35,22 @@
         }
     }
 
-    /// Notes how a send went, for the leader.
+    /// Records for the leader whether a send succeeded.
     pub(super) fn note_outcome(&self, upstream: UpstreamKey, went_well: bool) {
         self.node.health.borrow_mut().outbox.note(upstream, went_well);
     }
 
+    /// Records a failed request; `what` is the log message.
     pub(super) fn note_failure(&self, upstream: UpstreamKey, what: &'static str) {
         self.note_health_fault(upstream, HealthFault::Failure, what);
     }
 
+    /// Records an answer that broke off after its head; `what` is the log message.
     pub(super) fn note_cut(&self, upstream: UpstreamKey, what: &'static str) {
         self.note_health_fault(upstream, HealthFault::Cut, what);
     }
 
+    /// Records a fault for this VM's outlier ejection and for the leader, and logs it.
     fn note_health_fault(&self, upstream: UpstreamKey, fault: HealthFault, what: &'static str) {
         let now_ms = self.node.now_ms();
         let upstreams = self.node.upstreams.borrow();
@@ -70,7 +75,7 @@
         );
     }
 
-    /// This life has ended.
+    /// Records that this incarnation's process has ended; `what` is the log message.
     pub(super) fn note_gone(&self, upstream: UpstreamKey, what: &'static str) {
         self.note_health_fault(upstream, HealthFault::Ended, what);
     }
