--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -1,8 +1,8 @@
-//! A caller's request on its way to an upstream, and the answer on its way back.
+//! Serves a caller's request: reads it, sends it to upstreams until one answers, and returns the answer.
 //!
-//! Invariants: what was decided by one route table is decided anew before each send, so that no
-//! request goes by an older version than the one in force; a request in flight is
-//! counted by a guard, and dropping a send closes its connection.
+//! Invariants: the routing decision is repeated before each send, so that no request is routed by an older
+//! configuration than the one in force. A guard counts each request in flight, and dropping a send
+//! closes its connection.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -21,8 +21,8 @@
 use super::vm_node::{RoutesInForce, VmNode};
 use super::vm_relay::AnswerBody;
 use super::vm_reply::SendResult;
-use super::vm_request_record::{ConnectionRecord, RecordWatch, RequestRecord};
-use super::vm_task::{CallerTask, Denial, LEAST_LEFT_MS, RETRY_MS};
+use super::vm_request_record::{CallerWatch, ConnectionRecord, RequestRecord};
+use super::vm_task::{CallerTask, Denial, DEFAULT_RETRY_MS, MIN_REMAINING_MS};
 use crate::coordination::attempt_plan::{AttemptCount, NextStep, RunKnowledge, SendOutcome};
 use crate::coordination::crash_table::FIRST_QUARANTINE_MS;
 use crate::coordination::engine_room::CapacityRequest;
@@ -31,17 +31,17 @@
 use crate::state::route_table::{pick_share, RequestKind, RouteDecision, RouteRule, ServiceEntry};
 use crate::state::vm_figures::RequestEnd;
 
-/// A VM that has just started holds requests until it is ready, this long at most, in
-/// milliseconds: a group that was killed whole serves again 220 ms after its start, as measured
-/// (docs/design/platform.md), and a caller that is refused meanwhile comes back later than that.
-const WAKE_HOLD_MS: u64 = 300;
-/// A VM has just started until this age, in milliseconds.
-const WAKE_AGE_MS: u64 = 3000;
-/// An age of the contact at which this VM may no longer say that a route or key is unknown:
-/// another version may be in force. In milliseconds.
-const DENY_AGE_MS: u64 = 1500;
+/// The maximum time for which a VM that has just started holds a request until it is ready, in
+/// milliseconds. A group of VMs that was killed as a whole serves again 220 ms after its start
+/// (docs/design/platform.md); a caller that is refused in the meantime retries later than that.
+const STARTUP_WAIT_MS: u64 = 300;
+/// The age up to which a VM counts as just started, in milliseconds.
+const STARTUP_AGE_MS: u64 = 3000;
+/// The contact age from which this VM no longer rejects a route or key as unknown, in milliseconds:
+/// another version of the configuration, which has it, may be in force by then.
+const DENIAL_MAX_AGE_MS: u64 = 1500;
 
-/// Serves one request of a caller.
+/// Serves one request of a caller, from reading its body to the answer.
 pub async fn serve_caller(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let (arrived, arrived_ms) = (Instant::now(), node.now_ms());
     let serving = ServingGuard::new(&node);
@@ -56,10 +56,10 @@
             return close_after(own_answer(StatusCode::BAD_REQUEST, text));
         }
     };
-    wake(&node, arrived).await;
+    wait_until_ready(&node, arrived).await;
     let limit = match node.routes.borrow().as_ref() {
         Some(routes) => routes.table.limits.body_bytes,
-        None => return close_after(deny(&Denial::NoRoutes)),
+        None => return close_after(deny(&Denial::NoConfiguration)),
     };
     if body.size_hint().lower() > limit as u64 {
         return close_after(own_answer(StatusCode::PAYLOAD_TOO_LARGE, ""));
@@ -77,7 +77,7 @@
     };
     let draw = node.draw();
     let record = RequestRecord::new(&node, &caller.attempt);
-    let watch = RecordWatch(record.clone());
+    let watch = CallerWatch(record.clone());
     let task = CallerTask {
         node,
         head,
@@ -90,53 +90,59 @@
         mark: OnceCell::new(),
         _serving: serving,
     };
-    let answer = match task.must_end() {
-        true => task.serve_to_its_end().await,
+    let answer = match task.must_complete() {
+        true => task.serve_detached().await,
         false => task.serve().await,
     };
     watch.0.note_answered();
     answer
 }
 
-/// Waits a little for a VM that has just started to become ready.
-async fn wake(node: &VmNode, arrived: Instant) {
-    let until = arrived + Duration::from_millis(WAKE_HOLD_MS);
+/// Waits up to [`STARTUP_WAIT_MS`] for a VM that has just started to become ready.
+async fn wait_until_ready(node: &VmNode, arrived: Instant) {
+    let until = arrived + Duration::from_millis(STARTUP_WAIT_MS);
     loop {
         let changed = node.contact_changed.notified();
         let ready = node.is_ready() && !node.upstreams.borrow().entries.is_empty();
-        let waking = node.clock.age_ms() < WAKE_AGE_MS && node.stopping_ms.get().is_none();
-        if ready || !waking || timeout_at(until, changed).await.is_err() {
+        let starting = node.clock.age_ms() < STARTUP_AGE_MS && node.stopping_ms.get().is_none();
+        if ready || !starting || timeout_at(until, changed).await.is_err() {
             return;
         }
     }
 }
 
+/// The answer to a request that is not sent to any upstream because of the configuration or the quarantine.
 fn deny(denial: &Denial) -> Response<AnswerBody> {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match denial {
-        Denial::NoRoutes => refusal(unavailable, "no configuration is known yet", RETRY_MS),
-        Denial::OldContact => refusal(unavailable, "the configuration may be old", RETRY_MS),
+        Denial::NoConfiguration => {
+            refusal(unavailable, "no configuration is known yet", DEFAULT_RETRY_MS)
+        }
+        Denial::StaleConfiguration => {
+            refusal(unavailable, "the configuration may be old", DEFAULT_RETRY_MS)
+        }
         Denial::NoRoute => own_answer(StatusCode::NOT_FOUND, "no such route"),
         Denial::NoKey => own_answer(StatusCode::UNAUTHORIZED, "no such key"),
-        Denial::Held => {
+        Denial::Quarantined => {
             refusal(unavailable, "upstreams ended under this request", FIRST_QUARANTINE_MS)
         }
     }
 }
 
 impl CallerTask {
-    /// Whether the request is brought to its end although its caller leaves: it may run once, and a
-    /// run that is cut leaves unknown whether it took effect. Streams are not: an engine
-    /// would generate for no reader.
-    fn must_end(&self) -> bool {
+    /// Whether the request is completed even if its caller disconnects. This holds for requests that may
+    /// run only once, since a canceled run leaves open whether it took effect. Streams are canceled:
+    /// an engine would otherwise generate output that is never read.
+    fn must_complete(&self) -> bool {
         match self.decide() {
             Ok((routes, route, _)) => routes.table.routes[route].kind == RequestKind::Once,
             Err(_) => false,
         }
     }
 
-    /// Serves apart from the caller's connection, and logs the end if that is gone by then.
-    async fn serve_to_its_end(self) -> Response<AnswerBody> {
+    /// Serves in a task of its own that outlives the caller's connection, and logs how the request ended if
+    /// the connection has closed by then.
+    async fn serve_detached(self) -> Response<AnswerBody> {
         let (sender, receiver) = oneshot::channel();
         let record = self.record.clone();
         spawn_local(async move {
@@ -149,15 +155,16 @@
         receiver.await.unwrap_or_else(|_| own_answer(StatusCode::BAD_GATEWAY, "given up"))
     }
 
+    /// Sends the request until an upstream's answer can be passed on or no further send is allowed.
     async fn serve(self) -> Response<AnswerBody> {
         let mut count = AttemptCount::default();
         let mut tried = Vec::new();
         let draw = self.draw;
-        let mut noted = false;
+        let mut first_noted = false;
         loop {
             let (routes, route, workspace) = match self.decide() {
                 Ok(decided) => decided,
-                // A request that may have run can't be refused as not run any more.
+                // A refusal would state that the request has not run, which is no longer certain.
                 Err(_) if count.may_have_run => return self.fail(&count, "withdrawn"),
                 Err(denial) => return self.deny(&denial),
             };
@@ -169,27 +176,28 @@
             let at = (route, service);
             let service = &routes.table.services[service];
             let named = workspace.and_then(|at| routes.table.workspace(at));
-            let room = service.engine.as_ref().map(|_| CapacityRequest {
+            let demand = service.engine.as_ref().map(|_| CapacityRequest {
                 rank: rule.priority,
                 workspace: named.map(|workspace| workspace.name.as_str()),
                 goal_ms: rule.goal_ms,
                 wait_ms: self.caller.wait_ms.unwrap_or(rule.timeout_ms),
             });
-            let first = !std::mem::replace(&mut noted, true);
+            let first = !std::mem::replace(&mut first_noted, true);
             if first {
-                self.note_asked(&service.name, room.as_ref());
+                self.note_first_request(&service.name, demand.as_ref());
             }
             let left = deadline_ms.saturating_sub(self.node.now_ms());
-            if left < LEAST_LEFT_MS {
+            if left < MIN_REMAINING_MS {
                 return self.time_out(&count);
             }
-            // Where it has run it is at its end; where it hasn't, no answer would reach its caller.
+            // A run that has completed needs no further send, and without one no answer would reach the
+            // caller any more.
             if self.record.has_left() {
                 return self.refuse(&count, "its caller left");
             }
-            let pick = match self.choose(service, rule, room.as_ref(), &tried) {
+            let pick = match self.choose(service, rule, demand.as_ref(), &tried) {
                 Ok(pick) => pick,
-                Err(fault) => return self.refuse_unplaced(&count, &service.name, fault),
+                Err(fault) => return self.refuse_unassigned(&count, &service.name, fault),
             };
             if count.sent > 0 && !self.spend_repeat(&service.name) {
                 return match count.give_up() {
@@ -197,32 +205,34 @@
                     _ => self.fail(&count, "no repeat left"),
                 };
             }
-            if let (true, Some(room)) = (first, &room) {
-                self.node.with_room(&service.name, |known| known.note_admitted(room));
+            if let (true, Some(demand)) = (first, &demand) {
+                self.node
+                    .with_service_capacity(&service.name, |capacity| capacity.note_admitted(demand));
             }
             tried.push(pick.upstream);
-            let Some(place) = self.place(&routes, at, workspace, pick, left, None) else {
+            let Some(target) = self.place(&routes, at, workspace, pick, left, None) else {
                 continue;
             };
             if count.sent > 0 {
                 self.node.figures.borrow_mut().repeats += 1;
             }
             self.record.note(RunKnowledge::Unknown);
-            let outcome = match self.send(&place, deadline_ms).await {
+            let outcome = match self.send(&target, deadline_ms).await {
                 SendResult::Answer(answer) => {
                     self.record.note(RunKnowledge::Ran);
                     let failed = answer.head.status.is_server_error();
-                    // Without an upstream left for a repeat its caller gets the upstream's own failure, not ours.
+                    // If no upstream is left for a retry, the caller gets the upstream's own error answer
+                    // instead of one of this VM.
                     let repeats = failed
                         && count.repeats_failure(rule.kind, rule.most_upstreams)
                         && self.may_spend_repeat(&service.name)
-                        && self.choose(service, rule, room.as_ref(), &tried).is_ok();
+                        && self.choose(service, rule, demand.as_ref(), &tried).is_ok();
                     if !repeats {
-                        return self.pass_on(place, *answer, deadline_ms, &mut count).await;
+                        return self.forward_answer(target, *answer, deadline_ms, &mut count).await;
                     }
                     SendOutcome::Failed
                 }
-                SendResult::Bad(outcome) => outcome,
+                SendResult::NoAnswer(outcome) => outcome,
             };
             count.note(outcome);
             self.record.note(count.knowledge());
@@ -235,17 +245,20 @@
         }
     }
 
-    /// What the routes in force say of this request now.
+    /// Routes the request by the configuration in force: the configuration, the index of the route, and the
+    /// index of the workspace whose key the caller sent.
     pub(super) fn decide(&self) -> Result<(Rc<RoutesInForce>, usize, Option<usize>), Denial> {
         let now_ms = self.node.now_ms();
-        let Some(routes) = self.node.routes.borrow().clone() else { return Err(Denial::NoRoutes) };
+        let Some(routes) = self.node.routes.borrow().clone() else {
+            return Err(Denial::NoConfiguration);
+        };
         let contact = self.node.contact.borrow();
         let bounds = self.node.settings.borrow().bounds;
         if contact.is_behind(bounds.apply_ms, now_ms) {
-            return Err(Denial::OldContact);
+            return Err(Denial::StaleConfiguration);
         }
-        let sure = contact.age_ms(now_ms) < DENY_AGE_MS;
-        let denied = |denial| Err(if sure { denial } else { Denial::OldContact });
+        let sure = contact.age_ms(now_ms) < DENIAL_MAX_AGE_MS;
+        let denied = |denial| Err(if sure { denial } else { Denial::StaleConfiguration });
         let caller = &self.caller;
         match routes.table.decide(&caller.host, &caller.path, caller.key.as_deref()) {
             RouteDecision::NoRoute => denied(Denial::NoRoute),
@@ -253,44 +266,48 @@
             RouteDecision::Served { route, workspace } => {
                 let keyed = routes.table.workspaces.is_some() && !routes.table.routes[route].public;
                 if keyed && !contact.may_serve_keys(bounds.revoke_ms, now_ms) {
-                    return Err(Denial::OldContact);
+                    return Err(Denial::StaleConfiguration);
                 }
                 drop(contact);
                 let name = workspace.and_then(|at| routes.table.workspace(at));
-                match self.is_held(name.map(|workspace| workspace.name.as_str())) {
-                    true => Err(Denial::Held),
+                match self.is_quarantined(name.map(|workspace| workspace.name.as_str())) {
+                    true => Err(Denial::Quarantined),
                     false => Ok((routes, route, workspace)),
                 }
             }
         }
     }
 
+    /// The deadline by the node's clock: the caller's own limit, but no later than the route's.
     fn deadline_ms(&self, rule: &RouteRule) -> u64 {
         let wait_ms = self.caller.wait_ms.unwrap_or(rule.timeout_ms).min(rule.timeout_ms);
         self.arrived_ms + wait_ms
     }
 
-    /// It asks its service for the first time.
-    fn note_asked(&self, service: &str, room: Option<&CapacityRequest>) {
+    /// Counts the request for the retry budget of its service and, for engines, in the prefix rates and the
+    /// capacity estimate. Called before its first send.
+    fn note_first_request(&self, service: &str, demand: Option<&CapacityRequest>) {
         let (allowance, now_ms) = (self.node.allowance(), self.node.now_ms());
         let mut budgets = self.node.budgets.borrow_mut();
         budgets.entry(service.to_string()).or_default().note_first(&allowance, now_ms);
-        if let Some(room) = room {
+        if let Some(demand) = demand {
             self.node.prefixes.borrow_mut().note_request(&self.caller.prompt, now_ms);
-            self.node.with_room(service, |known| known.note_request(room, now_ms));
+            self.node
+                .with_service_capacity(service, |capacity| capacity.note_request(demand, now_ms));
         }
     }
 
+    /// Takes one retry from the service's retry budget; false if none is left.
     pub(super) fn spend_repeat(&self, service: &str) -> bool {
-        self.ask_budget(service, RepeatBudget::spend)
+        self.use_budget(service, RepeatBudget::spend)
     }
 
     /// Whether [`CallerTask::spend_repeat`] would succeed.
     fn may_spend_repeat(&self, service: &str) -> bool {
-        self.ask_budget(service, RepeatBudget::may_spend)
+        self.use_budget(service, RepeatBudget::may_spend)
     }
 
-    fn ask_budget(
+    fn use_budget(
         &self,
         service: &str,
         ask: fn(&mut RepeatBudget, &RepeatAllowance, usize, u64) -> bool,
@@ -307,35 +324,44 @@
 
     fn deny(&self, denial: &Denial) -> Response<AnswerBody> {
         self.note_end(match denial {
-            Denial::NoRoutes | Denial::OldContact | Denial::Held => RequestEnd::Refused,
+            Denial::NoConfiguration | Denial::StaleConfiguration | Denial::Quarantined => {
+                RequestEnd::Refused
+            }
             Denial::NoRoute | Denial::NoKey => RequestEnd::Denied,
         });
         deny(denial)
     }
 
+    /// Answers that the request has not run, with the default time to retry.
     fn refuse(&self, count: &AttemptCount, why: &str) -> Response<AnswerBody> {
-        self.refuse_until(count, why, RETRY_MS)
+        self.refuse_with_retry(count, why, DEFAULT_RETRY_MS)
     }
 
-    fn refuse_until(&self, count: &AttemptCount, why: &str, retry_ms: u64) -> Response<AnswerBody> {
+    /// Answers that the request has not run and may be retried after `retry_ms`.
+    fn refuse_with_retry(
+        &self,
+        count: &AttemptCount,
+        why: &str,
+        retry_ms: u64,
+    ) -> Response<AnswerBody> {
         self.note_end(RequestEnd::Refused);
         let attempt = &self.caller.attempt;
         info!(target: "request", attempt, sent = count.sent, retry_ms, "refused: {why}");
         refusal(StatusCode::SERVICE_UNAVAILABLE, why, retry_ms)
     }
 
-    /// It was sent, and no upstream ran it.
+    /// Refuses a request that was sent and that no upstream ran.
     fn refuse_not_run(
         &self,
         count: &AttemptCount,
         service: &ServiceEntry,
         why: &str,
     ) -> Response<AnswerBody> {
-        self.refuse_until(count, why, self.return_ms(service))
+        self.refuse_with_retry(count, why, self.earliest_retry_ms(service))
     }
 
-    /// No upstream was chosen.
-    fn refuse_unplaced(
+    /// Refuses a request for which no upstream could be chosen, or fails it if it may have run.
+    fn refuse_unassigned(
         &self,
         count: &AttemptCount,
         service: &str,
@@ -350,27 +376,29 @@
             return self.fail(count, why);
         }
         let retry_ms = match fault {
-            ChoiceError::NoUpstream => RETRY_MS,
+            ChoiceError::NoUpstream => DEFAULT_RETRY_MS,
             ChoiceError::BackingOff(rest_ms) => rest_ms,
-            ChoiceError::Full => {
-                self.node.with_room(service, |room| room.next_retry_ms(self.node.now_ms()))
-            }
+            ChoiceError::Full => self
+                .node
+                .with_service_capacity(service, |capacity| capacity.next_retry_ms(self.node.now_ms())),
         };
-        self.refuse_until(count, why, retry_ms)
+        self.refuse_with_retry(count, why, retry_ms)
     }
 
+    /// Answers with an error that doesn't state whether the request has run.
     fn fail(&self, count: &AttemptCount, why: &str) -> Response<AnswerBody> {
         self.note_end(RequestEnd::Failed);
         info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "failed: {why}");
         own_answer(StatusCode::BAD_GATEWAY, why.to_string())
     }
 
+    /// Answers that the deadline has passed: as a refusal if the request certainly has not run.
     fn time_out(&self, count: &AttemptCount) -> Response<AnswerBody> {
         self.note_end(RequestEnd::TimedOut);
-        info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "time is over");
+        info!(target: "request", attempt = self.caller.attempt, sent = count.sent, "deadline exceeded");
         match count.may_have_run {
             true => own_answer(StatusCode::GATEWAY_TIMEOUT, "its time is over"),
-            false => refusal(StatusCode::SERVICE_UNAVAILABLE, "its time is over", RETRY_MS),
+            false => refusal(StatusCode::SERVICE_UNAVAILABLE, "its time is over", DEFAULT_RETRY_MS),
         }
     }
 }
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -1,6 +1,6 @@
-//! The figures of a VM in the text form of the metrics world.
+//! Writes the metrics of a VM in the Prometheus text format.
 //!
-//! [`FIGURES`] names each with its kind and unit; a test holds it against the table of
+//! [`METRICS`] lists each metric with its kind and help text. A test compares it with the table in
 //! `docs/operators/metrics.md`.
 
 use std::fmt::Write;
@@ -21,11 +21,11 @@
 use crate::state::rollout_order::{RolloutPhase, RolloutRow};
 use crate::state::vm_figures::{RequestEnd, VmFigures, BUCKETS_MS};
 
-/// One figure: name, kind, meaning and unit.
-pub type FigureEntry = (&'static str, &'static str, &'static str);
+/// The name, kind and help text of one metric.
+pub type MetricEntry = (&'static str, &'static str, &'static str);
 
-/// Every figure, in the order in which they are written.
-pub const FIGURES: [FigureEntry; 46] = [
+/// All metrics, in the order in which they are written.
+pub const METRICS: [MetricEntry; 46] = [
     ("wingshed_requests_total", "counter", "Requests by end."),
     ("wingshed_first_byte_ms", "histogram", "Milliseconds to an answer's first byte."),
     ("wingshed_repeats_total", "counter", "Sends beyond the first of each request."),
@@ -82,31 +82,32 @@
     ("wingshed_peer_messages_total", "counter", "Messages to and from other VMs, by kind."),
 ];
 
-/// Serves the figures.
-pub async fn serve_figures(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Answers a request for the metrics.
+pub async fn serve_metrics(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let path = node.figures_path.borrow().clone();
     if request.uri().path() != path {
         return own_answer(StatusCode::NOT_FOUND, "");
     }
-    let mut answer = own_answer(StatusCode::OK, node.write_figures());
+    let mut answer = own_answer(StatusCode::OK, node.write_metrics());
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     answer.headers_mut().insert(CONTENT_TYPE, kind);
     answer
 }
 
 impl VmNode {
-    /// All figures as text.
-    pub fn write_figures(&self) -> String {
+    /// Returns all metrics as text.
+    pub fn write_metrics(&self) -> String {
         let mut text = String::new();
-        for (name, kind, help) in FIGURES {
-            // Writing to a string doesn't fail.
+        for (name, kind, help) in METRICS {
+            // Writing to a string can't fail.
             let _ = write!(text, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
-            self.write_figure(&mut text, name);
+            self.write_metric(&mut text, name);
         }
         text
     }
 
-    fn write_figure(&self, text: &mut String, name: &str) {
+    /// Writes the samples of one metric.
+    fn write_metric(&self, text: &mut String, name: &str) {
         let figures = self.figures.borrow();
         match name {
             "wingshed_requests_total" => write_ends(text, &figures),
@@ -120,16 +121,17 @@
                 write_wire(text, name, &self.wire, |row| [row.sent, row.received]);
             }
             "wingshed_repeats_left" => self.write_repeats_left(text),
-            "wingshed_hold_ms" => self.write_rooms(text, name, ServiceCapacity::hold_ms),
+            "wingshed_hold_ms" => self.write_capacities(text, name, ServiceCapacity::hold_ms),
             "wingshed_places_used" => {
-                self.write_rooms(text, name, |room| 100.0 * room.used_fraction());
+                self.write_capacities(text, name, |capacity| 100.0 * capacity.used_fraction());
             }
             name if name.starts_with("wingshed_rollout_") => self.write_rollout_rows(text, name),
-            _ => drop(writeln!(text, "{name} {}", self.plain_figure(&figures, name))),
+            _ => drop(writeln!(text, "{name} {}", self.scalar_metric(&figures, name))),
         }
     }
 
-    fn plain_figure(&self, figures: &VmFigures, name: &str) -> u64 {
+    /// The value of a metric without labels.
+    fn scalar_metric(&self, figures: &VmFigures, name: &str) -> u64 {
         let now_ms = self.now_ms();
         let keeper = self.keeper.borrow();
         let upstreams = self.upstreams.borrow();
@@ -147,7 +149,7 @@
             "wingshed_upstreams_leaving" => self.pool.notices().borrow().leaving() as u64,
             "wingshed_serving" => u64::from(self.serving.get()),
             "wingshed_connections" => u64::from(self.connections.get()),
-            "wingshed_resting" => self.pool.resting() as u64,
+            "wingshed_resting" => self.pool.idle_count() as u64,
             "wingshed_heap_used_bytes" => heap_bytes().0,
             "wingshed_heap_held_bytes" => heap_bytes().1,
             "wingshed_in_flight" => self.in_flight.borrow().values().map(|n| u64::from(*n)).sum(),
@@ -176,23 +178,25 @@
             "wingshed_rollouts_known" => {
                 self.rollouts.borrow().tracker().table().rows().len() as u64
             }
-            other => unreachable!("{other} is no plain figure"),
+            other => unreachable!("{other} is not a metric without labels"),
         }
     }
 
-    fn write_rooms(&self, text: &mut String, name: &str, value: impl Fn(&ServiceCapacity) -> f64) {
+    /// Writes a metric that is derived from the capacity estimate of each service.
+    fn write_capacities(&self, text: &mut String, name: &str, value: impl Fn(&ServiceCapacity) -> f64) {
         let rooms = self.rooms.borrow();
         let mut rows: Vec<(&String, u64)> =
-            rooms.iter().map(|(service, room)| (service, value(room) as u64)).collect();
+            rooms.iter().map(|(service, capacity)| (service, value(capacity) as u64)).collect();
         rows.sort_unstable();
         for (service, value) in rows {
             let _ = writeln!(text, "{name}{{service=\"{service}\"}} {value}");
         }
     }
 
+    /// Writes a metric of the rollouts, by service.
     fn write_rollout_rows(&self, text: &mut String, name: &str) {
-        let desk = self.rollouts.borrow();
-        let watch = desk.tracker();
+        let rollouts = self.rollouts.borrow();
+        let watch = rollouts.tracker();
         let mut rows: Vec<&RolloutRow> = watch.table().rows().iter().collect();
         rows.sort_unstable_by_key(|row| &row.order.service);
         for row in rows {
@@ -214,7 +218,7 @@
                     let _ = writeln!(text, "{name}{{service=\"{service}\"}} {percent:.1}");
                 }
                 _ => {
-                    let phase = phase_figure(row.phase);
+                    let phase = phase_value(row.phase);
                     let _ = writeln!(text, "{name}{{service=\"{service}\"}} {phase}");
                 }
             }
@@ -233,7 +237,7 @@
     }
 }
 
-fn phase_figure(phase: RolloutPhase) -> u8 {
+fn phase_value(phase: RolloutPhase) -> u8 {
     match phase {
         RolloutPhase::Trial => 1,
         RolloutPhase::Shift => 2,
@@ -279,10 +283,10 @@
     }
 }
 
-/// What the allocator says that is in use, and all that it holds, in bytes. What is free isn't given
-/// back to the system at once, so the peak of the second is what a process takes.
+/// The bytes of the heap that are in use, and all bytes that the allocator holds. Freed memory isn't returned
+/// to the system at once, so the process takes as much memory as the peak of the second value.
 fn heap_bytes() -> (u64, u64) {
-    // SAFETY: it takes nothing and gives plain numbers.
+    // SAFETY: `mallinfo2` takes no arguments and returns plain numbers.
     let heap = unsafe { libc::mallinfo2() };
     (heap.uordblks as u64 + heap.hblkhd as u64, heap.arena as u64 + heap.hblkhd as u64)
 }
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -1,18 +1,18 @@
-//! Hears what an upstream says of itself in an answer.
+//! Records the notices (backoff, leaving) that an upstream sends in its answers.
 //!
-//! Invariant: only an answer to the request that was sent, by the incarnation that it was sent to, says
-//! something of that incarnation. See `docs/design/upstream-notices.md`.
+//! Invariant: a notice is recorded for an incarnation only from an answer to a request that was sent to that
+//! incarnation. See `docs/design/upstream-notices.md`.
 
 use hyper::http::response;
 use tracing::info;
 
-use super::vm_place::SendPlace;
+use super::vm_place::SendTarget;
 use super::vm_task::CallerTask;
 use crate::protocol::wire_adapter::UpstreamAnswer;
 
 impl CallerTask {
-    /// Takes the notices of the head of an answer to this request.
-    pub(super) fn hear_notices(&self, place: &SendPlace, facts: &UpstreamAnswer) {
+    /// Records the notices in the head of an answer to this request.
+    pub(super) fn record_notices(&self, target: &SendTarget, facts: &UpstreamAnswer) {
         if facts.other_life {
             return;
         }
@@ -21,30 +21,31 @@
         let mut notices = self.node.pool.notices().borrow_mut();
         match facts.rest_ms {
             Some(rest_ms) => {
-                notices.note_backoff(place.upstream, rest_ms, self.node.clock.next_ms());
+                notices.note_backoff(target.upstream, rest_ms, self.node.clock.next_ms());
                 self.node.figures.borrow_mut().rests_asked += 1;
             }
-            None if facts.not_run => notices.note_rejected(place.upstream, now_ms),
-            None => notices.note_accepted(place.upstream, now_ms),
+            None if facts.not_run => notices.note_rejected(target.upstream, now_ms),
+            None => notices.note_accepted(target.upstream, now_ms),
         }
-        if facts.leaving && notices.note_leaving(place.upstream, drain_ms, now_ms) {
-            info!(target: "upstream", life = place.send.life, "says that it leaves");
+        if facts.leaving && notices.note_leaving(target.upstream, drain_ms, now_ms) {
+            info!(target: "upstream", life = target.send.life, "upstream announced that it is leaving");
         }
     }
 
-    /// Logs that an upstream turned the request away, and whether it had asked for rest before.
-    pub(super) fn log_turned_away(
+    /// Logs that an upstream refused to run the request, and how much of an earlier requested backoff was left
+    /// when the request was sent.
+    pub(super) fn log_refusal(
         &self,
-        place: &SendPlace,
+        target: &SendTarget,
         facts: &UpstreamAnswer,
         head: &response::Parts,
-        kept: bool,
+        reused: bool,
     ) {
-        let rests_ms = self.node.pool.notices().borrow().backoff_ms(place.upstream, place.sent_ms);
+        let rests_ms = self.node.pool.notices().borrow().backoff_ms(target.upstream, target.sent_ms);
         info!(
-            target: "upstream", life = place.send.life, attempt = self.caller.attempt,
+            target: "upstream", life = target.send.life, attempt = self.caller.attempt,
             status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
-            kept, "did not run it",
+            kept = reused, "did not run it",
         );
     }
 }
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that end upstreams: from what a VM saw to the leader, and from the log into what every VM
-//! refuses. See `docs/design/quarantine.md`.
+//! The quarantine of requests that end upstreams: VMs report crashes to the leader, the leader proposes which
+//! requests are quarantined, and all VMs refuse those. See `docs/design/quarantine.md`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,25 +16,28 @@
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 impl VmNode {
-    /// An upstream ended under a request. The leader hears it at once, as fast as it can take renewals.
-    pub(super) fn note_ended_under(self: &Rc<Self>, seen: ObservedCrash) {
+    /// Reports to the leader that an upstream ended while running a request: at once, but no more often than the
+    /// leader can receive renewals.
+    pub(super) fn report_crash(self: &Rc<Self>, seen: ObservedCrash) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_crash(seen, pause_ms, now_ms));
     }
 
-    /// A request ran to its end and its upstream lives: likewise, where that is asked for.
-    pub(super) fn note_ran_well(self: &Rc<Self>, mark: RequestMark) {
+    /// Reports to the leader that a request ran to its end without ending its upstream, if the request is
+    /// watched.
+    pub(super) fn report_completed(self: &Rc<Self>, mark: RequestMark) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_completed(mark, pause_ms, now_ms));
     }
 
+    /// The shortest interval between renewals that the leader can receive from all VMs, in milliseconds.
     fn renewal_pause_ms(&self) -> u64 {
         overloaded_renew_ms(self.view.borrow().roster.rows.len())
     }
 
-    /// Renews after so many milliseconds, if that is due.
+    /// Sends a renewal after `wait_ms` milliseconds; none if `wait_ms` is `None`.
     fn renew_after(self: &Rc<Self>, wait_ms: Option<u64>) {
         let Some(wait_ms) = wait_ms else { return };
         let node = self.clone();
@@ -44,8 +47,8 @@
         });
     }
 
-    /// Takes what a VM reports of upstreams that ended, as the leader of `term`.
-    pub(super) fn take_crashes(
+    /// Adds a VM's report of upstreams that ended, as the leader of `term`.
+    pub(super) fn receive_crashes(
         &self,
         term: u64,
         report: &CrashReport,
@@ -55,8 +58,8 @@
         self.quarantine.borrow_mut().count_report(term, report, recorded, now_ms);
     }
 
-    /// The same for what this VM saw itself while it leads; and takes what is recorded.
-    pub(super) fn hear_own_crashes(&self, term: u64, recorded: &QuarantineTable, now_ms: u64) {
+    /// Adds this VM's own report, as the leader of `term`, and applies the recorded quarantine to this VM.
+    pub(super) fn receive_own_crashes(&self, term: u64, recorded: &QuarantineTable, now_ms: u64) {
         let news = {
             let mut desk = self.quarantine.borrow_mut();
             let own = desk.take_report(now_ms);
@@ -64,11 +67,11 @@
             desk.confirm(term, own.last());
             recorded.news(desk.changes())
         };
-        news.into_iter().for_each(|table| self.take_quarantine(table));
+        news.into_iter().for_each(|table| self.apply_quarantine(table));
     }
 
-    /// Proposes what is to be recorded, as the leader.
-    pub(super) fn lead_quarantine(&self) {
+    /// Proposes changes of the quarantine to the replicated log, as the leader.
+    pub(super) fn propose_quarantine(&self) {
         let now_ms = self.now_ms();
         let wanted = match &*self.keeper.borrow() {
             Some(keeper) if keeper.may_vouch(now_ms) => {
@@ -87,28 +90,28 @@
             match &command {
                 QuarantineCommand::Set(row) => info!(
                     target: "quarantine", request = %row.mark, held = row.held, times = row.times,
-                    ended = row.ended.len(), "decides",
+                    ended = row.ended.len(), "quarantine decided",
                 ),
                 QuarantineCommand::Clear(mark) => {
-                    info!(target: "quarantine", request = %mark, "is cleared");
+                    info!(target: "quarantine", request = %mark, "quarantine cleared");
                 }
             }
             let command = FleetCommand::Quarantine(command);
-            // Whether it is taken shows in the log; what isn't is proposed again.
+            // The result is not checked: a change that the log doesn't accept is proposed again.
             self.step_keeper(|keeper, now_ms| keeper.order(command, now_ms).1);
         }
     }
 
-    /// Takes the requests that are held, as a leader sent them.
-    pub(super) fn take_quarantine(&self, table: QuarantineTable) {
+    /// Applies the table of quarantined requests that a leader sent.
+    pub(super) fn apply_quarantine(&self, table: QuarantineTable) {
         for mark in self.quarantine.borrow_mut().take(table) {
-            info!(target: "quarantine", request = %mark, "is refused from now on");
+            info!(target: "quarantine", request = %mark, "request quarantined");
         }
     }
 
-    /// Publishes to all VMs at once what is held, as the leader: each request that is sent meanwhile ends one
-    /// more upstream. A VM that misses it hears of it with its next grant.
-    pub(super) fn send_quarantine(&self) {
+    /// Sends the quarantined requests to all VMs at once, as the leader, since each quarantined request that is
+    /// still sent ends one more upstream. A VM that misses the datagram receives them with its next grant.
+    pub(super) fn publish_quarantine(&self) {
         let now_ms = self.now_ms();
         let (term, table) = match &*self.keeper.borrow() {
             Some(keeper) if keeper.may_vouch(now_ms) => {
@@ -116,12 +119,12 @@
             }
             _ => return,
         };
-        self.take_quarantine(table.clone());
-        self.send_others(&VmDatagram::Quarantine { term, table });
+        self.apply_quarantine(table.clone());
+        self.send_to_others(&VmDatagram::Quarantine { term, table });
     }
 
-    /// Sends a datagram to all VMs that this one knows.
-    pub(super) fn send_others(&self, datagram: &VmDatagram) {
+    /// Sends a datagram to all other VMs in the roster.
+    pub(super) fn send_to_others(&self, datagram: &VmDatagram) {
         let view = self.view.borrow();
         let others = view.roster.rows.iter().map(|row| row.id).filter(|id| *id != self.id);
         self.send_datagrams(others, datagram);
--- a/lib/src/transport/vm_reply.rs
+++ b/lib/src/transport/vm_reply.rs
@@ -1,6 +1,7 @@
-//! What came back of a send: whose answer it is, whether the request ran, and its body.
+//! Checks the answer to a send: whether it belongs to this request, whether the request ran, and how its
+//! body is delivered.
 //!
-//! Invariant: nothing is believed of an answer before it is known to be the one to this request.
+//! Invariant: nothing in an answer is used before it is certain that it answers this request.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use tracing::info;
 
 use super::vm_guard::FlightGuard;
-use super::vm_place::SendPlace;
+use super::vm_place::SendTarget;
 use super::vm_pool::ConnectionLease;
 use super::vm_silence::Waited;
 use super::vm_task::CallerTask;
@@ -24,37 +25,41 @@
 use crate::protocol::wire_adapter::UpstreamAnswer;
 use crate::state::body_end::BodyFraming;
 
-/// A plain answer up to this length is taken whole before it is passed on, so that one that
-/// breaks off can still be asked for again.
-const HELD_BYTES: u64 = 64 << 10;
+/// The maximum length, in bytes, of a plain answer that is received in full before it is passed on. If
+/// such an answer breaks off, the request can still be retried.
+const BUFFERED_BYTES: u64 = 64 << 10;
 
-/// How long the body of a refusal may take before its connection is closed.
+/// How long reading the body of a refusal may take. After that its connection is closed and not reused.
 const REFUSAL_BODY_WAIT: Duration = Duration::from_secs(1);
 
-/// What a send brought.
+/// The result of a send.
 pub(super) enum SendResult {
-    Answer(Box<GoodAnswer>),
-    Bad(SendOutcome),
+    /// An answer that may be passed on.
+    Answer(Box<UsableAnswer>),
+    /// No answer that may be passed on, and what is known of the send.
+    NoAnswer(SendOutcome),
 }
 
-/// An answer that may be passed on.
-pub(super) struct GoodAnswer {
+/// An upstream's answer that may be passed on to the caller.
+pub(super) struct UsableAnswer {
     pub(super) head: response::Parts,
-    pub(super) body: GoodBody,
-    /// The upstream turns this VM away with it, which says nothing of its health.
-    pub(super) asks_rest: bool,
+    pub(super) body: AnswerContent,
+    /// Whether the upstream requests a backoff with this answer, which says nothing about its health.
+    pub(super) asks_backoff: bool,
 }
 
-pub(super) enum GoodBody {
-    /// A short plain answer, all of it here.
+/// The body of a [`UsableAnswer`].
+pub(super) enum AnswerContent {
+    /// A short plain answer that was received in full.
     Whole(Bytes),
-    /// A stream, or a long answer, that still comes.
-    Coming(Box<ComingBody>),
+    /// A stream or a long answer whose body is still being received.
+    Streamed(Box<StreamedBody>),
 }
 
-pub(super) struct ComingBody {
+/// A body that is still being received, with the connection that it arrives on.
+pub(super) struct StreamedBody {
     pub(super) facts: UpstreamAnswer,
-    /// The status is one of success.
+    /// Whether the status is a success.
     pub(super) success: bool,
     pub(super) tracker: BodyTracker,
     pub(super) body: Incoming,
@@ -62,7 +67,7 @@
     pub(super) guard: FlightGuard,
 }
 
-/// What delimits the body. A transfer coding other than chunked leaves that to the connection's end.
+/// What delimits the body. If the last transfer coding isn't chunked, that is the end of the connection.
 fn body_framing(head: &response::Parts, body: &Incoming) -> BodyFraming {
     let codings = head.headers.get_all(TRANSFER_ENCODING).into_iter().next_back();
     let last = codings.and_then(|value| value.to_str().ok()?.rsplit(',').next());
@@ -74,21 +79,22 @@
     }
 }
 
-/// Whether callers take the status as a promise that the request has not run.
-fn promises_not_run(status: StatusCode) -> bool {
-    let promises = [
+/// Whether callers conclude from the status that the request has not run.
+fn implies_not_run(status: StatusCode) -> bool {
+    let statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    promises.contains(&status)
+    statuses.contains(&status)
 }
 
 impl CallerTask {
-    /// Whose answer it is, what it says of its upstream, and whether the request ran.
+    /// Checks the head of an answer: that it answers this request, what the upstream announces in it, and
+    /// whether the request ran. Then starts or completes reading its body.
     pub(super) async fn check_answer(
         &self,
-        place: &SendPlace,
+        target: &SendTarget,
         answer: Response<Incoming>,
         lease: ConnectionLease,
         guard: FlightGuard,
@@ -96,121 +102,125 @@
     ) -> SendResult {
         let (head, body) = answer.into_parts();
         let facts = self.node.adapter.read_answer(&head);
-        let own = facts.attempt.as_deref().map(|attempt| attempt == self.caller.attempt);
-        // Also where it is a refusal: this request may run while another's answer is read in its place.
-        if own == Some(false) {
-            return self.take_foreign(place);
+        let matches_attempt =
+            facts.attempt.as_deref().map(|attempt| attempt == self.caller.attempt);
+        // This includes refusals: this request may be running while the answer to another one is read in its
+        // place.
+        if matches_attempt == Some(false) {
+            return self.reject_foreign(target);
         }
-        self.hear_notices(place, &facts);
+        self.record_notices(target, &facts);
         if facts.not_run {
-            return self.take_refusal(place, &facts, &head, body, lease);
+            return self.handle_refusal(target, &facts, &head, body, lease);
         }
-        if own.is_none() || (head.status.is_success() && !facts.stamped) {
-            return self.take_foreign(place);
+        if matches_attempt.is_none() || (head.status.is_success() && !facts.stamped) {
+            return self.reject_foreign(target);
         }
         match (head.status.is_server_error(), facts.rest_ms) {
-            (true, Some(_)) => place.trial.end_unsaid(),
-            (true, None) => place.trial.end_bad(),
+            (true, Some(_)) => target.trial.end_inconclusive(),
+            (true, None) => target.trial.end_failure(),
             (false, _) => {}
         }
-        let rule = &place.routes.table.routes[place.route];
-        if promises_not_run(head.status) && !rule.kind.may_repeat() {
-            self.note_failure(place.upstream, "a refusal that may have run");
-            return SendResult::Bad(SendOutcome::Broken);
+        let rule = &target.routes.table.routes[target.route];
+        if implies_not_run(head.status) && !rule.kind.may_repeat() {
+            self.note_failure(target.upstream, "refusal status, but the request may have run");
+            return SendResult::NoAnswer(SendOutcome::Broken);
         }
-        let short = body.size_hint().exact().is_some_and(|length| length <= HELD_BYTES);
+        let short = body.size_hint().exact().is_some_and(|length| length <= BUFFERED_BYTES);
         if rule.kind.is_stream() || !short {
-            let asks_rest = facts.rest_ms.is_some();
+            let asks_backoff = facts.rest_ms.is_some();
             let success = head.status.is_success();
             let framing = body_framing(&head, &body);
             let tracker = BodyTracker::new(framing, rule.kind.is_stream() && success);
-            let coming = ComingBody { facts, success, tracker, body, lease, guard };
-            let body = GoodBody::Coming(Box::new(coming));
-            return SendResult::Answer(Box::new(GoodAnswer { head, body, asks_rest }));
+            let streamed = StreamedBody { facts, success, tracker, body, lease, guard };
+            let body = AnswerContent::Streamed(Box::new(streamed));
+            return SendResult::Answer(Box::new(UsableAnswer { head, body, asks_backoff }));
         }
-        self.take_whole(place, &facts, head, body, lease, deadline_ms).await
+        self.read_whole(target, &facts, head, body, lease, deadline_ms).await
     }
 
-    /// What came is no answer to this request.
-    fn take_foreign(&self, place: &SendPlace) -> SendResult {
-        place.trial.end_bad();
-        self.note_failure(place.upstream, "another answer");
-        SendResult::Bad(SendOutcome::Broken)
+    /// Discards an answer that doesn't belong to this request, and counts it as a failure of the upstream.
+    fn reject_foreign(&self, target: &SendTarget) -> SendResult {
+        target.trial.end_failure();
+        self.note_failure(target.upstream, "answer to another request");
+        SendResult::NoAnswer(SendOutcome::Broken)
     }
 
-    /// The upstream says that it did not run the request.
-    fn take_refusal(
+    /// Handles an answer that states that the upstream did not run the request.
+    fn handle_refusal(
         &self,
-        place: &SendPlace,
+        target: &SendTarget,
         facts: &UpstreamAnswer,
         head: &response::Parts,
         body: Incoming,
         lease: ConnectionLease,
     ) -> SendResult {
-        place.trial.end_unsaid();
+        target.trial.end_inconclusive();
         match facts.other_life {
-            true => self.note_gone(place.upstream, "another life listens there"),
-            false => self.log_turned_away(place, facts, head, lease.is_kept()),
+            true => self.note_gone(target.upstream, "another life listens there"),
+            false => self.log_refusal(target, facts, head, lease.is_reused()),
         }
-        // The head says all. The body is read for the connection's sake, which the request doesn't wait for.
+        // Only the head matters to the request. The body is read in the background so that the connection can
+        // be reused.
         let (node, closes, idle_ms) = (self.node.clone(), facts.closes, facts.idle_ms);
         spawn_local(async move {
-            let read = Limited::new(body, HELD_BYTES as usize).collect();
+            let read = Limited::new(body, BUFFERED_BYTES as usize).collect();
             if matches!(timeout(REFUSAL_BODY_WAIT, read).await, Ok(Ok(_))) {
                 lease.finish(closes, idle_ms, node.now_ms()).await;
             }
         });
-        SendResult::Bad(SendOutcome::NotRun)
+        SendResult::NoAnswer(SendOutcome::NotRun)
     }
 
-    /// A short plain answer, all of it before it is passed on.
-    async fn take_whole(
+    /// Receives a short plain answer in full before it is passed on.
+    async fn read_whole(
         &self,
-        place: &SendPlace,
+        target: &SendTarget,
         facts: &UpstreamAnswer,
         head: response::Parts,
         body: Incoming,
         lease: ConnectionLease,
         deadline_ms: u64,
     ) -> SendResult {
-        let at = (place.upstream, place.address);
+        let at = (target.upstream, target.address);
         match self.node.wait_for(at, body.collect(), deadline_ms, false).await {
             Waited::Done(Ok(body)) => {
-                self.note_ran(place, true);
+                self.note_ran(target, true);
                 lease.finish(facts.closes, facts.idle_ms, self.node.now_ms()).await;
-                let (body, asks_rest) = (GoodBody::Whole(body.to_bytes()), facts.rest_ms.is_some());
-                SendResult::Answer(Box::new(GoodAnswer { head, body, asks_rest }))
+                let (body, asks_backoff) =
+                    (AnswerContent::Whole(body.to_bytes()), facts.rest_ms.is_some());
+                SendResult::Answer(Box::new(UsableAnswer { head, body, asks_backoff }))
             }
             Waited::Done(Err(_)) => {
-                place.trial.end_unsaid();
-                self.note_failure(place.upstream, "cut answer");
-                self.look_after_break(place);
-                SendResult::Bad(SendOutcome::Broken)
+                target.trial.end_inconclusive();
+                self.note_failure(target.upstream, "cut answer");
+                self.check_after_break(target);
+                SendResult::NoAnswer(SendOutcome::Broken)
             }
             Waited::TimedOut | Waited::Dark => {
-                place.trial.end_bad();
-                SendResult::Bad(SendOutcome::TimedOut)
+                target.trial.end_failure();
+                SendResult::NoAnswer(SendOutcome::TimedOut)
             }
         }
     }
 
-    /// Counts an answer's first byte, and logs one that comes after its goal with what decided
-    /// its way.
-    pub(super) fn note_first_byte(&self, place: &SendPlace, what: &'static str) {
-        let rule = &place.routes.table.routes[place.route];
+    /// Counts the time to an answer's first byte. If it exceeds the route's goal, logs what the choice of
+    /// the upstream was based on.
+    pub(super) fn note_first_byte(&self, target: &SendTarget, what: &'static str) {
+        let rule = &target.routes.table.routes[target.route];
         let took_ms = self.node.now_ms().saturating_sub(self.arrived_ms);
         let late = rule.goal_ms > 0 && took_ms > rule.goal_ms;
         {
             let mut figures = self.node.figures.borrow_mut();
-            figures.note_first_byte(place.send.workspace.as_deref(), took_ms);
+            figures.note_first_byte(target.send.workspace.as_deref(), took_ms);
             figures.late += u64::from(late);
         }
-        let own = self.node.in_flight.borrow().get(&place.upstream).copied().unwrap_or(0);
-        let others = self.node.view.borrow().reports.others(place.upstream);
-        let service = &place.routes.table.services[place.service];
+        let own = self.node.in_flight.borrow().get(&target.upstream).copied().unwrap_or(0);
+        let others = self.node.view.borrow().reports.others(target.upstream);
+        let service = &target.routes.table.services[target.service];
         if let Some(engine) = &service.engine {
-            self.node.with_room(&service.name, |room| {
-                room.note_first_event(late, own + others, engine.slots);
+            self.node.with_service_capacity(&service.name, |capacity| {
+                capacity.note_first_event(late, own + others, engine.slots);
             });
         }
         if !late {
@@ -218,8 +228,8 @@
         }
         info!(
             target: "request", attempt = self.caller.attempt, took_ms, goal_ms = rule.goal_ms,
-            life = place.send.life, left_ms = place.send.left_ms,
-            own, others, fetched = place.send.fetch_from.is_some(), "late {what}",
+            life = target.send.life, left_ms = target.send.left_ms,
+            own, others, fetched = target.send.fetch_from.is_some(), "late {what}",
         );
     }
 }
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -1,4 +1,4 @@
-//! What a send shows for and against its upstream's health, here and for the leader.
+//! Passive health checks: records how sends went, for this VM's outlier ejection and for the leader.
 
 use tracing::info;
 
@@ -6,46 +6,51 @@
 use super::vm_task::CallerTask;
 use crate::state::ids::UpstreamKey;
 
-/// At most this share of a service's upstreams is set aside on passive health checks.
-const ASIDE_SHARE: f64 = 0.34;
-/// What a send shows against an upstream.
+/// The maximum share of a service's upstreams that is ejected by passive health checks.
+const MAX_EJECTED_SHARE: f64 = 0.34;
+
+/// A fault of an upstream that a send revealed.
 enum HealthFault {
-    /// This life has ended.
-    Gone,
-    /// It can't be reached.
-    Silent,
-    /// It failed a request.
+    /// This incarnation's process has ended.
+    Ended,
+    /// The upstream can't be reached.
+    Unreachable,
+    /// The upstream failed a request.
     Failure,
-    /// It broke an answer off after its head.
+    /// The upstream broke off an answer after its head.
     Cut,
 }
 
 impl CallerTask {
-    pub(super) fn note_fault(&self, upstream: UpstreamKey, fault: ConnectFault) {
+    /// Records that no connection to an upstream was established.
+    pub(super) fn note_connect_fault(&self, upstream: UpstreamKey, fault: ConnectFault) {
         match fault {
-            ConnectFault::NobodyListens => {
-                self.note_health_fault(upstream, HealthFault::Gone, "connection refused");
+            ConnectFault::ConnectionRefused => {
+                self.note_health_fault(upstream, HealthFault::Ended, "connection refused");
             }
             ConnectFault::NoAnswer => {
-                self.note_health_fault(upstream, HealthFault::Silent, "cannot be reached");
+                self.note_health_fault(upstream, HealthFault::Unreachable, "cannot be reached");
             }
-            ConnectFault::Unwanted => {}
+            ConnectFault::NotAttempted => {}
         }
     }
 
-    /// Notes how a send went, for the leader.
+    /// Records for the leader whether a send succeeded.
     pub(super) fn note_outcome(&self, upstream: UpstreamKey, went_well: bool) {
         self.node.health.borrow_mut().outbox.note(upstream, went_well);
     }
 
+    /// Records a failed request; `what` is the log message.
     pub(super) fn note_failure(&self, upstream: UpstreamKey, what: &'static str) {
         self.note_health_fault(upstream, HealthFault::Failure, what);
     }
 
+    /// Records an answer that broke off after its head; `what` is the log message.
     pub(super) fn note_cut(&self, upstream: UpstreamKey, what: &'static str) {
         self.note_health_fault(upstream, HealthFault::Cut, what);
     }
 
+    /// Records a fault for this VM's outlier ejection and for the leader, and logs it.
     fn note_health_fault(&self, upstream: UpstreamKey, fault: HealthFault, what: &'static str) {
         let now_ms = self.node.now_ms();
         let upstreams = self.node.upstreams.borrow();
@@ -54,10 +59,14 @@
         self.node.figures.borrow_mut().signs += 1;
         let mut outliers = self.node.outliers.borrow_mut();
         match fault {
-            HealthFault::Gone => outliers.note_gone(upstream),
-            HealthFault::Silent => outliers.note_dead(upstream, fleet, ASIDE_SHARE, now_ms),
-            HealthFault::Cut => outliers.note_cut(upstream, fleet, ASIDE_SHARE, now_ms),
-            HealthFault::Failure => outliers.note_failure(upstream, fleet, ASIDE_SHARE, now_ms),
+            HealthFault::Ended => outliers.note_gone(upstream),
+            HealthFault::Unreachable => {
+                outliers.note_dead(upstream, fleet, MAX_EJECTED_SHARE, now_ms)
+            }
+            HealthFault::Cut => outliers.note_cut(upstream, fleet, MAX_EJECTED_SHARE, now_ms),
+            HealthFault::Failure => {
+                outliers.note_failure(upstream, fleet, MAX_EJECTED_SHARE, now_ms)
+            }
         }
         self.note_outcome(upstream, false);
         info!(
@@ -66,8 +75,8 @@
         );
     }
 
-    /// This life has ended.
+    /// Records that this incarnation's process has ended; `what` is the log message.
     pub(super) fn note_gone(&self, upstream: UpstreamKey, what: &'static str) {
-        self.note_health_fault(upstream, HealthFault::Gone, what);
+        self.note_health_fault(upstream, HealthFault::Ended, what);
     }
 }
