--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -206,8 +206,9 @@
                 };
             }
             if let (true, Some(demand)) = (first, &demand) {
-                self.node
-                    .with_service_capacity(&service.name, |capacity| capacity.note_admitted(demand));
+                self.node.with_service_capacity(&service.name, |capacity| {
+                    capacity.note_admitted(demand)
+                });
             }
             tried.push(pick.upstream);
             let Some(target) = self.place(&routes, at, workspace, pick, left, None) else {
@@ -378,9 +379,9 @@
         let retry_ms = match fault {
             ChoiceError::NoUpstream => DEFAULT_RETRY_MS,
             ChoiceError::BackingOff(rest_ms) => rest_ms,
-            ChoiceError::Full => self
-                .node
-                .with_service_capacity(service, |capacity| capacity.next_retry_ms(self.node.now_ms())),
+            ChoiceError::Full => self.node.with_service_capacity(service, |capacity| {
+                capacity.next_retry_ms(self.node.now_ms())
+            }),
         };
         self.refuse_with_retry(count, why, retry_ms)
     }
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -183,7 +183,12 @@
     }
 
     /// Writes a metric that is derived from the capacity estimate of each service.
-    fn write_capacities(&self, text: &mut String, name: &str, value: impl Fn(&ServiceCapacity) -> f64) {
+    fn write_capacities(
+        &self,
+        text: &mut String,
+        name: &str,
+        value: impl Fn(&ServiceCapacity) -> f64,
+    ) {
         let rooms = self.rooms.borrow();
         let mut rows: Vec<(&String, u64)> =
             rooms.iter().map(|(service, capacity)| (service, value(capacity) as u64)).collect();
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -41,7 +41,8 @@
         head: &response::Parts,
         reused: bool,
     ) {
-        let rests_ms = self.node.pool.notices().borrow().backoff_ms(target.upstream, target.sent_ms);
+        let rests_ms =
+            self.node.pool.notices().borrow().backoff_ms(target.upstream, target.sent_ms);
         info!(
             target: "upstream", life = target.send.life, attempt = self.caller.attempt,
             status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
