--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -116,7 +116,7 @@
                         });
                         let call = KeeperCall::Claims(claims.collect(), Vec::new());
                         let asked = Instant::now();
-                        if let Ok(KeeperReply::Claims(answers)) = client.ask_leader(&call) {
+                        if let Ok(KeeperReply::Claims(answers)) = client.call_leader(&call) {
                             let good = answers.iter().filter(|a| **a == ClaimAnswer::Granted);
                             granted.fetch_add(good.count() as u64, Ordering::Relaxed);
                             times.push(asked.elapsed().as_secs_f64() * 1000.0);
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -279,7 +279,7 @@
 fn counters(system: &SystemStandIn) -> HashMap<String, u64> {
     let mut sums = HashMap::new();
     for router in system.routers.iter().flatten() {
-        for (name, count) in router.shared().seen.counters() {
+        for (name, count) in router.shared().metrics.counters() {
             *sums.entry(name).or_default() += count;
         }
     }
--- a/lib/src/transport/http_client.rs
+++ b/lib/src/transport/http_client.rs
@@ -54,12 +54,12 @@
 }
 
 impl OpenReply {
-    /// Reads the rest: a body that breaks off, or that is longer than `most` bytes, makes no answer.
-    pub fn whole(self, most: usize) -> Result<HttpReply, CallFailure> {
+    /// Reads the rest: a body that breaks off, or that is longer than `max_bytes` bytes, makes no answer.
+    pub fn whole(self, max_bytes: usize) -> Result<HttpReply, CallFailure> {
         let mut body = Vec::new();
-        let read = self.body.take(most as u64 + 1).read_to_end(&mut body);
+        let read = self.body.take(max_bytes as u64 + 1).read_to_end(&mut body);
         read.map_err(|error| CallFailure::Broken { text: error.to_string() })?;
-        if body.len() > most {
+        if body.len() > max_bytes {
             return Err(CallFailure::Broken { text: "the answer is too long".to_string() });
         }
         Ok(HttpReply { status: self.status, headers: self.headers, body })
@@ -70,36 +70,36 @@
 pub struct ReplyBody {
     reader: attohttpc::ResponseReader,
     /// Bytes that must still come, where a length was given.
-    left: Option<u64>,
+    remaining: Option<u64>,
     /// The kind of call or the status rules a body out, whatever the headers say.
-    none: bool,
+    is_empty: bool,
 }
 
 impl ReplyBody {
     fn new(method: &str, response: attohttpc::Response) -> ReplyBody {
         let status = response.status().as_u16();
-        let none = method == "HEAD" || matches!(status, 204 | 304);
+        let is_empty = method == "HEAD" || matches!(status, 204 | 304);
         let length = response.headers().get(attohttpc::header::CONTENT_LENGTH);
-        let left = length.and_then(|length| length.to_str().ok()?.parse().ok());
+        let remaining = length.and_then(|length| length.to_str().ok()?.parse().ok());
         let (_, _, reader) = response.split();
-        ReplyBody { reader, left, none }
+        ReplyBody { reader, remaining, is_empty }
     }
 }
 
 impl Read for ReplyBody {
     fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
-        if self.none || bytes.is_empty() {
+        if self.is_empty || bytes.is_empty() {
             return Ok(0);
         }
         let read = self.reader.read(bytes)?;
-        let Some(left) = &mut self.left else { return Ok(read) };
+        let Some(remaining) = &mut self.remaining else { return Ok(read) };
         // `attohttpc` ends a body at its length, and as well where the connection is closed before that.
-        if read == 0 && *left > 0 {
-            let text = format!("the connection ended {left} bytes short of the length");
+        if read == 0 && *remaining > 0 {
+            let text = format!("the connection ended {remaining} bytes short of the length");
             return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
         }
-        let rest = left.checked_sub(read as u64);
-        *left = rest.ok_or_else(|| {
+        let rest = remaining.checked_sub(read as u64);
+        *remaining = rest.ok_or_else(|| {
             io::Error::new(io::ErrorKind::InvalidData, "the body is longer than its length")
         })?;
         Ok(read)
@@ -152,16 +152,16 @@
         Ok(OpenReply { status, headers, body: ReplyBody::new(&call.method, response) })
     }
 
-    /// Sends a call and reads the whole answer, of at most `most` bytes.
+    /// Sends a call and reads the whole answer, of at max_bytes `max_bytes` bytes.
     pub fn call(
         &self,
         address: SocketAddr,
         call: &HttpCall,
         times: CallTimes,
-        most: usize,
+        max_bytes: usize,
         kind: &'static str,
     ) -> Result<HttpReply, CallFailure> {
-        let reply = self.open(address, call, times, kind)?.whole(most)?;
+        let reply = self.open(address, call, times, kind)?.whole(max_bytes)?;
         self.wire.received(kind, reply.body.len() as u64);
         Ok(reply)
     }
--- a/lib/src/transport/http_server.rs
+++ b/lib/src/transport/http_server.rs
@@ -8,7 +8,7 @@
 //! A connection's thread reads the request and writes the answer; a worker runs the
 //! handler. Between them is a short queue of parts, so that a slow caller holds back the
 //! handler instead of filling memory. A future here waits for the socket's next bytes, which
-//! [`drive`] does, or for that queue and for room to write, which simply block.
+//! [`drive_connection`] does, or for that queue and for room to write, which simply block.
 
 use std::future::Future;
 use std::io::{self, Write};
@@ -37,10 +37,10 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 const BACKLOG: i32 = 1024;
 /// Parts of an answer that may wait for a slow caller.
-const PARTS_WAITING: usize = 32;
+const MAX_BUFFERED_PARTS: usize = 32;
 /// Idle connections may be this many more than requests in flight.
-const IDLE_CONNECTIONS: usize = 512;
-const SMALLEST_READ_BUFFER: usize = 8192;
+const MAX_IDLE_CONNECTIONS: usize = 512;
+const MIN_READ_BUFFER_BYTES: usize = 8192;
 
 /// What a server refuses beyond.
 #[derive(Clone, Copy, Debug)]
@@ -51,7 +51,7 @@
     pub body_bytes: usize,
     /// Bytes of all headers.
     pub header_bytes: usize,
-    /// Longest silence of a connection, and longest wait for a caller that does not read.
+    /// Longest silence_limit of a connection, and longest wait for a caller that does not read.
     pub read_timeout: Duration,
 }
 
@@ -156,7 +156,7 @@
         let address = listener.local_addr()?;
         let stop = Arc::new(AtomicBool::new(false));
         let accept = Arc::new(AcceptLoop {
-            connections: WorkerPool::new("connection", limits.in_flight + IDLE_CONNECTIONS),
+            connections: WorkerPool::new("connection", limits.in_flight + MAX_IDLE_CONNECTIONS),
             handlers: WorkerPool::new("request", limits.in_flight),
             limits,
             handler,
@@ -223,25 +223,25 @@
     }
 
     fn serve(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr) {
-        let Ok(waited) = stream.try_clone() else { return };
-        let waited = Arc::new(waited);
-        let (this, socket) = (self.clone(), waited.clone());
+        let Ok(socket_handle) = stream.try_clone() else { return };
+        let socket_handle = Arc::new(socket_handle);
+        let (this, socket) = (self.clone(), socket_handle.clone());
         let service = service_fn(move |request: Request<Incoming>| {
             let (this, socket) = (this.clone(), socket.clone());
             async move {
-                let old = request.version() == hyper::Version::HTTP_10;
+                let is_http_10 = request.version() == hyper::Version::HTTP_10;
                 let response = this.answer(request, peer).await?;
-                if old && response.body().parts.is_some() {
+                if is_http_10 && response.body().parts.is_some() {
                     reset_unless_shut(&socket)?;
                 }
                 Ok::<_, io::Error>(response)
             }
         });
-        let buffer = (self.limits.header_bytes * 2).max(SMALLEST_READ_BUFFER);
+        let buffer = (self.limits.header_bytes * 2).max(MIN_READ_BUFFER_BYTES);
         let connection = hyper::server::conn::http1::Builder::new()
             .max_buf_size(buffer)
             .serve_connection(BlockingStream(stream), service);
-        drive(connection, &waited, self.limits.read_timeout);
+        drive_connection(connection, &socket_handle, self.limits.read_timeout);
     }
 
     async fn answer(
@@ -253,7 +253,7 @@
             Ok(call) => call,
             Err(refusal) => return Ok(whole_response((self.refusal)(refusal))),
         };
-        let (sender, parts) = bounded(PARTS_WAITING);
+        let (sender, parts) = bounded(MAX_BUFFERED_PARTS);
         let exchange =
             HttpExchange { call, peer: Some(peer), writer: ResponseWriter { parts: sender } };
         let handler = self.handler.clone();
@@ -393,14 +393,14 @@
 
 /// Polls a connection to its end. When it waits and nothing woke it, it waits for bytes; a
 /// caller that stays silent for too long is given up.
-fn drive(connection: impl Future, socket: &TcpStream, silence: Duration) {
+fn drive_connection(connection: impl Future, socket: &TcpStream, silence_limit: Duration) {
     let flag = Arc::new(WakeFlag::default());
     let waker = flag.clone().into();
     let mut context = Context::from_waker(&waker);
     let mut connection = std::pin::pin!(connection);
     while connection.as_mut().poll(&mut context).is_pending() {
         let woken = flag.0.swap(false, Ordering::Relaxed);
-        if !woken && !wait_readable(socket, silence) {
+        if !woken && !wait_readable(socket, silence_limit) {
             return;
         }
     }
--- a/lib/src/transport/keeper_client.rs
+++ b/lib/src/transport/keeper_client.rs
@@ -13,7 +13,7 @@
 use crate::protocol::seal::{SealMaker, SEAL_HEADER};
 use crate::state::settings::KeeperAddress;
 
-const LONGEST_REPLY: usize = 64 << 20;
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
 /// Why no keeper answered.
 #[derive(Clone, Debug, Snafu)]
@@ -73,7 +73,7 @@
     }
 
     /// The keeper last seen leading does not answer: the next one is tried.
-    pub fn pass_leader(&self) {
+    pub fn try_next_leader(&self) {
         self.leader.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -83,14 +83,14 @@
     }
 
     /// Asks one keeper.
-    pub fn ask(&self, address: SocketAddr, call: &KeeperCall) -> Result<KeeperReply, CallFailure> {
+    pub fn call(&self, address: SocketAddr, call: &KeeperCall) -> Result<KeeperReply, CallFailure> {
         if self.stopped.load(Ordering::Relaxed) {
             return Err(CallFailure::NotSent { text: "this process stops".to_string() });
         }
         let body = encode(call);
         let seal = self.maker.header(CALL_PATH, &body, wall_ms());
         let http = HttpCall::post(CALL_PATH, body).with(SEAL_HEADER, seal);
-        let reply = self.client.call(address, &http, self.times, LONGEST_REPLY, kind_of(call))?;
+        let reply = self.client.call(address, &http, self.times, MAX_REPLY_BYTES, kind_of(call))?;
         if reply.status != 200 {
             return Err(CallFailure::NotSent { text: format!("status {}", reply.status) });
         }
@@ -101,13 +101,13 @@
     ///
     /// A call that may have been taken is sent again only by the caller's choice: claims and
     /// changes carry ids that make that safe.
-    pub fn ask_leader(&self, call: &KeeperCall) -> Result<KeeperReply, KeeperFailure> {
+    pub fn call_leader(&self, call: &KeeperCall) -> Result<KeeperReply, KeeperFailure> {
         let mut last = String::new();
         let mut unsure = false;
         for _ in 0..2 * self.keepers.len() {
             let at = self.leader.load(Ordering::Relaxed) % self.keepers.len();
-            match self.ask(self.keepers[at].address, call) {
-                Ok(KeeperReply::NotLeader(hint)) => self.follow_hint(at, hint, &mut last),
+            match self.call(self.keepers[at].address, call) {
+                Ok(KeeperReply::NotLeader(hint)) => self.note_leader_hint(at, hint, &mut last),
                 Ok(KeeperReply::Unsure) => {
                     unsure = true;
                     last = "the leader cannot vouch for it".to_string();
@@ -127,7 +127,12 @@
         }
     }
 
-    fn follow_hint(&self, at: usize, hint: Option<crate::state::ids::KeeperId>, last: &mut String) {
+    fn note_leader_hint(
+        &self,
+        at: usize,
+        hint: Option<crate::state::ids::KeeperId>,
+        last: &mut String,
+    ) {
         let hinted = self.keepers.iter().position(|keeper| Some(keeper.id) == hint);
         self.leader.store(hinted.unwrap_or(at + 1), Ordering::Relaxed);
         *last = "no leader is known".to_string();
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -43,10 +43,10 @@
 pub const COMPACT_ENTRIES: u64 = 4096;
 const POLL: Duration = Duration::from_millis(10);
 /// A leader whose disk works on one job for this long makes way for another, in milliseconds.
-const DISK_PATIENCE_MS: u64 = 5000;
+const DISK_TIMEOUT_MS: u64 = 5000;
 /// Events that one step takes.
-const MOST_EVENTS: usize = 512;
-const MARK_KEEP_MS: u64 = 10_000;
+const MAX_EVENTS_PER_STEP: usize = 512;
+const LEAVING_KEEP_MS: u64 = 10_000;
 const ORDER_RETRY_MS: u64 = 1000;
 
 /// Reads the loop's state; the flag is whether this keeper may vouch for it.
@@ -81,7 +81,7 @@
 }
 
 /// The ways out of the loop: sending needs sockets that the loop does not own.
-pub struct LoopOutlets {
+pub struct LoopOutputs {
     /// For short messages.
     pub port: DatagramPort,
     /// Sends a message that is too long for a datagram.
@@ -109,9 +109,9 @@
     /// Spreads the election timers.
     pub seed: u64,
     /// How many loads the weight store takes at once.
-    pub most_loads: usize,
+    pub max_loads: usize,
     /// The keepers that the settings name.
-    pub named: BTreeMap<KeeperId, SocketAddr>,
+    pub configured: BTreeMap<KeeperId, SocketAddr>,
 }
 
 /// A loop's ends of the channels to its disk thread.
@@ -151,24 +151,24 @@
     syncs: u64,
     clock: NodeClock,
     seed: u64,
-    outlets: LoopOutlets,
+    outputs: LoopOutputs,
     waiters: HashMap<u64, (u64, Waiter)>,
-    watch: SessionWatch,
+    sessions: SessionWatch,
     loads: LoadTable,
-    marks: Vec<(LeavingIncarnation, u64)>,
-    leads_term: Option<(u64, u64)>,
+    leaving_marks: Vec<(LeavingIncarnation, u64)>,
+    leading_since: Option<(u64, u64)>,
     lapsing: HashSet<(RouterId, Incarnation)>,
-    sending: HashMap<u64, bool>,
+    orders_in_flight: HashMap<u64, bool>,
     order_retry_ms: BTreeMap<u64, u64>,
-    most_loads: usize,
-    named: BTreeMap<KeeperId, SocketAddr>,
+    max_loads: usize,
+    configured: BTreeMap<KeeperId, SocketAddr>,
     applied: u64,
 }
 
 impl KeeperLoop {
     /// A loop over what the disk held.
-    pub fn new(start: LoopStart, outlets: LoopOutlets) -> KeeperLoop {
-        let LoopStart { id, core, machine, disk, incarnation, clock, seed, most_loads, named } =
+    pub fn new(start: LoopStart, outputs: LoopOutputs) -> KeeperLoop {
+        let LoopStart { id, core, machine, disk, incarnation, clock, seed, max_loads, configured } =
             start;
         let applied = core.snapshot_index();
         KeeperLoop {
@@ -180,17 +180,17 @@
             syncs: 0,
             clock,
             seed,
-            outlets,
+            outputs,
             waiters: HashMap::new(),
-            watch: SessionWatch::default(),
+            sessions: SessionWatch::default(),
             loads: LoadTable::default(),
-            marks: Vec::new(),
-            leads_term: None,
+            leaving_marks: Vec::new(),
+            leading_since: None,
             lapsing: HashSet::new(),
-            sending: HashMap::new(),
+            orders_in_flight: HashMap::new(),
             order_retry_ms: BTreeMap::new(),
-            most_loads,
-            named,
+            max_loads,
+            configured,
             applied,
         }
     }
@@ -211,19 +211,19 @@
         while running {
             let mut output = RaftOutput::default();
             select! {
-                recv(reports) -> report => self.take_report(report.ok())?,
+                recv(reports) -> report => self.handle_disk_report(report.ok())?,
                 recv(events) -> event => match event {
-                    Ok(event) => running = self.take_all(event, &events, &mut output),
+                    Ok(event) => running = self.handle_events(event, &events, &mut output),
                     Err(_) => running = false,
                 },
                 default(POLL) => {}
             }
             let now_ms = self.clock.now_ms();
             self.tick(now_ms, &mut output);
-            self.lead(now_ms, &mut output);
+            self.run_leader_tasks(now_ms, &mut output);
             self.durable.core.flush(now_ms, &mut output);
             let outcome = self.durable.settle(output, now_ms);
-            self.carry_out(outcome)?;
+            self.process_outcome(outcome)?;
             self.compact(now_ms)?;
         }
         self.waiters.drain().for_each(|(_, (_, waiter))| waiter.unsure());
@@ -233,7 +233,7 @@
     /// Enters no further term while the disk works: a vote that is not written does not count.
     fn tick(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let leads = self.durable.core.role() == RaftRole::Leader;
-        if leads && self.durable.is_stuck(DISK_PATIENCE_MS, now_ms) {
+        if leads && self.durable.is_stuck(DISK_TIMEOUT_MS, now_ms) {
             tracing::warn!("keeper: resigns, since its disk writes nothing.");
             self.durable.core.resign(now_ms);
         } else if leads || self.durable.is_idle() {
@@ -241,14 +241,14 @@
         }
     }
 
-    fn take_report(&mut self, report: Option<DiskReport>) -> Result<(), LoopFailure> {
+    fn handle_disk_report(&mut self, report: Option<DiskReport>) -> Result<(), LoopFailure> {
         let now_ms = self.clock.now_ms();
         match report {
             Some(DiskReport::Done) => {
                 self.syncs += 1;
                 let outcome = self.durable.note_written(now_ms);
                 self.durable.core.note_sync_time(self.durable.last_job_ms());
-                self.carry_out(outcome)
+                self.process_outcome(outcome)
             }
             Some(DiskReport::Failed(text)) => Err(LoopFailure::Disk { text }),
             Some(DiskReport::Opened(..) | DiskReport::ListKept) => Ok(()),
@@ -259,35 +259,35 @@
     // ---- events ----
 
     /// Takes an event and those that wait behind it; false when one of them ends the loop.
-    fn take_all(
+    fn handle_events(
         &mut self,
         first: KeeperEvent,
         events: &Receiver<KeeperEvent>,
         output: &mut RaftOutput,
     ) -> bool {
-        let mut running = self.take(first, output);
-        for event in events.try_iter().take(MOST_EVENTS - 1) {
-            running &= self.take(event, output);
+        let mut running = self.handle_event(first, output);
+        for event in events.try_iter().take(MAX_EVENTS_PER_STEP - 1) {
+            running &= self.handle_event(event, output);
         }
         running
     }
 
-    fn take(&mut self, event: KeeperEvent, output: &mut RaftOutput) -> bool {
+    fn handle_event(&mut self, event: KeeperEvent, output: &mut RaftOutput) -> bool {
         let now_ms = self.clock.now_ms();
         match event {
             KeeperEvent::Raft(message) => self.durable.core.receive(message, now_ms, output),
-            KeeperEvent::Call(call, sender) => self.take_call(call, sender, output),
-            KeeperEvent::Renew(from, renewal) => self.take_renewal(from, renewal, now_ms),
+            KeeperEvent::Call(call, sender) => self.handle_call(call, sender, output),
+            KeeperEvent::Renew(from, renewal) => self.handle_renewal(from, renewal, now_ms),
             KeeperEvent::Claims(from, number, claims, reports) => {
-                let waiter = Waiter::Datagram(self.outlets.port.clone(), from, number);
-                self.take_claims(claims, reports, waiter, output);
+                let waiter = Waiter::Datagram(self.outputs.port.clone(), from, number);
+                self.propose_claims(claims, reports, waiter, output);
             }
             KeeperEvent::Operate(operation, sender) => {
                 self.propose(operation, Waiter::Operate(sender), output);
             }
             KeeperEvent::Member(change, sender) => {
                 let place = self.durable.core.change_member(change, now_ms, output);
-                self.wait_for(place, Waiter::Operate(sender));
+                self.add_waiter(place, Waiter::Operate(sender));
             }
             KeeperEvent::Transfer(sender) => {
                 let reply = match self.durable.core.transfer(None, now_ms, output) {
@@ -298,14 +298,14 @@
             }
             KeeperEvent::Read(read) => read(self, self.core().has_lease(now_ms)),
             KeeperEvent::OrderSent(number, end) => self.end_order(number, end, now_ms, output),
-            KeeperEvent::StoreLimit(limit) => self.most_loads = limit.max(1),
+            KeeperEvent::StoreLimit(limit) => self.max_loads = limit.max(1),
             KeeperEvent::Form(membership) => self.form(membership),
             KeeperEvent::Stop => return false,
         }
         true
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         call: KeeperCall,
         sender: Sender<KeeperReply>,
@@ -324,14 +324,14 @@
                 return self.propose(operation, Waiter::Call(sender), output);
             }
             KeeperCall::Claims(claims, reports) => {
-                return self.take_claims(claims, reports, Waiter::Call(sender), output);
+                return self.propose_claims(claims, reports, Waiter::Call(sender), output);
             }
         };
         let _ = sender.send(reply);
     }
 
     /// Ends first, so that a claim given back can be taken in the same batch.
-    fn take_claims(
+    fn propose_claims(
         &mut self,
         claims: Vec<ClaimRequest>,
         reports: Vec<ClaimReport>,
@@ -350,10 +350,10 @@
         let command = KeeperCommand { at_ms, operation };
         let payload = EntryPayload::Command(encode(&command));
         let place = self.durable.core.propose(payload, output);
-        self.wait_for(place, waiter);
+        self.add_waiter(place, waiter);
     }
 
-    fn wait_for(&mut self, place: Result<(u64, u64), RaftRefusal>, waiter: Waiter) {
+    fn add_waiter(&mut self, place: Result<(u64, u64), RaftRefusal>, waiter: Waiter) {
         match (place, waiter) {
             (Ok((index, term)), waiter) => {
                 if let Some((_, earlier)) = self.waiters.insert(index, (term, waiter)) {
@@ -410,23 +410,23 @@
 
     // ---- leading ----
 
-    fn lead(&mut self, now_ms: u64, output: &mut RaftOutput) {
+    fn run_leader_tasks(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let leads = self.core().role() == RaftRole::Leader;
         if !leads {
-            if self.leads_term.take().is_some() {
+            if self.leading_since.take().is_some() {
                 tracing::info!("keeper: leads no more.");
                 self.lapsing.clear();
-                self.sending.clear();
+                self.orders_in_flight.clear();
             }
             return;
         }
-        if self.leads_term.map(|(term, _)| term) != Some(self.core().term()) {
+        if self.leading_since.map(|(term, _)| term) != Some(self.core().term()) {
             tracing::info!("keeper: leads term {}.", self.core().term());
-            self.leads_term = Some((self.core().term(), now_ms));
-            self.watch = SessionWatch::new(now_ms);
+            self.leading_since = Some((self.core().term(), now_ms));
+            self.sessions = SessionWatch::new(now_ms);
             self.loads = LoadTable::default();
             self.lapsing.clear();
-            self.sending.clear();
+            self.orders_in_flight.clear();
         }
         if !self.core().has_lease(now_ms) {
             return;
@@ -436,7 +436,7 @@
     }
 
     fn lapse_sessions(&mut self, now_ms: u64, output: &mut RaftOutput) {
-        for (id, incarnation) in self.watch.lapsed(&self.machine.roster, now_ms) {
+        for (id, incarnation) in self.sessions.lapsed(&self.machine.roster, now_ms) {
             if self.lapsing.insert((id, incarnation)) {
                 tracing::warn!("keeper: router {id} lapsed.");
                 let operation = KeeperOperation::Lapse(id, incarnation);
@@ -445,7 +445,7 @@
         }
     }
 
-    fn take_renewal(&mut self, from: SocketAddr, renewal: LeaseRenewal, now_ms: u64) {
+    fn handle_renewal(&mut self, from: SocketAddr, renewal: LeaseRenewal, now_ms: u64) {
         if !self.core().has_lease(now_ms) {
             return;
         }
@@ -454,15 +454,15 @@
         let known = session.is_some_and(|session| session.incarnation == renewal.incarnation);
         let (router, incarnation) = (renewal.router, renewal.incarnation);
         if known {
-            self.watch.note_renewal(router, incarnation, renewal.epoch, renewal.version, now_ms);
+            self.sessions.note_renewal(router, incarnation, renewal.epoch, renewal.version, now_ms);
             self.loads.note(router, &renewal.rows, now_ms);
         }
         self.loads.expire(now_ms);
         let asked: Vec<FleetKey> = renewal.rows.iter().map(|row| row.fleet).collect();
-        self.marks.retain(|(_, noted_ms)| now_ms < noted_ms + MARK_KEEP_MS);
+        self.leaving_marks.retain(|(_, noted_ms)| now_ms < noted_ms + LEAVING_KEEP_MS);
         for mark in renewal.marks {
-            if !self.marks.iter().any(|(known, _)| *known == mark) {
-                self.marks.push((mark, now_ms));
+            if !self.leaving_marks.iter().any(|(known, _)| *known == mark) {
+                self.leaving_marks.push((mark, now_ms));
             }
         }
         let grant = LeaseGrant {
@@ -470,27 +470,33 @@
             known,
             version: self.machine.configuration.version,
             epoch: self.machine.roster.epoch,
-            settled_epoch: self.watch.settled_epoch(&self.machine.roster, now_ms),
+            settled_epoch: self.sessions.settled_epoch(&self.machine.roster, now_ms),
             rows: self.loads.others(router, &asked),
-            marks: self.marks.iter().map(|(mark, _)| *mark).take(MARKS_PER_DATAGRAM).collect(),
+            marks: self
+                .leaving_marks
+                .iter()
+                .map(|(mark, _)| *mark)
+                .take(MARKS_PER_DATAGRAM)
+                .collect(),
         };
-        self.outlets.port.send(from, &Datagram::Grant(grant));
+        self.outputs.port.send(from, &Datagram::Grant(grant));
     }
 
     fn send_orders(&mut self, now_ms: u64) {
-        let Some((_, leads_since_ms)) = self.leads_term else { return };
-        let loads_running = self.sending.values().filter(|loads| **loads).count();
+        let Some((_, leads_since_ms)) = self.leading_since else { return };
+        let loads_running = self.orders_in_flight.values().filter(|loads| **loads).count();
         let busy = |number: u64| {
             let waits = self.order_retry_ms.get(&number).is_some_and(|until| now_ms < *until);
-            self.sending.contains_key(&number) || waits
+            self.orders_in_flight.contains_key(&number) || waits
         };
-        let (machine, most) = (&self.machine, self.most_loads);
-        for order in orders_to_send(machine, leads_since_ms, loads_running, most, busy, now_ms) {
+        let (machine, max_loads) = (&self.machine, self.max_loads);
+        for order in orders_to_send(machine, leads_since_ms, loads_running, max_loads, busy, now_ms)
+        {
             let entry = self.machine.configuration.upstreams.get(&order.upstream);
             let Some(address) = entry.map(|entry| entry.address) else { continue };
             let loads = matches!(order.action, OrderAction::Load { .. });
-            self.sending.insert(order.number, loads);
-            (self.outlets.send_order)(order, address);
+            self.orders_in_flight.insert(order.number, loads);
+            (self.outputs.send_order)(order, address);
         }
     }
 
@@ -501,7 +507,7 @@
         now_ms: u64,
         output: &mut RaftOutput,
     ) {
-        self.sending.remove(&number);
+        self.orders_in_flight.remove(&number);
         let Some(end) = end else {
             self.order_retry_ms.insert(number, now_ms + ORDER_RETRY_MS);
             return;
@@ -512,7 +518,7 @@
 
     // ---- after a step ----
 
-    fn carry_out(&mut self, outcome: DurableOutcome) -> Result<(), LoopFailure> {
+    fn process_outcome(&mut self, outcome: DurableOutcome) -> Result<(), LoopFailure> {
         if let Some(snapshot) = outcome.installed {
             let machine = KeeperMachine::from_image(&snapshot.image);
             self.machine = machine.map_err(|text| LoopFailure::Image { text })?;
@@ -535,11 +541,13 @@
             let member = self.core().membership().members.get(&to);
             // A keeper that is being brought in knows no members yet, but must answer its leader.
             let address = member.map(|member| member.address);
-            let Some(address) = address.or_else(|| self.named.get(&to).copied()) else { continue };
+            let Some(address) = address.or_else(|| self.configured.get(&to).copied()) else {
+                continue;
+            };
             let datagram = Datagram::Raft(message);
-            if !self.outlets.port.send(address, &datagram) {
+            if !self.outputs.port.send(address, &datagram) {
                 if let Datagram::Raft(message) = datagram {
-                    (self.outlets.send_long)(to, address, message);
+                    (self.outputs.send_long)(to, address, message);
                 }
             }
         }
@@ -584,7 +592,7 @@
     fn notify(&self, version: u64, epoch: u64) {
         let notice = Datagram::Notice { version, epoch };
         for session in self.machine.roster.routers.values() {
-            self.outlets.port.send(session.address, &notice);
+            self.outputs.port.send(session.address, &notice);
         }
     }
 
@@ -619,7 +627,7 @@
             held: self.core().member_match(*id),
             age_ms: self.core().member_age_ms(*id, now_ms),
         };
-        let versions = self.watch.versions(&self.machine.roster);
+        let versions = self.sessions.versions(&self.machine.roster);
         let routers = versions.into_iter().filter_map(|(id, version)| {
             let session = self.machine.roster.routers.get(&id)?;
             let (address, zone) = (session.address, session.zone.clone());
@@ -638,7 +646,7 @@
             routers: routers.collect(),
             claims: self.machine.claims.len(),
             syncs: self.syncs,
-            wire: (self.outlets.wire)(),
+            wire: (self.outputs.wire)(),
         }
     }
 }
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -18,7 +18,7 @@
 use super::http_server::{listen, HttpExchange, HttpServer, ServerLimits, ServerRefusal};
 use super::keeper_client::KeeperClient;
 use super::keeper_loop::{
-    KeeperEvent, KeeperLoop, LoopDisk, LoopFailure, LoopOutlets, LoopStart, OperateReply,
+    KeeperEvent, KeeperLoop, LoopDisk, LoopFailure, LoopOutputs, LoopStart, OperateReply,
 };
 use super::keeper_operator::{operator_reply, send_order};
 use super::vm_disk::run_jobs;
@@ -39,10 +39,10 @@
 };
 use crate::state::settings::KeeperSettings;
 
-const IN_FLIGHT: usize = 512;
-const LONGEST_BODY: usize = 64 << 20;
-const ANSWER_WAIT: Duration = Duration::from_secs(5);
-const LONG_QUEUE: usize = 64;
+const MAX_IN_FLIGHT: usize = 512;
+const MAX_BODY_BYTES: usize = 64 << 20;
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+const LONG_MESSAGE_QUEUE: usize = 64;
 
 /// Why a node does not start or has stopped.
 #[derive(Debug, Snafu)]
@@ -91,7 +91,7 @@
 }
 
 /// What the handlers of a keeper share.
-pub(super) struct KeeperDesk {
+pub(super) struct KeeperShared {
     pub(super) settings: KeeperSettings,
     pub(super) events: Sender<KeeperEvent>,
     pub(super) checker: Arc<Mutex<SealChecker>>,
@@ -113,8 +113,8 @@
     /// Opens the data folder and starts.
     pub fn start(settings: KeeperSettings) -> Result<KeeperNode, NodeError> {
         let clock = NodeClock::default();
-        let new_life = Incarnation(rand::random::<u64>() | 1);
-        let opened = LogStore::open(&settings.data_folder, settings.id, new_life);
+        let new_incarnation = Incarnation(rand::random::<u64>() | 1);
+        let opened = LogStore::open(&settings.data_folder, settings.id, new_incarnation);
         let (store, stored) = opened.context(StoreSnafu)?;
         if stored.torn_bytes > 0 {
             tracing::warn!("keeper: cut a torn tail of {} bytes.", stored.torn_bytes);
@@ -130,8 +130,8 @@
         let port = DatagramPort::bind(address, maker.clone(), wire.clone());
         let port = port.context(ListenSnafu { address })?;
         let limits = ServerLimits {
-            in_flight: IN_FLIGHT,
-            body_bytes: LONGEST_BODY,
+            in_flight: MAX_IN_FLIGHT,
+            body_bytes: MAX_BODY_BYTES,
             header_bytes: 16 << 10,
             read_timeout: Duration::from_secs(10),
         };
@@ -143,18 +143,19 @@
         let core = RaftCore::new(settings.id, incarnation, stored, seed, clock.now_ms());
         let (events, receiver) = unbounded();
         let http = HttpClient { wire: wire.clone() };
-        let outlets = LoopOutlets {
+        let outputs = LoopOutputs {
             port: port.clone(),
-            send_long: long_sender(maker.clone(), http.clone()),
+            send_long: long_message_sender(maker.clone(), http.clone()),
             send_order: order_sender(events.clone(), http.clone()),
             wire: Box::new(move || wire.rows()),
         };
-        let most_loads = settings.weight_loads;
-        let named = settings.keepers.iter().map(|keeper| (keeper.id, keeper.address)).collect();
+        let max_loads = settings.weight_loads;
+        let configured =
+            settings.keepers.iter().map(|keeper| (keeper.id, keeper.address)).collect();
         let id = settings.id;
         let start =
-            LoopStart { id, core, machine, disk, incarnation, clock, seed, most_loads, named };
-        let keeper = KeeperLoop::new(start, outlets);
+            LoopStart { id, core, machine, disk, incarnation, clock, seed, max_loads, configured };
+        let keeper = KeeperLoop::new(start, outputs);
         let failure = Arc::new(Mutex::new(None));
         let stop = Arc::new(AtomicBool::new(false));
         let running = spawn_loop(keeper, receiver, failure.clone(), stop.clone());
@@ -163,16 +164,16 @@
         threads.extend(receive_datagrams(&port, &events, &checker, &stop));
         let client =
             KeeperClient::new(settings.keepers.clone(), maker, http, CallTimes::of_ms(2000));
-        let desk = Arc::new(KeeperDesk { settings, events: events.clone(), checker, client });
-        let handler_desk = desk.clone();
+        let shared = Arc::new(KeeperShared { settings, events: events.clone(), checker, client });
+        let handler_shared = shared.clone();
         let server = HttpServer::start(
             listener,
             limits,
-            Arc::new(move |exchange| handle(&handler_desk, exchange)),
+            Arc::new(move |exchange| handle(&handler_shared, exchange)),
             Arc::new(refusal_reply),
         );
         let server = server.context(ListenSnafu { address })?;
-        threads.push(spawn_helper(desk, blank, stop.clone()));
+        threads.push(spawn_background_tasks(shared, blank, stop.clone()));
         tracing::info!("keeper: listens on {address}.");
         Ok(KeeperNode { events, server, stop, threads, failure, address })
     }
@@ -181,7 +182,7 @@
     pub fn stop_planned(self) {
         let (sender, receiver) = bounded(1);
         let _ = self.events.send(KeeperEvent::Transfer(sender));
-        if let Ok(OperateReply::Done(_)) = receiver.recv_timeout(ANSWER_WAIT) {
+        if let Ok(OperateReply::Done(_)) = receiver.recv_timeout(REPLY_TIMEOUT) {
             std::thread::sleep(Duration::from_millis(300));
         }
         self.stop_now();
@@ -189,7 +190,7 @@
 
     /// Stops at once, as a crash would but for the last write.
     pub fn stop_now(mut self) {
-        self.shut();
+        self.shut_down();
     }
 
     /// Whether the loop has ended, and why.
@@ -206,7 +207,7 @@
         read_loop(&self.events, read)
     }
 
-    fn shut(&mut self) {
+    fn shut_down(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.events.send(KeeperEvent::Stop);
         self.server.stop();
@@ -218,7 +219,7 @@
 
 impl Drop for KeeperNode {
     fn drop(&mut self) {
-        self.shut();
+        self.shut_down();
     }
 }
 
@@ -228,11 +229,11 @@
     read: impl FnOnce(&KeeperLoop, bool) -> T + Send + 'static,
 ) -> Option<T> {
     let (sender, receiver) = bounded(1);
-    let task = move |keeper: &KeeperLoop, vouched: bool| {
-        let _ = sender.send(read(keeper, vouched));
+    let task = move |keeper: &KeeperLoop, leased: bool| {
+        let _ = sender.send(read(keeper, leased));
     };
     events.send(KeeperEvent::Read(Box::new(task))).ok()?;
-    receiver.recv_timeout(ANSWER_WAIT).ok()
+    receiver.recv_timeout(REPLY_TIMEOUT).ok()
 }
 
 fn spawn_loop(
@@ -286,7 +287,7 @@
 
 /// One thread and one bounded queue for each other keeper: a slow one delays no other, and
 /// what does not fit is lost, which the consensus allows.
-fn long_sender(
+fn long_message_sender(
     maker: Arc<SealMaker>,
     http: HttpClient,
 ) -> Box<dyn Fn(KeeperId, SocketAddr, RaftMessage) + Send> {
@@ -294,7 +295,7 @@
     Box::new(move |to, address, message| {
         let mut queues = queues.lock().unwrap_or_else(|poison| poison.into_inner());
         let queue = queues.entry(to).or_insert_with(|| {
-            let (sender, receiver) = bounded::<(SocketAddr, RaftMessage)>(LONG_QUEUE);
+            let (sender, receiver) = bounded::<(SocketAddr, RaftMessage)>(LONG_MESSAGE_QUEUE);
             let (maker, http) = (maker.clone(), http.clone());
             std::thread::spawn(move || {
                 for (address, message) in receiver {
@@ -330,16 +331,20 @@
 }
 
 /// Forms the first group when the disk is blank, and asks the weight store for its limit.
-fn spawn_helper(desk: Arc<KeeperDesk>, blank: bool, stop: Arc<AtomicBool>) -> JoinHandle<()> {
+fn spawn_background_tasks(
+    shared: Arc<KeeperShared>,
+    blank: bool,
+    stop: Arc<AtomicBool>,
+) -> JoinHandle<()> {
     std::thread::spawn(move || {
-        let mut forming = blank && !desk.settings.join;
+        let mut forming = blank && !shared.settings.join;
         let mut waited = 0u32;
         while !stop.load(Ordering::Relaxed) {
             if forming {
-                forming = !try_forming(&desk);
+                forming = !try_forming_group(&shared);
             }
             if waited % 50 == 0 {
-                ask_weight_store(&desk);
+                request_store_limit(&shared);
             }
             waited = waited.wrapping_add(1);
             std::thread::sleep(Duration::from_millis(100));
@@ -347,36 +352,36 @@
     })
 }
 
-fn ask_weight_store(desk: &KeeperDesk) {
-    let Some(address) = desk.settings.weight_store else { return };
+fn request_store_limit(shared: &KeeperShared) {
+    let Some(address) = shared.settings.weight_store else { return };
     let http = HttpClient::default();
     let call = weight_store::state_call();
     let Ok(reply) = http.call(address, &call, CallTimes::of_ms(1000), 4096, "weights") else {
         return;
     };
     if let Ok(state) = weight_store::read_state(&reply.body) {
-        let limit = state.most_loads.min(desk.settings.weight_loads);
-        let _ = desk.events.send(KeeperEvent::StoreLimit(limit));
+        let limit = state.most_loads.min(shared.settings.weight_loads);
+        let _ = shared.events.send(KeeperEvent::StoreLimit(limit));
     }
 }
 
 /// A blank keeper forms the first group only when every other named keeper is blank too, or
 /// knows this very life as a member: otherwise its disk was lost, and it must not vote.
 /// True when there is nothing left to try.
-fn try_forming(desk: &KeeperDesk) -> bool {
-    let Some(own) = read_loop(&desk.events, |keeper, _| keeper.identity()) else {
+fn try_forming_group(shared: &KeeperShared) -> bool {
+    let Some(own) = read_loop(&shared.events, |keeper, _| keeper.identity()) else {
         return true;
     };
     if !own.blank {
         return true;
     }
     let mut members = BTreeMap::new();
-    for keeper in &desk.settings.keepers {
+    for keeper in &shared.settings.keepers {
         let incarnation = if keeper.id == own.id {
             own.incarnation
         } else {
             let Ok(KeeperReply::Identity(other)) =
-                desk.client.ask(keeper.address, &KeeperCall::Identity)
+                shared.client.call(keeper.address, &KeeperCall::Identity)
             else {
                 return false;
             };
@@ -392,22 +397,22 @@
         let member = GroupMember { incarnation, address: keeper.address, votes: true };
         members.insert(keeper.id, member);
     }
-    let _ = desk.events.send(KeeperEvent::Form(GroupMembership { members }));
+    let _ = shared.events.send(KeeperEvent::Form(GroupMembership { members }));
     true
 }
 
-fn handle(desk: &Arc<KeeperDesk>, mut exchange: HttpExchange) {
+fn handle(shared: &Arc<KeeperShared>, mut exchange: HttpExchange) {
     let path = exchange.call.path().to_string();
     let reply = match path.as_str() {
-        RAFT_PATH | CALL_PATH => sealed_reply(desk, &exchange.call, &path),
-        _ => operator_reply(desk, &exchange.call),
+        RAFT_PATH | CALL_PATH => sealed_reply(shared, &exchange.call, &path),
+        _ => operator_reply(shared, &exchange.call),
     };
     let _ = exchange.writer.send(&reply);
 }
 
-fn sealed_reply(desk: &KeeperDesk, call: &HttpCall, path: &str) -> HttpReply {
+fn sealed_reply(shared: &KeeperShared, call: &HttpCall, path: &str) -> HttpReply {
     let checked = {
-        let mut checker = desk.checker.lock().unwrap_or_else(|poison| poison.into_inner());
+        let mut checker = shared.checker.lock().unwrap_or_else(|poison| poison.into_inner());
         checker.check_header(call.header(SEAL_HEADER), path, &call.body, wall_ms())
     };
     if let Err(refusal) = checked {
@@ -421,7 +426,7 @@
             Err(text) => return bad(text),
         };
         for message in messages {
-            let _ = desk.events.send(KeeperEvent::Raft(message));
+            let _ = shared.events.send(KeeperEvent::Raft(message));
         }
         return HttpReply { status: 200, ..HttpReply::default() };
     }
@@ -430,8 +435,8 @@
         Err(text) => return bad(text),
     };
     let (sender, receiver) = bounded(1);
-    let _ = desk.events.send(KeeperEvent::Call(asked, sender));
-    let reply = receiver.recv_timeout(ANSWER_WAIT).unwrap_or(KeeperReply::Unsure);
+    let _ = shared.events.send(KeeperEvent::Call(asked, sender));
+    let reply = receiver.recv_timeout(REPLY_TIMEOUT).unwrap_or(KeeperReply::Unsure);
     HttpReply { status: 200, headers: vec![], body: encode(&reply) }
 }
 
--- a/lib/src/transport/keeper_operator.rs
+++ b/lib/src/transport/keeper_operator.rs
@@ -10,7 +10,7 @@
 
 use super::http_client::{CallTimes, HttpClient};
 use super::keeper_loop::{KeeperEvent, KeeperLoop, OperateReply};
-use super::keeper_node::{read_loop, KeeperDesk};
+use super::keeper_node::{read_loop, KeeperShared};
 use crate::coordination::check::check_operations;
 use crate::coordination::raft_message::{MemberChange, RaftRefusal};
 use crate::protocol::engine;
@@ -24,39 +24,39 @@
     ChangeAnswer, ConfigChange, KeeperAnswer, KeeperOperation, OrderRecord, OrderState,
 };
 
-const COMMIT_WAIT: Duration = Duration::from_secs(5);
-const ORDER_MS: u64 = 60_000;
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+const ORDER_TIMEOUT_MS: u64 = 60_000;
 
 /// Answers an operator's call.
-pub(super) fn operator_reply(desk: &Arc<KeeperDesk>, call: &HttpCall) -> HttpReply {
-    let Some((configuration, vouched, leader)) = read_loop(&desk.events, |keeper, vouched| {
-        (keeper.configuration().clone(), vouched, leader_address(keeper))
+pub(super) fn operator_reply(shared: &Arc<KeeperShared>, call: &HttpCall) -> HttpReply {
+    let Some((configuration, leased, leader)) = read_loop(&shared.events, |keeper, leased| {
+        (keeper.configuration().clone(), leased, leader_address(keeper))
     }) else {
         return failure(503, "stopped", "The keeper has stopped.");
     };
-    let Some(operator) = operator_of(call, &configuration, &desk.settings.fleet_key) else {
+    let Some(operator) = operator_of(call, &configuration, &shared.settings.fleet_key) else {
         return failure(401, "not_an_operator", "The operator's name or key is not good.");
     };
     let path = call.path();
     if path == "/operator/status" && call.method == "GET" {
-        return read(desk, |keeper| json!(keeper.status()));
+        return read(shared, |keeper| json!(keeper.status()));
     }
-    if !vouched {
+    if !leased {
         let text = "Another keeper leads, or none does now.";
         let body = json!({ "error": { "code": "not_leader", "message": text }, "leader": leader });
         return HttpReply::json(421, &body);
     }
     match (call.method.as_str(), path) {
         ("GET", "/operator/config") => config_reply(&configuration),
-        ("GET", "/operator/history") => read(desk, |keeper| json!(keeper.machine.recent)),
+        ("GET", "/operator/history") => read(shared, |keeper| json!(keeper.machine.recent)),
         ("GET", "/operator/orders") => {
-            read(desk, |keeper| json!(keeper.machine.orders.values().collect::<Vec<_>>()))
+            read(shared, |keeper| json!(keeper.machine.orders.values().collect::<Vec<_>>()))
         }
-        ("GET", "/operator/backup") => backup_reply(desk),
-        ("POST", "/operator/changes") => change_reply(desk, call, operator),
-        ("POST", "/operator/orders") => order_reply(desk, call, &configuration),
-        ("POST", "/operator/leave") => leave_reply(desk, call),
-        ("POST", "/operator/members") => member_reply(desk, call),
+        ("GET", "/operator/backup") => backup_reply(shared),
+        ("POST", "/operator/changes") => change_reply(shared, call, operator),
+        ("POST", "/operator/orders") => order_reply(shared, call, &configuration),
+        ("POST", "/operator/leave") => leave_reply(shared, call),
+        ("POST", "/operator/members") => member_reply(shared, call),
         _ => failure(404, "no_such_call", "There is no such call."),
     }
 }
@@ -70,8 +70,11 @@
     HttpReply::json(status, &json!({ "error": { "code": code, "message": message } }))
 }
 
-fn read(desk: &KeeperDesk, read: impl FnOnce(&KeeperLoop) -> Value + Send + 'static) -> HttpReply {
-    match read_loop(&desk.events, |keeper, _| read(keeper)) {
+fn read(
+    shared: &KeeperShared,
+    read: impl FnOnce(&KeeperLoop) -> Value + Send + 'static,
+) -> HttpReply {
+    match read_loop(&shared.events, |keeper, _| read(keeper)) {
         Some(value) => HttpReply::json(200, &value),
         None => failure(503, "stopped", "The keeper has stopped."),
     }
@@ -82,8 +85,8 @@
     HttpReply::json(200, &json!({ "version": configuration.version, "configuration": document }))
 }
 
-fn backup_reply(desk: &KeeperDesk) -> HttpReply {
-    match read_loop(&desk.events, |keeper, _| keeper.machine.to_image()) {
+fn backup_reply(shared: &KeeperShared) -> HttpReply {
+    match read_loop(&shared.events, |keeper, _| keeper.machine.to_image()) {
         Some(body) => HttpReply { status: 200, headers: vec![], body },
         None => failure(503, "stopped", "The keeper has stopped."),
     }
@@ -94,17 +97,17 @@
         .map_err(|error| failure(400, "bad_request", &format!("The body: {error}.")))
 }
 
-fn operate(desk: &KeeperDesk, operation: KeeperOperation) -> Result<KeeperAnswer, HttpReply> {
-    wait(desk, |sender| KeeperEvent::Operate(operation, sender))
+fn operate(shared: &KeeperShared, operation: KeeperOperation) -> Result<KeeperAnswer, HttpReply> {
+    wait(shared, |sender| KeeperEvent::Operate(operation, sender))
 }
 
 fn wait(
-    desk: &KeeperDesk,
+    shared: &KeeperShared,
     event: impl FnOnce(Sender<OperateReply>) -> KeeperEvent,
 ) -> Result<KeeperAnswer, HttpReply> {
     let (sender, receiver) = bounded(1);
-    let _ = desk.events.send(event(sender));
-    match receiver.recv_timeout(COMMIT_WAIT) {
+    let _ = shared.events.send(event(sender));
+    match receiver.recv_timeout(COMMIT_TIMEOUT) {
         Ok(OperateReply::Done(answer)) => Ok(answer),
         Ok(OperateReply::Refused(refusal)) => Err(refusal_reply(&refusal)),
         Ok(OperateReply::Unsure) | Err(_) => {
@@ -135,7 +138,7 @@
     failure(status, code, text)
 }
 
-fn change_reply(desk: &KeeperDesk, call: &HttpCall, operator: String) -> HttpReply {
+fn change_reply(shared: &KeeperShared, call: &HttpCall, operator: String) -> HttpReply {
     let submitted: SubmittedChange = match body_of(call) {
         Ok(submitted) => submitted,
         Err(reply) => return reply,
@@ -149,7 +152,7 @@
     }
     let SubmittedChange { id, base, operations } = submitted;
     let change = ConfigChange { id, base, operator, operations };
-    match operate(desk, KeeperOperation::Change(change)) {
+    match operate(shared, KeeperOperation::Change(change)) {
         Ok(KeeperAnswer::Change(answer)) => {
             let status = match answer {
                 ChangeAnswer::Accepted { .. } => 200,
@@ -163,7 +166,7 @@
     }
 }
 
-fn order_reply(desk: &KeeperDesk, call: &HttpCall, configuration: &Configuration) -> HttpReply {
+fn order_reply(shared: &KeeperShared, call: &HttpCall, configuration: &Configuration) -> HttpReply {
     let submitted: SubmittedOrder = match body_of(call) {
         Ok(submitted) => submitted,
         Err(reply) => return reply,
@@ -172,7 +175,7 @@
         return failure(404, "no_such_upstream", "There is no such upstream.");
     }
     let SubmittedOrder { id, upstream, action } = submitted;
-    match operate(desk, KeeperOperation::Order { id, upstream, action }) {
+    match operate(shared, KeeperOperation::Order { id, upstream, action }) {
         Ok(KeeperAnswer::Order(number)) => HttpReply::json(200, &json!({ "number": number })),
         Ok(_) => failure(500, "mixed_up", "The answer is of another kind."),
         Err(reply) => reply,
@@ -180,32 +183,32 @@
 }
 
 /// A router that is ordered to leave drains and ends; its VM may then be taken away.
-fn leave_reply(desk: &KeeperDesk, call: &HttpCall) -> HttpReply {
+fn leave_reply(shared: &KeeperShared, call: &HttpCall) -> HttpReply {
     let submitted: SubmittedLeave = match body_of(call) {
         Ok(submitted) => submitted,
         Err(reply) => return reply,
     };
     let id = submitted.router;
-    let session = read_loop(&desk.events, move |keeper, _| {
+    let session = read_loop(&shared.events, move |keeper, _| {
         keeper.machine.roster.routers.get(&id).map(|session| session.incarnation)
     });
     match session.flatten() {
-        Some(incarnation) => to_reply(operate(desk, KeeperOperation::Leave(id, incarnation))),
+        Some(incarnation) => to_reply(operate(shared, KeeperOperation::Leave(id, incarnation))),
         None => failure(404, "no_such_router", "There is no such router in the roster."),
     }
 }
 
-fn member_reply(desk: &KeeperDesk, call: &HttpCall) -> HttpReply {
+fn member_reply(shared: &KeeperShared, call: &HttpCall) -> HttpReply {
     let step: MemberStep = match body_of(call) {
         Ok(step) => step,
         Err(reply) => return reply,
     };
     let change = match step {
-        MemberStep::Transfer => return to_reply(wait(desk, KeeperEvent::Transfer)),
+        MemberStep::Transfer => return to_reply(wait(shared, KeeperEvent::Transfer)),
         MemberStep::Promote { id } => MemberChange::Promote(id),
         MemberStep::Remove { id } => MemberChange::Remove(id),
         MemberStep::Add { id, address } => {
-            let asked = desk.client.ask(address, &KeeperCall::Identity);
+            let asked = shared.client.call(address, &KeeperCall::Identity);
             let Ok(KeeperReply::Identity(identity)) = asked else {
                 return failure(502, "no_answer", "No keeper answers at that address.");
             };
@@ -215,7 +218,7 @@
             MemberChange::AddLearner(id, identity.incarnation, address)
         }
     };
-    to_reply(wait(desk, |sender| KeeperEvent::Member(change, sender)))
+    to_reply(wait(shared, |sender| KeeperEvent::Member(change, sender)))
 }
 
 fn to_reply(result: Result<KeeperAnswer, HttpReply>) -> HttpReply {
@@ -232,7 +235,7 @@
     address: SocketAddr,
 ) -> Option<OrderState> {
     let call = engine::order_call(order.fence, &order.action);
-    match http.call(address, &call, CallTimes::of_ms(ORDER_MS), 64 << 10, "order") {
+    match http.call(address, &call, CallTimes::of_ms(ORDER_TIMEOUT_MS), 64 << 10, "order") {
         Ok(reply) if reply.status == 200 => Some(OrderState::Done),
         Ok(reply) if reply.status < 500 => {
             tracing::warn!("orders: order {} was refused: {}.", order.number, reply.status);
--- a/lib/src/transport/router_claims.rs
+++ b/lib/src/transport/router_claims.rs
@@ -1,4 +1,4 @@
-//! Run-once claims at a router: asked before dispatch, in batches, and reported after.
+//! Run-once claims at a router: requests before dispatch, in batches, and reported after.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
     ClaimAnswer, ClaimEnd, ClaimKey, ClaimReport, ClaimRequest, ClaimState,
 };
 
-const CLAIM_WAIT: Duration = Duration::from_secs(4);
-const IDLE: Duration = Duration::from_millis(100);
-const TRIES: usize = 3;
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
+const IDLE_WAIT: Duration = Duration::from_millis(100);
+const MAX_CALLS: usize = 3;
 /// So many claims, and so many ends, fit into a datagram.
-const FEW: usize = 8;
-const DATAGRAM_TRIES: usize = 4;
-/// A commit takes a few milliseconds; a lost datagram costs this much.
-const DATAGRAM_WAIT: Duration = Duration::from_millis(80);
+const MAX_PER_DATAGRAM: usize = 8;
+const MAX_DATAGRAM_SENDS: usize = 4;
+/// A commit takes a fits_datagram milliseconds; a lost datagram costs this much.
+const DATAGRAM_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// A claim that was granted. It must be ended; dropped without, it counts as unknown.
 pub(super) struct HeldClaim {
@@ -60,7 +60,7 @@
 ) -> Result<HeldClaim, CallerError> {
     let attempt = shared.next_number();
     let key = ClaimKey::of(&request.workspace, &request.request_id);
-    let asked = ClaimRequest {
+    let claim_request = ClaimRequest {
         key,
         holder: shared.id(),
         incarnation: shared.incarnation,
@@ -70,16 +70,16 @@
     let (sender, receiver) = bounded(1);
     {
         let mut claims = lock(&shared.claims);
-        claims.batch.claims.push((attempt, asked));
+        claims.batch.claims.push((attempt, claim_request));
         claims.waiting.insert(attempt, sender);
     }
     shared.claims_ready.notify_one();
-    let answer = receiver.recv_timeout(CLAIM_WAIT).ok().flatten();
+    let answer = receiver.recv_timeout(CLAIM_TIMEOUT).ok().flatten();
     let report = ClaimReport { key, attempt, holder: shared.id(), end: ClaimEnd::NotDispatched };
     let mut held = HeldClaim { shared: shared.clone(), report, ended: false };
     let refused = match answer {
         Some(ClaimAnswer::Granted) => return Ok(held),
-        Some(ClaimAnswer::Taken(state)) => taken(state),
+        Some(ClaimAnswer::Taken(state)) => taken_error(state),
         Some(ClaimAnswer::TooOld) => CallerError::not_run(
             409,
             "too_old",
@@ -99,7 +99,7 @@
     Err(refused)
 }
 
-fn taken(state: ClaimState) -> CallerError {
+fn taken_error(state: ClaimState) -> CallerError {
     let (text, ran) = match state {
         ClaimState::Running => ("This request is running elsewhere.", RanMark::Unknown),
         ClaimState::Done => ("This request has run.", RanMark::Yes),
@@ -114,7 +114,7 @@
         let batch = {
             let mut claims = lock(&shared.claims);
             if claims.batch.is_empty() {
-                let waited = shared.claims_ready.wait_timeout(claims, IDLE);
+                let waited = shared.claims_ready.wait_timeout(claims, IDLE_WAIT);
                 claims = waited.unwrap_or_else(|poison| poison.into_inner()).0;
             }
             claims.batch.take()
@@ -126,14 +126,15 @@
 }
 
 fn send_batch(shared: &Arc<RouterShared>, batch: ClaimBatch) {
-    let asked: Vec<ClaimRequest> = batch.claims.iter().map(|(_, claim)| *claim).collect();
-    let few = asked.len() <= FEW && batch.reports.len() <= FEW;
+    let requests: Vec<ClaimRequest> = batch.claims.iter().map(|(_, claim)| *claim).collect();
+    let fits_datagram =
+        requests.len() <= MAX_PER_DATAGRAM && batch.reports.len() <= MAX_PER_DATAGRAM;
     // Claims and reports carry their attempt, so that sending them again changes nothing.
-    let answers = match few {
-        true => send_datagrams(shared, &asked, &batch.reports),
+    let answers = match fits_datagram {
+        true => send_datagrams(shared, &requests, &batch.reports),
         false => None,
     };
-    let answers = answers.or_else(|| send_http(shared, asked, &batch.reports));
+    let answers = answers.or_else(|| send_http(shared, requests, &batch.reports));
     let mut claims = lock(&shared.claims);
     if answers.is_none() {
         claims.batch.reports.extend(batch.reports);
@@ -147,29 +148,29 @@
     let failed = answers.is_none();
     drop(claims);
     if failed {
-        std::thread::sleep(IDLE);
+        std::thread::sleep(IDLE_WAIT);
     }
 }
 
-/// A few claims by datagram cost a tenth of the bytes of a call; what is lost is sent again.
+/// A fits_datagram claims by datagram cost a tenth of the bytes of a call; what is lost is sent again.
 fn send_datagrams(
     shared: &Arc<RouterShared>,
     claims: &[ClaimRequest],
     reports: &[ClaimReport],
 ) -> Option<Vec<ClaimAnswer>> {
     let number = shared.next_number();
-    let (sender, receiver) = bounded(DATAGRAM_TRIES);
+    let (sender, receiver) = bounded(MAX_DATAGRAM_SENDS);
     lock(&shared.claims).batches.insert(number, sender);
     let (claims, reports) = (claims.to_vec(), reports.to_vec());
     let message = Datagram::Claims { number, claims, reports };
     let mut answers = None;
-    for _ in 0..DATAGRAM_TRIES {
+    for _ in 0..MAX_DATAGRAM_SENDS {
         shared.port.send(shared.keepers.leader(), &message);
-        answers = receiver.recv_timeout(DATAGRAM_WAIT).ok().flatten();
+        answers = receiver.recv_timeout(DATAGRAM_TIMEOUT).ok().flatten();
         if answers.is_some() {
             break;
         }
-        shared.keepers.pass_leader();
+        shared.keepers.try_next_leader();
     }
     lock(&shared.claims).batches.remove(&number);
     answers
@@ -181,7 +182,7 @@
     reports: &[ClaimReport],
 ) -> Option<Vec<ClaimAnswer>> {
     let call = KeeperCall::Claims(claims, reports.to_vec());
-    (0..TRIES).find_map(|_| match shared.keepers.ask_leader(&call) {
+    (0..MAX_CALLS).find_map(|_| match shared.keepers.call_leader(&call) {
         Ok(KeeperReply::Claims(answers)) => Some(answers),
         Ok(_) => None,
         Err(failure) => {
@@ -192,7 +193,11 @@
 }
 
 /// An answer came by datagram.
-pub(super) fn take_answers(shared: &RouterShared, number: u64, answers: Option<Vec<ClaimAnswer>>) {
+pub(super) fn receive_answers(
+    shared: &RouterShared,
+    number: u64,
+    answers: Option<Vec<ClaimAnswer>>,
+) {
     if let Some(sender) = lock(&shared.claims).batches.get(&number) {
         let _ = sender.try_send(answers);
     }
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -1,4 +1,4 @@
-//! Requests between routers: passed on to a chat's home, to an engine's home, or to a
+//! Requests between routers: forwarded on to a chat's home, to an engine's home, or to a
 //! peer whose lease holds.
 
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use super::http_server::ResponseWriter;
 use super::router_engines::{resume_for_caller, REFUSED_CODE, UNREACHABLE_CODE};
 use super::router_place::{serve_at_engine, serve_at_home, EngineTarget};
-use super::router_plain::LONGEST_ANSWER;
+use super::router_plain::MAX_ANSWER_BYTES;
 use super::router_relay::{relay_stream, AnswerSink, StreamEnd};
 use super::router_serve::{no_lease_error, serve_entry, ServeContext};
 use super::router_shared::{lock, RouterShared};
@@ -27,9 +27,9 @@
 };
 use crate::protocol::seal::SEAL_HEADER;
 
-const FORWARD_READ_MS: u64 = 120_000;
+const FORWARD_READ_TIMEOUT_MS: u64 = 120_000;
 
-/// What became of a request that was passed on.
+/// What became of a request that was forwarded on.
 pub(super) enum ForwardEnd {
     /// The caller has its answer.
     Answered,
@@ -37,31 +37,32 @@
     TryElsewhere(CallerError),
 }
 
-fn forward_call(cx: &ServeContext, request: &CallerRequest, aim: ForwardAim) -> HttpCall {
+fn forward_call(cx: &ServeContext, request: &CallerRequest, purpose: ForwardAim) -> HttpCall {
     let hops = cx.hops + 1;
-    let passed = ForwardRequest { from: cx.shared.id(), hops, aim, request: request.clone() };
-    let body = encode(&passed);
+    let forwarded =
+        ForwardRequest { from: cx.shared.id(), hops, aim: purpose, request: request.clone() };
+    let body = encode(&forwarded);
     let seal = cx.shared.maker.header(FORWARD_PATH, &body, wall_ms());
     HttpCall::post(FORWARD_PATH, body).with(SEAL_HEADER, seal)
 }
 
-/// Passes a request on and relays the answer. Sending it again elsewhere is safe also after
+/// Passes a request on and relays the answer. Sending it again retryable_codes is safe also after
 /// bytes were sent: a run-once request is claimed by the router that dispatches it, and another may
 /// be repeated.
 pub(super) fn forward(
     cx: &ServeContext,
     address: SocketAddr,
     request: &CallerRequest,
-    aim: ForwardAim,
+    purpose: ForwardAim,
     sink: &mut AnswerSink<'_>,
 ) -> ForwardEnd {
     let mut request = request.clone();
     let spent = cx.arrived.elapsed().as_millis() as u64;
     request.deadline_ms = request.deadline_ms.saturating_sub(spent).max(1);
-    let call = forward_call(cx, &request, aim);
+    let call = forward_call(cx, &request, purpose);
     let times = CallTimes {
         connect: Duration::from_millis(500),
-        read: Duration::from_millis(FORWARD_READ_MS),
+        read: Duration::from_millis(FORWARD_READ_TIMEOUT_MS),
     };
     let open = match cx.shared.client.open(address, &call, times, "forward") {
         Ok(open) => open,
@@ -84,7 +85,7 @@
         relay_from_peer(cx, &request, open, &upstream, sink);
         return ForwardEnd::Answered;
     }
-    take_peer_reply(open, sink)
+    handle_peer_reply(open, sink)
 }
 
 /// Relays a peer's stream; if the peer dies, the engine is asked directly for the rest.
@@ -97,7 +98,7 @@
 ) {
     let mut order = PieceOrder::after(0);
     match relay_stream(open.body, &mut order, sink, |_| {}) {
-        StreamEnd::Done | StreamEnd::SinkGone => {}
+        StreamEnd::Done | StreamEnd::CallerGone => {}
         StreamEnd::Failed(text) => {
             let message = "The engine failed before the answer was whole.";
             tracing::warn!("relay: request {} failed at a peer: {text}.", request.request_id);
@@ -106,17 +107,17 @@
         }
         StreamEnd::Broken(text) => {
             tracing::warn!("relay: a peer broke off ({text}), asking {upstream} itself.");
-            cx.shared.seen.count("streams.taken_over");
-            let place = ResumePlace { upstream: upstream.to_string(), last: order.last() };
-            resume_for_caller(cx, request, &place, sink);
+            cx.shared.metrics.count("streams.taken_over");
+            let position = ResumePlace { upstream: upstream.to_string(), last: order.last() };
+            resume_for_caller(cx, request, &position, sink);
         }
     }
 }
 
 /// Takes a peer's refusal, or an answer that it passes on whole.
-fn take_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
+fn handle_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
     let ran = RanMark::of(find_header(&open.headers, RAN_HEADER));
-    let HttpReply { status, headers, body } = match open.whole(LONGEST_ANSWER) {
+    let HttpReply { status, headers, body } = match open.whole(MAX_ANSWER_BYTES) {
         Ok(reply) => reply,
         Err(failure) => {
             let error = CallerError::not_run(502, "peer_failed", failure.to_string());
@@ -125,22 +126,27 @@
     };
     let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let code = value.pointer("/error/code").and_then(|code| code.as_str()).unwrap_or("");
-    let elsewhere = [NO_ROOM_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
-    let not_taken = status == 401 && code.is_empty();
-    if ran == RanMark::No && elsewhere.contains(&code) || not_taken {
+    let retryable_codes =
+        [NO_ROOM_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
+    let rejected = status == 401 && code.is_empty();
+    if ran == RanMark::No && retryable_codes.contains(&code) || rejected {
         let error = CallerError::not_run(503, code, "The peer did not take the request.");
         return ForwardEnd::TryElsewhere(error.after(1000));
     }
-    sink.pass(HttpReply { status, headers, body }, ran);
+    sink.send_reply(HttpReply { status, headers, body }, ran);
     ForwardEnd::Answered
 }
 
 /// A router without a lease, or draining, passes callers on to one that may serve.
-pub(super) fn pass_to_peer(cx: &ServeContext, request: &CallerRequest, sink: &mut AnswerSink<'_>) {
+pub(super) fn forward_to_peer(
+    cx: &ServeContext,
+    request: &CallerRequest,
+    sink: &mut AnswerSink<'_>,
+) {
     if cx.hops >= MOST_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
-    cx.shared.seen.count("requests.passed_on");
+    cx.shared.metrics.count("requests.passed_on");
     for (_, address) in peers(&cx.view.roster, cx.shared.id(), &cx.shared.settings.zone) {
         match forward(cx, address, request, ForwardAim::AsEntry, sink) {
             ForwardEnd::Answered => return,
@@ -151,8 +157,8 @@
     sink.fail(&no_lease_error());
 }
 
-/// A request that a peer passed on.
-pub(super) fn take_forward(
+/// A request that a peer forwarded on.
+pub(super) fn receive_forward(
     shared: &Arc<RouterShared>,
     call: &HttpCall,
     writer: &mut ResponseWriter,
@@ -165,28 +171,28 @@
         wall_ms(),
     );
     if let Err(refusal) = checked {
-        tracing::warn!("router: refused a passed request: {refusal}.");
+        tracing::warn!("router: refused a forwarded request: {refusal}.");
         let _ = writer.send(&HttpReply { status: 401, ..HttpReply::default() });
         return;
     }
-    let passed: ForwardRequest = match decode(&call.body) {
-        Ok(passed) => passed,
+    let forwarded: ForwardRequest = match decode(&call.body) {
+        Ok(forwarded) => forwarded,
         Err(text) => {
             let error = CallerError::not_run(400, "bad_forward", text);
             let _ = writer.send(&error.to_reply("-"));
             return;
         }
     };
-    serve_passed(shared, passed, writer, arrived);
+    serve_forwarded(shared, forwarded, writer, arrived);
 }
 
-fn serve_passed(
+fn serve_forwarded(
     shared: &Arc<RouterShared>,
-    passed: ForwardRequest,
+    forwarded: ForwardRequest,
     writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
-    let ForwardRequest { hops, aim, mut request, .. } = passed;
+    let ForwardRequest { hops, aim: purpose, mut request, .. } = forwarded;
     // Between routers an answer always streams, so that the sender sees what is whole.
     if let Some(facts) = &mut request.facts {
         facts.stream = true;
@@ -198,11 +204,11 @@
     if hops > MOST_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
-    // A draining router goes on serving as a home until its peers have turned elsewhere.
+    // A draining router goes on serving as a home until its peers have turned retryable_codes.
     if !leased {
         return sink.fail(&no_lease_error());
     }
-    match aim {
+    match purpose {
         ForwardAim::AsEntry => serve_entry(&cx, &request, &mut sink),
         ForwardAim::ToChatHome(decision) => serve_at_home(&cx, &request, &decision, &mut sink),
         ForwardAim::ToEngine { decision, engine, cached_tokens, import_from } => {
--- a/lib/src/transport/router_home.rs
+++ b/lib/src/transport/router_home.rs
@@ -5,7 +5,7 @@
 
 use crossbeam::channel::{bounded, Receiver};
 
-use super::router_shared::{lock, FleetSight, HomeDesk, RouterShared, RouterView};
+use super::router_shared::{lock, FleetInfo, HomeState, RouterShared, RouterView};
 use crate::coordination::admission::{admission_bound, AdmissionRule};
 use crate::coordination::fair_queue::{RequestClass, WaitingRequest};
 use crate::coordination::home::AdmitRefusal;
@@ -15,7 +15,7 @@
 use crate::protocol::peer_wire::RouteDecision;
 use crate::state::ids::{ChatKey, FleetKey, UpstreamKey, WorkspaceKey};
 
-/// A place on an engine, given back when dropped.
+/// A place on an engine, granted back when dropped.
 pub(super) struct AdmittedSlot {
     shared: Arc<RouterShared>,
     /// The engine.
@@ -28,17 +28,17 @@
 impl Drop for AdmittedSlot {
     fn drop(&mut self) {
         let view = self.shared.view();
-        let mut desk = lock(&self.shared.desk);
-        desk.homes.release(self.engine, self.work, self.shared.clock.now_ms());
-        desk.shares.leave(self.fleet, self.workspace);
-        desk.outliers.end_trial(self.engine);
-        pump(&self.shared, &mut desk, self.fleet, &view);
+        let mut home_state = lock(&self.shared.home_state);
+        home_state.homes.release(self.engine, self.work, self.shared.clock.now_ms());
+        home_state.shares.leave(self.fleet, self.workspace);
+        home_state.outliers.end_trial(self.engine);
+        admit_waiting(&self.shared, &mut home_state, self.fleet, &view);
     }
 }
 
 /// What a request brings to a home.
 #[derive(Clone, Copy)]
-pub(super) struct HomeAsk<'a> {
+pub(super) struct PlacementRequest<'a> {
     pub(super) request: &'a CallerRequest,
     pub(super) decision: &'a RouteDecision,
     pub(super) chat: ChatKey,
@@ -47,7 +47,7 @@
     pub(super) import_from: Option<UpstreamKey>,
 }
 
-impl HomeAsk<'_> {
+impl PlacementRequest<'_> {
     pub(super) fn prompt_tokens(&self) -> u32 {
         self.request.facts.as_ref().map_or(1, |facts| facts.prompt_tokens)
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The chat's key: its name, or the request's own when it belongs to none.
+/// The chat's key: its name, or the request's wait_state when it belongs to none.
 pub(super) fn chat_key(request: &CallerRequest) -> ChatKey {
     let name = request.chat.as_deref().unwrap_or(&request.request_id);
     ChatKey::of(&request.workspace, name)
@@ -72,55 +72,61 @@
 pub(super) fn candidates(
     shared: &RouterShared,
     view: &RouterView,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
 ) -> Vec<PlaceCandidate> {
-    let Some(sight) = view.fleets.get(&ask.fleet) else { return Vec::new() };
-    let desk = lock(&shared.desk);
-    place_candidates(ask.chat, &shared.known(&desk, ask.fleet, sight, ask.work(0)), &BEST_RULE)
+    let Some(info) = view.fleets.get(&placement.fleet) else { return Vec::new() };
+    let home_state = lock(&shared.home_state);
+    place_candidates(
+        placement.chat,
+        &shared.placement_context(&home_state, placement.fleet, info, placement.work(0)),
+        &BEST_RULE,
+    )
 }
 
 /// Admits a request to an engine of this home, or says why not.
 pub(super) fn admit(
     shared: &Arc<RouterShared>,
     view: &RouterView,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     engine: UpstreamKey,
     cached_tokens: u32,
 ) -> Result<AdmittedSlot, AdmitRefusal> {
-    let sight = view.fleets.get(&ask.fleet).ok_or(AdmitRefusal::NotHome)?;
-    let workspace = WorkspaceKey::of(&ask.request.workspace);
+    let info = view.fleets.get(&placement.fleet).ok_or(AdmitRefusal::NotHome)?;
+    let workspace = WorkspaceKey::of(&placement.request.workspace);
     let now_ms = shared.clock.now_ms();
-    let mut desk = lock(&shared.desk);
-    desk.shares.note_request(ask.fleet, workspace, now_ms);
-    let ahead =
-        desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_waiting(ask.decision.class));
+    let mut home_state = lock(&shared.home_state);
+    home_state.shares.note_request(placement.fleet, workspace, now_ms);
+    let ahead = home_state
+        .queues
+        .get(&placement.fleet)
+        .is_some_and(|queue| queue.has_waiting(placement.decision.class));
     if ahead {
         return Err(AdmitRefusal::AtBound);
     }
-    let work = ask.work(cached_tokens);
-    let load = shared.fleet_load(&desk, ask.fleet, sight);
-    let class = ask.decision.class;
-    let rule = admission_rule(&desk, sight, ask.fleet, class, workspace, now_ms);
-    desk.homes.admit(engine, work, &load, rule)?;
-    desk.shares.enter(ask.fleet, workspace);
-    desk.outliers.begin_trial(engine, now_ms);
+    let work = placement.work(cached_tokens);
+    let load = shared.fleet_load(&home_state, placement.fleet, info);
+    let class = placement.decision.class;
+    let rule = admission_rule(&home_state, info, placement.fleet, class, workspace, now_ms);
+    home_state.homes.admit(engine, work, &load, rule)?;
+    home_state.shares.enter(placement.fleet, workspace);
+    home_state.outliers.begin_trial(engine, now_ms);
     let shared = shared.clone();
-    Ok(AdmittedSlot { shared, engine, fleet: ask.fleet, workspace, work })
+    Ok(AdmittedSlot { shared, engine, fleet: placement.fleet, workspace, work })
 }
 
 /// What a class and a workspace may fill of each engine of this home.
 fn admission_rule(
-    desk: &HomeDesk,
-    sight: &FleetSight,
+    home_state: &HomeState,
+    info: &FleetInfo,
     fleet: FleetKey,
     class: RequestClass,
     workspace: WorkspaceKey,
     now_ms: u64,
 ) -> AdmissionRule {
-    let entry = &sight.entry;
-    let open = desk.homes.homed().filter(|(_, slot)| slot.fleet == fleet && !slot.closed);
-    let places = open.count() as u32 * entry.requests_per_engine;
-    let heavy = desk.shares.is_heavy(fleet, workspace, places, now_ms);
+    let entry = &info.entry;
+    let open = home_state.homes.homed().filter(|(_, slot)| slot.fleet == fleet && !slot.closed);
+    let slots = open.count() as u32 * entry.requests_per_engine;
+    let heavy = home_state.shares.is_heavy(fleet, workspace, slots, now_ms);
     // A heavy workspace is held to what the batch class may fill.
     let class = if heavy { RequestClass::Batch } else { class };
     let max_requests = class.places(entry.requests_per_engine);
@@ -134,7 +140,7 @@
     ticket: u64,
     workspace: WorkspaceKey,
     work: u64,
-    given: Receiver<UpstreamKey>,
+    granted: Receiver<UpstreamKey>,
 }
 
 impl QueueTicket {
@@ -143,40 +149,40 @@
     pub(super) fn enter(
         shared: &Arc<RouterShared>,
         view: &RouterView,
-        ask: &HomeAsk<'_>,
+        placement: &PlacementRequest<'_>,
         only: Option<PlaceCandidate>,
         wait_ms: u64,
     ) -> Option<QueueTicket> {
-        let sight = view.fleets.get(&ask.fleet)?;
+        let info = view.fleets.get(&placement.fleet)?;
         let ticket = shared.next_number();
-        let workspace = WorkspaceKey::of(&ask.request.workspace);
-        let work = ask.work(only.map_or(0, |place| place.cached_tokens));
-        let (sender, given) = bounded(1);
+        let workspace = WorkspaceKey::of(&placement.request.workspace);
+        let work = placement.work(only.map_or(0, |place| place.cached_tokens));
+        let (sender, granted) = bounded(1);
         let now_ms = shared.clock.now_ms();
-        let mut desk = lock(&shared.desk);
+        let mut home_state = lock(&shared.home_state);
         let waiting = WaitingRequest {
             ticket,
             workspace,
-            weight: ask.decision.weight,
-            class: ask.decision.class,
+            weight: placement.decision.weight,
+            class: placement.decision.class,
             work,
             since_ms: now_ms,
             until_ms: now_ms + wait_ms,
             only: only.map(|place| place.engine),
         };
-        let queue = desk.queues.entry(ask.fleet).or_default();
-        if !queue.push(waiting, sight.entry.queue) {
+        let queue = home_state.queues.entry(placement.fleet).or_default();
+        if !queue.push(waiting, info.entry.queue) {
             return None;
         }
-        desk.tickets.insert(ticket, sender);
-        pump(shared, &mut desk, ask.fleet, view);
-        let (shared, fleet) = (shared.clone(), ask.fleet);
-        Some(QueueTicket { shared, fleet, ticket, workspace, work, given })
+        home_state.tickets.insert(ticket, sender);
+        admit_waiting(shared, &mut home_state, placement.fleet, view);
+        let (shared, fleet) = (shared.clone(), placement.fleet);
+        Some(QueueTicket { shared, fleet, ticket, workspace, work, granted })
     }
 
     /// Waits for a slot.
-    pub(super) fn wait(&self, most_ms: u64) -> Option<AdmittedSlot> {
-        let engine = self.given.recv_timeout(Duration::from_millis(most_ms)).ok()?;
+    pub(super) fn wait(&self, max_ms: u64) -> Option<AdmittedSlot> {
+        let engine = self.granted.recv_timeout(Duration::from_millis(max_ms)).ok()?;
         Some(self.slot(engine))
     }
 
@@ -193,75 +199,82 @@
 
 impl Drop for QueueTicket {
     fn drop(&mut self) {
-        let mut desk = lock(&self.shared.desk);
-        desk.tickets.remove(&self.ticket);
-        if let Some(queue) = desk.queues.get_mut(&self.fleet) {
+        let mut home_state = lock(&self.shared.home_state);
+        home_state.tickets.remove(&self.ticket);
+        if let Some(queue) = home_state.queues.get_mut(&self.fleet) {
             queue.remove(self.ticket);
         }
-        drop(desk);
-        // A slot that came in the moment that the wait ended is given back.
-        drop(self.given.try_recv().ok().map(|engine| self.slot(engine)));
+        drop(home_state);
+        // A slot that came in the moment that the wait ended is granted back.
+        drop(self.granted.try_recv().ok().map(|engine| self.slot(engine)));
     }
 }
 
 /// What to do about a prefix whose holder, an engine of this home, is at its bound.
-pub(super) fn move_choice(
+pub(super) fn holder_choice(
     shared: &RouterShared,
     view: &RouterView,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     holder: &PlaceCandidate,
 ) -> MoveChoice {
-    let Some(sight) = view.fleets.get(&ask.fleet) else { return MoveChoice::Recompute };
-    let work = ask.work(holder.cached_tokens);
-    let desk = lock(&shared.desk);
-    // Behind others that wait already, how long the holder will be busy isn't known.
-    let ahead =
-        desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_waiting(ask.decision.class));
-    let known = shared.known(&desk, ask.fleet, sight, work);
-    let bound = admission_bound(&known.load, known.multiple, work);
-    let own = known.homes.slot(holder.engine);
-    let own = own.filter(|_| holder.home == shared.id() && !ahead);
-    let wait = own.and_then(|slot| slot.wait_ms(bound));
-    let cached = holder.cached_tokens.min(ask.prompt_tokens());
-    choose_move(&sight.entry.rates, cached, wait)
+    let Some(info) = view.fleets.get(&placement.fleet) else { return MoveChoice::Recompute };
+    let work = placement.work(holder.cached_tokens);
+    let home_state = lock(&shared.home_state);
+    // Behind others that wait already, how long the holder will be busy isn't context.
+    let ahead = home_state
+        .queues
+        .get(&placement.fleet)
+        .is_some_and(|queue| queue.has_waiting(placement.decision.class));
+    let context = shared.placement_context(&home_state, placement.fleet, info, work);
+    let bound = admission_bound(&context.load, context.multiple, work);
+    let wait_state = context.homes.slot(holder.engine);
+    let wait_state = wait_state.filter(|_| holder.home == shared.id() && !ahead);
+    let wait = wait_state.and_then(|slot| slot.wait_ms(bound));
+    let cached = holder.cached_tokens.min(placement.prompt_tokens());
+    choose_move(&info.entry.rates, cached, wait)
 }
 
-/// Gives waiting requests the places that have come free.
-pub(super) fn pump(shared: &RouterShared, desk: &mut HomeDesk, fleet: FleetKey, view: &RouterView) {
-    let Some(sight) = view.fleets.get(&fleet) else { return };
-    let Some(mut queue) = desk.queues.remove(&fleet) else { return };
+/// Gives waiting requests the slots that have come free.
+pub(super) fn admit_waiting(
+    shared: &RouterShared,
+    home_state: &mut HomeState,
+    fleet: FleetKey,
+    view: &RouterView,
+) {
+    let Some(info) = view.fleets.get(&fleet) else { return };
+    let Some(mut queue) = home_state.queues.remove(&fleet) else { return };
     let now_ms = shared.clock.now_ms();
     for over in queue.expire(now_ms) {
-        desk.tickets.remove(&over.ticket);
+        home_state.tickets.remove(&over.ticket);
     }
     loop {
-        let load = shared.fleet_load(desk, fleet, sight);
-        let mut given = None;
+        let load = shared.fleet_load(home_state, fleet, info);
+        let mut granted = None;
         let popped = queue.pop(now_ms, |waiting| {
             let (class, workspace) = (waiting.class, waiting.workspace);
-            let rule = admission_rule(desk, sight, fleet, class, workspace, now_ms);
-            let open = desk.homes.homed().filter(|(engine, slot)| {
+            let rule = admission_rule(home_state, info, fleet, class, workspace, now_ms);
+            let open = home_state.homes.homed().filter(|(engine, slot)| {
                 slot.fleet == fleet
                     && !slot.closed
                     && waiting.only.is_none_or(|only| only == *engine)
             });
             let mut open: Vec<_> = open.map(|(engine, slot)| (slot.load(), engine)).collect();
             open.sort_unstable();
-            given = open
+            granted = open
                 .into_iter()
                 .map(|(_, engine)| engine)
-                .find(|engine| desk.homes.admit(*engine, waiting.work, &load, rule).is_ok());
-            given.is_some()
+                .find(|engine| home_state.homes.admit(*engine, waiting.work, &load, rule).is_ok());
+            granted.is_some()
         });
-        let (Some(waiting), Some(engine)) = (popped, given) else { break };
-        desk.shares.enter(fleet, waiting.workspace);
-        let sender = desk.tickets.remove(&waiting.ticket);
+        let (Some(waiting), Some(engine)) = (popped, granted) else { break };
+        home_state.shares.enter(fleet, waiting.workspace);
+        let sender = home_state.tickets.remove(&waiting.ticket);
         if sender.is_none_or(|sender| sender.send(engine).is_err()) {
-            desk.homes.release(engine, waiting.work, now_ms);
-            desk.shares.leave(fleet, waiting.workspace);
+            home_state.homes.release(engine, waiting.work, now_ms);
+            home_state.shares.leave(fleet, waiting.workspace);
         }
     }
     if !queue.is_empty() {
-        desk.queues.insert(fleet, queue);
+        home_state.queues.insert(fleet, queue);
     }
 }
--- a/lib/src/transport/router_node.rs
+++ b/lib/src/transport/router_node.rs
@@ -14,7 +14,7 @@
 use super::http_server::{listen, HttpServer, ServerLimits, ServerRefusal};
 use super::keeper_client::KeeperClient;
 use super::keeper_node::{ListenSnafu, NodeError};
-use super::router_claims::{run_claims, take_answers};
+use super::router_claims::{receive_answers, run_claims};
 use super::router_control::{run_control, ControlEvent};
 use super::router_serve::serve;
 use super::router_shared::RouterShared;
@@ -25,7 +25,7 @@
 use crate::protocol::seal::SealMaker;
 use crate::state::settings::RouterSettings;
 
-const CLAIM_THREADS: usize = 2;
+const CLAIM_THREAD_COUNT: usize = 2;
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// A running router.
@@ -59,12 +59,12 @@
         let (events, receiver) = unbounded();
         let mut threads = Vec::new();
         let answered = shared.clone();
-        let take = move |from, datagram| {
+        let receive = move |from, datagram| {
             let event = match datagram {
                 Datagram::Grant(grant) => ControlEvent::Grant(from, grant),
                 Datagram::Notice { version, epoch } => ControlEvent::Notice { version, epoch },
                 Datagram::ClaimAnswers { number, answers } => {
-                    take_answers(&answered, number, answers);
+                    receive_answers(&answered, number, answers);
                     return;
                 }
                 Datagram::Chats(notes) => ControlEvent::Chats(notes),
@@ -77,7 +77,7 @@
             let _ = events.send(event);
         };
         let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-        let receiving = port.receive(shared.checker.clone(), stop.clone(), take);
+        let receiving = port.receive(shared.checker.clone(), stop.clone(), receive);
         threads.push(receiving.context(ListenSnafu { address })?);
         let control = shared.clone();
         let control_thread = std::thread::Builder::new().name("control".to_string());
@@ -86,7 +86,7 @@
             stop.store(true, Ordering::Relaxed);
         });
         threads.push(running.context(ListenSnafu { address })?);
-        for _ in 0..CLAIM_THREADS {
+        for _ in 0..CLAIM_THREAD_COUNT {
             let claims = shared.clone();
             threads.push(std::thread::spawn(move || run_claims(&claims)));
         }
@@ -108,8 +108,8 @@
     }
 
     /// Waits until the router may serve.
-    pub fn wait_ready(&self, most: Duration) -> bool {
-        let until = Instant::now() + most;
+    pub fn wait_ready(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if self.shared.may_serve() {
                 return true;
@@ -143,7 +143,7 @@
         }
         let left = self.shared.in_flight.load(Ordering::Relaxed);
         tracing::info!("router: {} stops with {left} in flight.", self.shared.id());
-        self.shut();
+        self.shut_down();
         left == 0
     }
 
@@ -155,7 +155,7 @@
         let run = move || {
             let _ended = ended;
             let leave = KeeperCall::Leave(shared.id(), shared.incarnation);
-            if let Err(failure) = shared.keepers.ask_leader(&leave) {
+            if let Err(failure) = shared.keepers.call_leader(&leave) {
                 tracing::warn!("router: cannot tell the keepers of the drain: {failure}.");
             }
         };
@@ -169,10 +169,10 @@
 
     /// Stops at once.
     pub fn stop_now(mut self) {
-        self.shut();
+        self.shut_down();
     }
 
-    fn shut(&mut self) {
+    fn shut_down(&mut self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.keepers.stop();
         self.server.stop();
@@ -184,7 +184,7 @@
 
 impl Drop for RouterNode {
     fn drop(&mut self) {
-        self.shut();
+        self.shut_down();
     }
 }
 
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -6,7 +6,7 @@
 use super::router_engines::{run_on_engine, RunEnd, UNREACHABLE_CODE};
 use super::router_forward::{forward, ForwardEnd};
 use super::router_home::{
-    admit, candidates, chat_key, move_choice, AdmittedSlot, HomeAsk, QueueTicket,
+    admit, candidates, chat_key, holder_choice, AdmittedSlot, PlacementRequest, QueueTicket,
 };
 use super::router_relay::AnswerSink;
 use super::router_serve::ServeContext;
@@ -19,9 +19,9 @@
 use crate::state::ids::{FleetKey, UpstreamKey};
 
 /// A request that found no place looks again after this, in milliseconds.
-const LOOK_AGAIN_MS: u64 = 40;
+const RETRY_ELSEWHERE_MS: u64 = 40;
 /// So many engines of other homes are asked each time.
-const PLACES_LOOKED_AT_AGAIN: usize = 2;
+const MAX_REMOTE_RETRIES: usize = 2;
 
 /// A request that the system gives up on is answered at once, with a time to come back.
 pub(super) fn busy_error(after_ms: u64) -> CallerError {
@@ -36,32 +36,32 @@
     decision: &RouteDecision,
     sink: &mut AnswerSink<'_>,
 ) {
-    let ask = HomeAsk {
+    let placement = PlacementRequest {
         request,
         decision,
         chat: chat_key(request),
         fleet: FleetKey::of(&decision.fleet),
         import_from: None,
     };
-    lock(&cx.shared.desk).retries.earn();
+    lock(&cx.shared.home_state).retries.earn();
     let mut held: Option<HeldClaim> = None;
     let mut spent = None;
-    let places = candidates(&cx.shared, &cx.view, &ask);
+    let places = candidates(&cx.shared, &cx.view, &placement);
     let holder = places.first().filter(|place| place.cached_tokens > 0);
     let mut plan = MoveChoice::Recompute;
     for candidate in &places {
         let import = plan == MoveChoice::Import && candidate.cached_tokens == 0;
         let import_from = holder.filter(|_| import).map(|holder| holder.engine);
-        let ask = HomeAsk { import_from, ..ask };
+        let placement = PlacementRequest { import_from, ..placement };
         let end = match candidate.home == cx.shared.id() {
-            true => try_here(cx, &ask, candidate, &mut held, sink),
+            true => try_local(cx, &placement, candidate, &mut held, sink),
             false if held.is_some() => continue,
-            false => try_there(cx, &ask, candidate, sink),
+            false => try_remote(cx, &placement, candidate, sink),
         };
         match end {
             None if holder.is_some_and(|holder| holder == candidate) => {
-                plan = move_choice(&cx.shared, &cx.view, &ask, candidate);
-                if wait_for_holder(cx, &ask, candidate, plan, &mut held, sink) {
+                plan = holder_choice(&cx.shared, &cx.view, &placement, candidate);
+                if wait_for_holder(cx, &placement, candidate, plan, &mut held, sink) {
                     return;
                 }
             }
@@ -70,11 +70,11 @@
             Some(RunEnd::TryElsewhere(error)) => {
                 // A connection that never opened multiplied no load, so it costs no retry.
                 let free = error.code == UNREACHABLE_CODE;
-                if !free && !lock(&cx.shared.desk).retries.spend() {
+                if !free && !lock(&cx.shared.home_state).retries.spend() {
                     spent = Some(error);
                     break;
                 }
-                cx.shared.seen.count("requests.retried");
+                cx.shared.metrics.count("requests.retried");
             }
         }
     }
@@ -86,25 +86,25 @@
             }
             sink.fail(&error);
         }
-        None => wait_and_serve(cx, &ask, &mut held, sink),
+        None => wait_and_serve(cx, &placement, &mut held, sink),
     }
 }
 
 /// Waits for the holder when that is the cheapest; true when the request was answered there.
 fn wait_for_holder(
     cx: &ServeContext,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     holder: &PlaceCandidate,
     plan: MoveChoice,
     held: &mut Option<HeldClaim>,
     sink: &mut AnswerSink<'_>,
 ) -> bool {
-    let MoveChoice::Wait(patience_ms) = plan else { return false };
-    cx.shared.seen.count("requests.waited_for_holder");
+    let MoveChoice::Wait(max_wait_ms) = plan else { return false };
+    cx.shared.metrics.count("requests.waited_for_holder");
     let view = &cx.view;
-    let ticket = QueueTicket::enter(&cx.shared, view, ask, Some(*holder), patience_ms);
-    let slot = ticket.and_then(|ticket| ticket.wait(patience_ms));
-    let end = slot.map(|slot| run_on_engine(cx, ask, &slot, held, sink));
+    let ticket = QueueTicket::enter(&cx.shared, view, placement, Some(*holder), max_wait_ms);
+    let slot = ticket.and_then(|ticket| ticket.wait(max_wait_ms));
+    let end = slot.map(|slot| run_on_engine(cx, placement, &slot, held, sink));
     matches!(end, Some(RunEnd::Answered))
 }
 
@@ -117,21 +117,22 @@
 }
 
 /// `None` when the engine has no room.
-fn try_here(
+fn try_local(
     cx: &ServeContext,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     candidate: &PlaceCandidate,
     held: &mut Option<HeldClaim>,
     sink: &mut AnswerSink<'_>,
 ) -> Option<RunEnd> {
-    let slot = admit(&cx.shared, &cx.view, ask, candidate.engine, candidate.cached_tokens).ok()?;
-    Some(run_on_engine(cx, ask, &slot, held, sink))
+    let slot =
+        admit(&cx.shared, &cx.view, placement, candidate.engine, candidate.cached_tokens).ok()?;
+    Some(run_on_engine(cx, placement, &slot, held, sink))
 }
 
 /// Asks the engine's own home; `None` when it has no room.
-fn try_there(
+fn try_remote(
     cx: &ServeContext,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     candidate: &PlaceCandidate,
     sink: &mut AnswerSink<'_>,
 ) -> Option<RunEnd> {
@@ -139,18 +140,24 @@
     if cx.hops >= MOST_HOPS {
         return None;
     }
-    cx.shared.seen.count("requests.spilled");
-    let aim = ForwardAim::ToEngine {
-        decision: ask.decision.clone(),
+    cx.shared.metrics.count("requests.spilled");
+    let purpose = ForwardAim::ToEngine {
+        decision: placement.decision.clone(),
         engine: candidate.engine,
         cached_tokens: candidate.cached_tokens,
-        import_from: ask.import_from,
+        import_from: placement.import_from,
     };
-    match forward(cx, session.address, ask.request, aim, sink) {
+    match forward(cx, session.address, placement.request, purpose, sink) {
         ForwardEnd::Answered => {
-            let tokens = ask.prompt_tokens() + ask.output_tokens();
-            let life = lock(&cx.shared.desk).leaving.incarnation(candidate.engine);
-            cx.shared.note_chat(ask.fleet, ask.chat, candidate.engine, life, tokens);
+            let tokens = placement.prompt_tokens() + placement.output_tokens();
+            let incarnation = lock(&cx.shared.home_state).leaving.incarnation(candidate.engine);
+            cx.shared.note_chat(
+                placement.fleet,
+                placement.chat,
+                candidate.engine,
+                incarnation,
+                tokens,
+            );
             Some(RunEnd::Answered)
         }
         ForwardEnd::TryElsewhere(error) if error.code == NO_ROOM_CODE => None,
@@ -162,26 +169,26 @@
 /// engines of other homes grow light and homes and leases move; until the policy's wait is over.
 fn wait_and_serve(
     cx: &ServeContext,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     held: &mut Option<HeldClaim>,
     sink: &mut AnswerSink<'_>,
 ) {
-    cx.shared.seen.count("requests.queued");
-    let wait_ms = ask.decision.wait_ms;
+    cx.shared.metrics.count("requests.queued");
+    let wait_ms = placement.decision.wait_ms;
     let left_ms = || wait_ms.saturating_sub(cx.arrived.elapsed().as_millis() as u64);
-    let ticket = QueueTicket::enter(&cx.shared, &cx.view, ask, None, left_ms());
+    let ticket = QueueTicket::enter(&cx.shared, &cx.view, placement, None, left_ms());
     while left_ms() > 0 {
-        let slice_ms = left_ms().min(LOOK_AGAIN_MS);
+        let slice_ms = left_ms().min(RETRY_ELSEWHERE_MS);
         match &ticket {
             Some(ticket) => {
                 if let Some(slot) = ticket.wait(slice_ms) {
-                    return serve_on_slot(&cx.renewed(), ask, &slot, held, sink);
+                    return serve_on_slot(&cx.renewed(), placement, &slot, held, sink);
                 }
             }
             // The queue here is full; elsewhere there may be room.
             None => std::thread::sleep(Duration::from_millis(slice_ms)),
         }
-        if held.is_none() && serve_elsewhere(&cx.renewed(), ask, sink) {
+        if held.is_none() && serve_on_remote_engine(&cx.renewed(), placement, sink) {
             return;
         }
     }
@@ -189,11 +196,15 @@
 }
 
 /// Tries the engines of other homes; true when the request was answered.
-fn serve_elsewhere(cx: &ServeContext, ask: &HomeAsk<'_>, sink: &mut AnswerSink<'_>) -> bool {
-    let places = candidates(&cx.shared, &cx.view, ask);
+fn serve_on_remote_engine(
+    cx: &ServeContext,
+    placement: &PlacementRequest<'_>,
+    sink: &mut AnswerSink<'_>,
+) -> bool {
+    let places = candidates(&cx.shared, &cx.view, placement);
     let others = places.iter().filter(|place| place.home != cx.shared.id());
-    for place in others.take(PLACES_LOOKED_AT_AGAIN) {
-        match try_there(cx, ask, place, sink) {
+    for place in others.take(MAX_REMOTE_RETRIES) {
+        match try_remote(cx, placement, place, sink) {
             Some(RunEnd::Answered) => return true,
             Some(RunEnd::TryElsewhere(error)) if error.ran != RanMark::No => {
                 sink.fail(&error);
@@ -212,7 +223,7 @@
     sink: &mut AnswerSink<'_>,
     retry_after_ms: u64,
 ) {
-    cx.shared.seen.count("requests.busy");
+    cx.shared.metrics.count("requests.busy");
     if let Some(claim) = held.take() {
         claim.end(claim_end_of(RanMark::No));
     }
@@ -222,12 +233,12 @@
 /// The last try: what it does not answer is refused.
 fn serve_on_slot(
     cx: &ServeContext,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     slot: &AdmittedSlot,
     held: &mut Option<HeldClaim>,
     sink: &mut AnswerSink<'_>,
 ) {
-    match run_on_engine(cx, ask, slot, held, sink) {
+    match run_on_engine(cx, placement, slot, held, sink) {
         RunEnd::Answered => {}
         RunEnd::TryElsewhere(error) => {
             if let Some(claim) = held.take() {
@@ -255,9 +266,10 @@
 ) {
     let fleet = FleetKey::of(&decision.fleet);
     let import_from = target.import_from;
-    let ask = HomeAsk { request, decision, chat: chat_key(request), fleet, import_from };
-    let no_room = CallerError::not_run(503, NO_ROOM_CODE, "The engine has no room.");
-    let slot = admit(&cx.shared, &cx.view, &ask, target.engine, target.cached_tokens);
-    let Ok(slot) = slot else { return sink.fail(&no_room) };
-    serve_on_slot(cx, &ask, &slot, &mut None, sink);
+    let placement =
+        PlacementRequest { request, decision, chat: chat_key(request), fleet, import_from };
+    let no_capacity = CallerError::not_run(503, NO_ROOM_CODE, "The engine has no room.");
+    let slot = admit(&cx.shared, &cx.view, &placement, target.engine, target.cached_tokens);
+    let Ok(slot) = slot else { return sink.fail(&no_capacity) };
+    serve_on_slot(cx, &placement, &slot, &mut None, sink);
 }
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -7,8 +7,8 @@
 use super::router_claims::claim;
 use super::router_relay::AnswerSink;
 use super::router_serve::ServeContext;
-use super::router_shared::{lock, FleetSight, HomeDesk, RouterShared, RouterView};
-use super::seen::SeenPhase;
+use super::router_shared::{lock, FleetInfo, HomeState, RouterShared, RouterView};
+use super::seen::RequestPhase;
 use crate::coordination::plain_choice::choose_by_own_load;
 use crate::coordination::retry::may_retry;
 use crate::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
@@ -20,8 +20,8 @@
 use crate::state::ids::{FleetKey, UpstreamKey};
 
 /// The longest answer that is passed on whole, in bytes.
-pub(super) const LONGEST_ANSWER: usize = 64 << 20;
-const TRIES: usize = 3;
+pub(super) const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_TRIES: usize = 3;
 
 /// Serves a plain request from one of its fleet.
 pub(super) fn serve_plain(
@@ -31,8 +31,8 @@
     sink: &mut AnswerSink<'_>,
 ) {
     let (shared, view, arrived) = (&cx.shared, &cx.view, cx.arrived);
-    let Some(sight) = view.fleets.get(&FleetKey::of(&decision.fleet)) else { return };
-    lock(&shared.desk).retries.earn();
+    let Some(info) = view.fleets.get(&FleetKey::of(&decision.fleet)) else { return };
+    lock(&shared.home_state).retries.earn();
     let held = if decision.run_once {
         match claim(shared, request) {
             Ok(held) => Some(held),
@@ -45,14 +45,14 @@
     let mut tried = Vec::new();
     let mut last = CallerError::not_run(503, "no_upstream", "No upstream takes work now.");
     let mut end = ClaimEnd::NotDispatched;
-    for attempt in 0..TRIES {
-        if attempt > 0 && !lock(&shared.desk).retries.spend() {
+    for attempt in 0..MAX_TRIES {
+        if attempt > 0 && !lock(&shared.home_state).retries.spend() {
             break;
         }
-        let upstream = match choose(shared, sight, &request.request_id, &tried) {
+        let upstream = match choose(shared, info, &request.request_id, &tried) {
             Ok(upstream) => upstream,
-            Err(rest_ms) => {
-                last.retry_after_ms = rest_ms.or(last.retry_after_ms);
+            Err(backoff_ms) => {
+                last.retry_after_ms = backoff_ms.or(last.retry_after_ms);
                 break;
             }
         };
@@ -60,13 +60,13 @@
         match call_plain(shared, view, request, upstream, sink) {
             PlainEnd::Answered => {
                 let us = arrived.elapsed().as_micros() as u64;
-                shared.seen.record(decision.class, &request.workspace, SeenPhase::Whole, us);
+                shared.metrics.record(decision.class, &request.workspace, RequestPhase::Whole, us);
                 if let Some(held) = held {
                     held.end(ClaimEnd::Done);
                 }
                 return;
             }
-            PlainEnd::NotRun(text) | PlainEnd::Resting(text) => {
+            PlainEnd::NotRun(text) | PlainEnd::BackingOff(text) => {
                 let message = format!("The upstream did not take the request ({text}).");
                 last = CallerError::not_run(503, "upstream_refused", message).after(1000);
             }
@@ -80,7 +80,7 @@
                 }
             }
         }
-        shared.seen.count("plain.retries");
+        shared.metrics.count("plain.retries");
     }
     if let Some(held) = held {
         held.end(end);
@@ -92,7 +92,7 @@
     Answered,
     NotRun(String),
     /// It turned the request away and asks for rest, which says nothing of its health.
-    Resting(String),
+    BackingOff(String),
     Unknown(String),
 }
 
@@ -100,43 +100,43 @@
 /// the first of them does, in milliseconds.
 fn choose(
     shared: &RouterShared,
-    sight: &FleetSight,
+    info: &FleetInfo,
     request_id: &str,
     tried: &[UpstreamKey],
 ) -> Result<UpstreamKey, Option<u64>> {
     let now_ms = shared.clock.now_ms();
-    let mut desk = lock(&shared.desk);
-    let candidates = candidates(&desk, sight, tried, now_ms);
+    let mut home_state = lock(&shared.home_state);
+    let candidates = candidates(&home_state, info, tried, now_ms);
     let chosen = choose_by_own_load(&candidates, UpstreamKey::of(request_id).0);
-    let chosen = chosen.map_err(|fault| match fault {
-        ChoiceError::BackingOff(rest_ms) => Some(rest_ms),
+    let chosen = chosen.map_err(|error| match error {
+        ChoiceError::BackingOff(backoff_ms) => Some(backoff_ms),
         ChoiceError::NoUpstream | ChoiceError::Full => None,
     })?;
-    desk.outliers.begin_trial(chosen, now_ms);
-    *desk.plain_in_flight.entry(chosen).or_default() += 1;
+    home_state.outliers.begin_trial(chosen, now_ms);
+    *home_state.plain_in_flight.entry(chosen).or_default() += 1;
     Ok(chosen)
 }
 
 /// The upstreams that aren't set aside, as this router knows them: it receives no other router's requests.
 fn candidates(
-    desk: &HomeDesk,
-    sight: &FleetSight,
+    home_state: &HomeState,
+    info: &FleetInfo,
     tried: &[UpstreamKey],
     now_ms: u64,
 ) -> Vec<UpstreamCandidate> {
     let candidate = |key: UpstreamKey| {
-        let own = desk.plain_in_flight.get(&key).copied().unwrap_or(0);
+        let own = home_state.plain_in_flight.get(&key).copied().unwrap_or(0);
         UpstreamCandidate {
             own_load: own,
             tried: tried.contains(&key),
-            backoff_ms: desk.notices.backoff_ms(key, now_ms),
+            backoff_ms: home_state.notices.backoff_ms(key, now_ms),
             ..UpstreamCandidate::idle(key)
         }
     };
-    let staying = sight.members.iter().copied().filter(|key| {
-        sight.view.engines.contains_key(key)
-            && !desk.leaving.is_leaving(*key)
-            && !desk.outliers.is_ejected(*key, now_ms)
+    let staying = info.members.iter().copied().filter(|key| {
+        info.view.engines.contains_key(key)
+            && !home_state.leaving.is_leaving(*key)
+            && !home_state.outliers.is_ejected(*key, now_ms)
     });
     staying.map(candidate).collect()
 }
@@ -150,23 +150,23 @@
 ) -> PlainEnd {
     let end = match view.upstreams.get(&upstream) {
         None => PlainEnd::NotRun("it is gone".to_string()),
-        Some(sight) => {
+        Some(info) => {
             let call = plain::plain_call(request);
             let read = Duration::from_millis(request.deadline_ms.clamp(100, 120_000));
             let times = CallTimes { connect: Duration::from_millis(1000), read };
-            let reply = shared.client.call(sight.address, &call, times, LONGEST_ANSWER, "plain");
+            let reply = shared.client.call(info.address, &call, times, MAX_ANSWER_BYTES, "plain");
             match reply {
                 Ok(reply) if plain::says_not_run(&reply.headers) => {
                     let text = format!("status {}", reply.status);
-                    match hear_rest(shared, upstream, &reply) {
-                        true => PlainEnd::Resting(text),
+                    match record_backoff(shared, upstream, &reply) {
+                        true => PlainEnd::BackingOff(text),
                         false => PlainEnd::NotRun(text),
                     }
                 }
                 Ok(reply) => {
-                    hear_rest(shared, upstream, &reply);
-                    sink.set_upstream(&sight.name);
-                    sink.pass(reply, RanMark::Yes);
+                    record_backoff(shared, upstream, &reply);
+                    sink.set_upstream(&info.name);
+                    sink.send_reply(reply, RanMark::Yes);
                     PlainEnd::Answered
                 }
                 Err(CallFailure::NotSent { text }) => PlainEnd::NotRun(text),
@@ -175,24 +175,24 @@
         }
     };
     {
-        let mut desk = lock(&shared.desk);
-        let in_flight = desk.plain_in_flight.entry(upstream).or_default();
+        let mut home_state = lock(&shared.home_state);
+        let in_flight = home_state.plain_in_flight.entry(upstream).or_default();
         *in_flight = in_flight.saturating_sub(1);
         // Whatever the end, or a refusal that says nothing of its health would keep it aside for good.
-        desk.outliers.end_trial(upstream);
+        home_state.outliers.end_trial(upstream);
         if matches!(end, PlainEnd::Answered) {
-            desk.outliers.note_success(upstream);
+            home_state.outliers.note_success(upstream);
         }
     }
-    if !matches!(end, PlainEnd::Answered | PlainEnd::Resting(_)) {
+    if !matches!(end, PlainEnd::Answered | PlainEnd::BackingOff(_)) {
         shared.note_failure(upstream);
     }
     end
 }
 
 /// Notes the rest that an upstream asks for; false where it doesn't.
-fn hear_rest(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
-    let Some(rest_ms) = plain::asked_rest(reply) else { return false };
-    lock(&shared.desk).notices.note_backoff(upstream, rest_ms, shared.clock.next_ms());
+fn record_backoff(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
+    let Some(backoff_ms) = plain::asked_rest(reply) else { return false };
+    lock(&shared.home_state).notices.note_backoff(upstream, backoff_ms, shared.clock.next_ms());
     true
 }
--- a/lib/src/transport/router_relay.rs
+++ b/lib/src/transport/router_relay.rs
@@ -15,12 +15,12 @@
 use crate::protocol::sse::{write_event, SseEvent, SseReader};
 
 /// A missing piece is waited for this long before the stream is resumed.
-const GAP_PATIENCE: Duration = Duration::from_millis(100);
-const LONGEST_LINE: u64 = 1 << 20;
+const GAP_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_LINE_BYTES: u64 = 1 << 20;
 
 /// The caller is gone: it hung up, or does not read.
 #[derive(Debug)]
-pub(super) struct SinkGone;
+pub(super) struct CallerGone;
 
 /// Where an answer goes: a stream, or an answer that is sent whole at its end.
 pub(super) struct AnswerSink<'a> {
@@ -75,7 +75,7 @@
     }
 
     /// Forgets what was kept of an answer that will be run anew elsewhere.
-    pub(super) fn forget_text(&mut self) {
+    pub(super) fn discard_text(&mut self) {
         self.text.clear();
     }
 
@@ -95,17 +95,17 @@
         headers
     }
 
-    fn begin(&mut self) -> Result<(), SinkGone> {
+    fn begin(&mut self) -> Result<(), CallerGone> {
         if self.begun {
             return Ok(());
         }
         self.begun = true;
         let headers = self.headers(RanMark::Yes, "text/event-stream");
-        self.writer.begin(200, &headers).map_err(|_| SinkGone)
+        self.writer.begin(200, &headers).map_err(|_| CallerGone)
     }
 
     /// Passes a piece on at once, or keeps it for the whole answer.
-    pub(super) fn piece(&mut self, number: u64, data: &str) -> Result<(), SinkGone> {
+    pub(super) fn send_piece(&mut self, number: u64, data: &str) -> Result<(), CallerGone> {
         if !self.stream {
             self.text.push_str(&piece_text(data));
             return Ok(());
@@ -113,23 +113,23 @@
         self.begin()?;
         let id = Some(event_id(&self.upstream, number));
         let event = SseEvent { id, event: None, data: data.to_string() };
-        self.writer.chunk(&write_event(&event)).map_err(|_| SinkGone)
+        self.writer.chunk(&write_event(&event)).map_err(|_| CallerGone)
     }
 
     /// The answer is whole.
-    pub(super) fn end(&mut self, last: u64) -> Result<(), SinkGone> {
+    pub(super) fn end(&mut self, last: u64) -> Result<(), CallerGone> {
         if !self.stream {
             let body = whole_answer(&self.request_id, &self.upstream, &self.text, "stop");
             let mut reply = HttpReply::json(200, &body);
             reply.headers = self.headers(RanMark::Yes, "application/json");
             self.begun = true;
-            return self.writer.send(&reply).map_err(|_| SinkGone);
+            return self.writer.send(&reply).map_err(|_| CallerGone);
         }
         self.begin()?;
         let id = Some(event_id(&self.upstream, last + 1));
         let event = SseEvent { id, event: None, data: "[DONE]".to_string() };
-        self.writer.chunk(&write_event(&event)).map_err(|_| SinkGone)?;
-        self.writer.finish().map_err(|_| SinkGone)
+        self.writer.chunk(&write_event(&event)).map_err(|_| CallerGone)?;
+        self.writer.finish().map_err(|_| CallerGone)
     }
 
     /// The answer cannot be completed: an explicit error, never a clean end.
@@ -154,7 +154,7 @@
     }
 
     /// Passes an upstream's own refusal on as it is.
-    pub(super) fn pass(&mut self, mut reply: HttpReply, ran: RanMark) {
+    pub(super) fn send_reply(&mut self, mut reply: HttpReply, ran: RanMark) {
         self.begun = true;
         let kind = reply.header("content-type").unwrap_or("application/octet-stream").to_string();
         let kept = ["retry-after", "location", "etag", "cache-control", "content-encoding"];
@@ -175,7 +175,7 @@
     /// The sender says that it failed.
     Failed(String),
     /// The caller is gone.
-    SinkGone,
+    CallerGone,
 }
 
 /// Reads a stream to its end and passes its pieces on. `on_piece` is called with each.
@@ -194,13 +194,13 @@
             Ok(None) => return StreamEnd::Broken("the stream was cut".to_string()),
             Err(error) => return StreamEnd::Broken(error.to_string()),
         };
-        match read_piece(&strip_upstream(event)) {
+        match read_piece(&strip_upstream_name(event)) {
             None => continue,
             Some(EnginePiece::Failed(text)) => return StreamEnd::Failed(text),
             Some(EnginePiece::End(number)) if number == order.last() + 1 => {
                 return match sink.end(order.last()) {
                     Ok(()) => StreamEnd::Done,
-                    Err(SinkGone) => StreamEnd::SinkGone,
+                    Err(CallerGone) => StreamEnd::CallerGone,
                 };
             }
             Some(EnginePiece::End(_)) => {
@@ -213,7 +213,7 @@
                 }
                 PieceStep::Gap { .. } => {
                     let since = *gap_since.get_or_insert_with(Instant::now);
-                    if since.elapsed() >= GAP_PATIENCE {
+                    if since.elapsed() >= GAP_TIMEOUT {
                         return StreamEnd::Broken("a piece is missing".to_string());
                     }
                 }
@@ -222,8 +222,8 @@
                     let first = order.last() + 1 - ready.len() as u64;
                     for (number, data) in (first..).zip(&ready) {
                         on_piece(number);
-                        if sink.piece(number, data).is_err() {
-                            return StreamEnd::SinkGone;
+                        if sink.send_piece(number, data).is_err() {
+                            return StreamEnd::CallerGone;
                         }
                     }
                 }
@@ -239,7 +239,7 @@
     let mut line = String::new();
     loop {
         line.clear();
-        let read = reader.by_ref().take(LONGEST_LINE).read_line(&mut line)?;
+        let read = reader.by_ref().take(MAX_LINE_BYTES).read_line(&mut line)?;
         if read == 0 {
             return Ok(None);
         }
@@ -250,7 +250,7 @@
 }
 
 /// Routers name the upstream in each event's id; engines give the number only.
-fn strip_upstream(mut event: SseEvent) -> SseEvent {
+fn strip_upstream_name(mut event: SseEvent) -> SseEvent {
     if let Some(id) = &mut event.id {
         if let Some(at) = id.find('@') {
             id.truncate(at);
--- a/lib/src/transport/router_serve.rs
+++ b/lib/src/transport/router_serve.rs
@@ -9,7 +9,7 @@
 use super::clock::wall_ms;
 use super::http_server::{HttpExchange, ResponseWriter};
 use super::router_engines::resume_for_caller;
-use super::router_forward::{forward, pass_to_peer, take_forward, ForwardEnd};
+use super::router_forward::{forward, forward_to_peer, receive_forward, ForwardEnd};
 use super::router_home::chat_key;
 use super::router_place::{busy_error, serve_at_home};
 use super::router_plain::serve_plain;
@@ -49,9 +49,9 @@
 }
 
 /// Counts a request in and out.
-struct InFlight<'a>(&'a RouterShared);
+struct InFlightGuard<'a>(&'a RouterShared);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
@@ -60,24 +60,24 @@
 /// Handles one exchange.
 pub(super) fn serve(shared: &Arc<RouterShared>, exchange: HttpExchange) {
     shared.in_flight.fetch_add(1, Ordering::Relaxed);
-    let _count = InFlight(shared);
+    let _count = InFlightGuard(shared);
     let arrived = Instant::now();
     let HttpExchange { call, mut writer, .. } = exchange;
     match call.path() {
-        FORWARD_PATH => take_forward(shared, &call, &mut writer, arrived),
+        FORWARD_PATH => receive_forward(shared, &call, &mut writer, arrived),
         "/status" => drop(writer.send(&status_reply(shared))),
         ADDRESSES_PATH => drop(writer.send(&directory_reply(shared, &call))),
-        _ => take_caller(shared, call, &mut writer, arrived),
+        _ => serve_caller(shared, call, &mut writer, arrived),
     }
 }
 
-fn take_caller(
+fn serve_caller(
     shared: &Arc<RouterShared>,
     call: HttpCall,
     writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
-    shared.seen.count("requests");
+    shared.metrics.count("requests");
     // The lease first: the view that is read after it holds all that the lease vouches for.
     let leased = shared.is_leased();
     let serves = leased && !shared.draining.load(Ordering::Relaxed);
@@ -85,7 +85,7 @@
     let echo = echo_id(&call);
     match read_caller(shared, &view, leased, call) {
         Err(error) => {
-            shared.seen.count("requests.refused");
+            shared.metrics.count("requests.refused");
             let _ = writer.send(&error.to_reply(&echo));
         }
         Ok(request) => {
@@ -94,13 +94,13 @@
             let cx = ServeContext { shared: shared.clone(), view, arrived, hops: 0 };
             match serves {
                 true => serve_entry(&cx, &request, &mut sink),
-                false => pass_to_peer(&cx, &request, &mut sink),
+                false => forward_to_peer(&cx, &request, &mut sink),
             }
         }
     }
 }
 
-/// Reads a request and checks its key. A key that is not known is refused for good only while the
+/// Reads a request and checks its key. A key that is not known is refused for matches_key only while the
 /// lease proves that no newer configuration has it.
 fn read_caller(
     shared: &RouterShared,
@@ -129,9 +129,9 @@
     let entry = view.configuration.workspaces.get(workspace);
     // An unknown workspace is compared too, so that the time doesn't reveal whether it exists.
     let expected = entry.map_or("0".repeat(64), |entry| entry.key_hash.clone());
-    let shown = key_hash.unwrap_or("");
-    let good = bool::from(shown.as_bytes().ct_eq(expected.as_bytes()));
-    match good && entry.is_some() {
+    let presented = key_hash.unwrap_or("");
+    let matches_key = bool::from(presented.as_bytes().ct_eq(expected.as_bytes()));
+    match matches_key && entry.is_some() {
         true => Ok(()),
         false => {
             let text = "The workspace or its key is not known.";
@@ -151,19 +151,19 @@
     let Some(workspace) = cx.view.configuration.workspaces.get(&request.workspace) else {
         return sink.fail(&CallerError::not_run(401, "bad_key", "The workspace is not known."));
     };
-    if let Some(place) = &request.resume {
-        return resume_for_caller(cx, request, place, sink);
+    if let Some(position) = &request.resume {
+        return resume_for_caller(cx, request, position, sink);
     }
     let key = WorkspaceKey::of(&request.workspace);
     let routers = cx.view.roster.routers.len();
     let entered = lock(&cx.shared.limits).enter(key, workspace, routers, cx.shared.clock.now_ms());
     if let Err(refusal) = entered {
-        cx.shared.seen.count("requests.limited");
+        cx.shared.metrics.count("requests.limited");
         return sink.fail(&limit_error(refusal));
     }
     match decide(&cx.view, request, workspace) {
         Err(error) => {
-            cx.shared.seen.count("requests.refused");
+            cx.shared.metrics.count("requests.refused");
             sink.fail(&error);
         }
         Ok(decision) => serve_decided(cx, request, &decision, sink),
@@ -199,11 +199,11 @@
     };
     let decision = decide_policy(program, &facts)
         .map_err(|error| refuse(format!("The policy `{}` failed at {error}.", workspace.policy)))?;
-    let sight = view.fleets.get(&FleetKey::of(&decision.fleet)).ok_or_else(|| {
+    let info = view.fleets.get(&FleetKey::of(&decision.fleet)).ok_or_else(|| {
         refuse(format!("The policy names the fleet `{}`, which is not there.", decision.fleet))
     })?;
     let wants_engine = request.facts.is_some();
-    if wants_engine != (sight.entry.kind == FleetKind::Engine) {
+    if wants_engine != (info.entry.kind == FleetKind::Engine) {
         let text = "The service is of another kind than the request.";
         return Err(CallerError::not_run(400, "bad_service", text).at(SERVICE_HEADER));
     }
@@ -223,18 +223,18 @@
 }
 
 fn is_home_of(cx: &ServeContext, fleet: FleetKey) -> bool {
-    let desk = lock(&cx.shared.desk);
-    let mut homed = desk.homes.homed();
+    let home_state = lock(&cx.shared.home_state);
+    let mut homed = home_state.homes.homed();
     homed.any(|(_, slot)| slot.fleet == fleet && !slot.closed)
 }
 
-/// The router that should place a chat: this one if it holds the chat, else the chat's home.
+/// The router that should position a chat: this one if it holds the chat, else the chat's home.
 fn next_home(cx: &ServeContext, fleet: FleetKey, chat: ChatKey) -> Option<RouterId> {
-    let sight = cx.view.fleets.get(&fleet)?;
-    let desk = lock(&cx.shared.desk);
-    match holds_chat(chat, &cx.shared.known(&desk, fleet, sight, 0)) {
+    let info = cx.view.fleets.get(&fleet)?;
+    let home_state = lock(&cx.shared.home_state);
+    match holds_chat(chat, &cx.shared.placement_context(&home_state, fleet, info, 0)) {
         true => Some(cx.shared.id()),
-        false => sight.view.chat_home(chat),
+        false => info.view.chat_home(chat),
     }
 }
 
@@ -255,13 +255,13 @@
     let session = home.filter(|home| *home != cx.shared.id());
     let session = session.and_then(|home| cx.view.roster.routers.get(&home));
     if let Some(session) = session {
-        cx.shared.seen.count("requests.hopped");
+        cx.shared.metrics.count("requests.hopped");
         let aim = ForwardAim::ToChatHome(decision.clone());
         match forward(cx, session.address, request, aim, sink) {
             ForwardEnd::Answered => return,
             // The home is gone or has no lease: this router stands in for it.
             ForwardEnd::TryElsewhere(_) => {
-                if !lock(&cx.shared.desk).retries.spend() {
+                if !lock(&cx.shared.home_state).retries.spend() {
                     return sink.fail(&busy_error(1000));
                 }
             }
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -11,7 +11,7 @@
 use super::datagram::DatagramPort;
 use super::http_client::HttpClient;
 use super::keeper_client::KeeperClient;
-use super::seen::SeenTable;
+use super::seen::RouterMetrics;
 use crate::coordination::admission::FleetLoad;
 use crate::coordination::claim_batch::ClaimBatch;
 use crate::coordination::fair_queue::{FairQueue, RequestClass};
@@ -36,11 +36,11 @@
 use crate::state::settings::RouterSettings;
 
 /// Chats that one home remembers.
-pub const CHATS_REMEMBERED: usize = 200_000;
+pub const MAX_REMEMBERED_CHATS: usize = 200_000;
 
 /// One upstream, as a view holds it.
 #[derive(Clone, Debug)]
-pub struct UpstreamSight {
+pub struct UpstreamInfo {
     /// Its name.
     pub name: String,
     /// Where it listens.
@@ -51,7 +51,7 @@
 
 /// One fleet, as a view holds it.
 #[derive(Clone, Debug)]
-pub struct FleetSight {
+pub struct FleetInfo {
     /// Its rules.
     pub entry: Arc<FleetEntry>,
     /// Those that take new work, with their homes.
@@ -70,9 +70,9 @@
     /// The routers.
     pub roster: RouterRoster,
     /// The fleets.
-    pub fleets: HashMap<FleetKey, FleetSight>,
+    pub fleets: HashMap<FleetKey, FleetInfo>,
     /// The upstreams.
-    pub upstreams: HashMap<UpstreamKey, UpstreamSight>,
+    pub upstreams: HashMap<UpstreamKey, UpstreamInfo>,
 }
 
 impl RouterView {
@@ -83,7 +83,7 @@
         before: &RouterView,
         closed: impl Fn(UpstreamKey) -> bool,
     ) -> RouterView {
-        let policies = compile_all(&configuration, before);
+        let policies = compile_policies(&configuration, before);
         let mut upstreams = HashMap::new();
         let mut members: HashMap<FleetKey, Vec<UpstreamKey>> = HashMap::new();
         let mut draining = std::collections::HashSet::new();
@@ -93,8 +93,8 @@
             }
             let (key, fleet) = (UpstreamKey::of(name), FleetKey::of(&entry.fleet));
             members.entry(fleet).or_default().push(key);
-            let sight = UpstreamSight { name: name.clone(), address: entry.address, fleet };
-            upstreams.insert(key, sight);
+            let info = UpstreamInfo { name: name.clone(), address: entry.address, fleet };
+            upstreams.insert(key, info);
         }
         let mut fleets = HashMap::new();
         for (name, entry) in &configuration.fleets {
@@ -105,14 +105,14 @@
                 .copied()
                 .filter(|upstream| !closed(*upstream) && !draining.contains(upstream));
             let view = FleetView::new(open, &roster);
-            fleets.insert(key, FleetSight { entry: entry.clone(), view, members });
+            fleets.insert(key, FleetInfo { entry: entry.clone(), view, members });
         }
         RouterView { configuration, policies, roster, fleets, upstreams }
     }
 }
 
 /// Unchanged policies are not compiled again.
-fn compile_all(
+fn compile_policies(
     configuration: &Configuration,
     before: &RouterView,
 ) -> HashMap<String, Arc<PolicyProgram>> {
@@ -132,7 +132,7 @@
 }
 
 /// Who waits for a claim's answer.
-pub(super) struct ClaimWaiters {
+pub(super) struct PendingClaims {
     /// What is to be sent.
     pub(super) batch: ClaimBatch,
     /// By the caller's handle.
@@ -143,18 +143,18 @@
 
 /// The tables of a home, behind one lock because one decision reads most of them.
 #[derive(Debug)]
-pub(super) struct HomeDesk {
+pub(super) struct HomeState {
     pub(super) homes: HomeTable,
     pub(super) memory: ChatMemory,
     pub(super) queues: HashMap<FleetKey, FairQueue>,
     pub(super) tickets: HashMap<u64, Sender<UpstreamKey>>,
-    pub(super) others: RemoteLoad,
+    pub(super) remote_load: RemoteLoad,
     pub(super) peer_loads: LoadTable,
     pub(super) outliers: OutlierTable,
     pub(super) leaving: LeavingTable,
     pub(super) notices: NoticeTable,
-    pub(super) news: Vec<(LeavingIncarnation, u64)>,
-    pub(super) notes: HashMap<RouterId, Vec<ChatNote>>,
+    pub(super) recent_leaving: Vec<(LeavingIncarnation, u64)>,
+    pub(super) chat_notes: HashMap<RouterId, Vec<ChatNote>>,
     pub(super) events_seen: HashMap<UpstreamKey, u64>,
     pub(super) plain_in_flight: HashMap<UpstreamKey, u32>,
     pub(super) retries: RetryBudget,
@@ -163,12 +163,12 @@
 
 /// What all threads of a router reach.
 ///
-/// Lock order, where a thread must hold two: `view`, then `desk`, then `limits`. The
+/// Lock order, where a thread must hold two: `view`, then `home_state`, then `limits`. The
 /// locks of `lease`, `claims`, `checker` and `seen` are never held with another.
 pub struct RouterShared {
     /// Its settings.
     pub settings: RouterSettings,
-    /// This life.
+    /// This incarnation.
     pub incarnation: Incarnation,
     /// Its monotonic clock.
     pub clock: NodeClock,
@@ -178,12 +178,12 @@
     pub(super) keepers: KeeperClient,
     pub(super) port: DatagramPort,
     /// Histograms and counters.
-    pub seen: SeenTable,
+    pub metrics: RouterMetrics,
     view: RwLock<Arc<RouterView>>,
     pub(super) lease: Mutex<RouterLease>,
-    pub(super) desk: Mutex<HomeDesk>,
+    pub(super) home_state: Mutex<HomeState>,
     pub(super) limits: Mutex<LimitTable>,
-    pub(super) claims: Mutex<ClaimWaiters>,
+    pub(super) claims: Mutex<PendingClaims>,
     pub(super) claims_ready: std::sync::Condvar,
     next_number: AtomicU64,
     /// Requests in flight.
@@ -209,7 +209,7 @@
     ) -> RouterShared {
         let checker = SealChecker::new(&settings.fleet_key, wall_ms());
         RouterShared {
-            // A later life has a higher number, as long as the VM's clock does not fall back
+            // A later incarnation has a higher number, as long as the VM's clock does not fall back
             // by more than its restart takes.
             incarnation: Incarnation(wall_ms()),
             clock: NodeClock::default(),
@@ -218,28 +218,28 @@
             checker: Arc::new(Mutex::new(checker)),
             keepers,
             port,
-            seen: SeenTable::new(settings.statsd),
+            metrics: RouterMetrics::new(settings.statsd),
             view: RwLock::default(),
             lease: Mutex::default(),
-            desk: Mutex::new(HomeDesk {
+            home_state: Mutex::new(HomeState {
                 homes: HomeTable::default(),
-                memory: ChatMemory::new(CHATS_REMEMBERED),
+                memory: ChatMemory::new(MAX_REMEMBERED_CHATS),
                 queues: HashMap::new(),
                 tickets: HashMap::new(),
-                others: RemoteLoad::default(),
+                remote_load: RemoteLoad::default(),
                 peer_loads: LoadTable::default(),
                 outliers: OutlierTable::default(),
                 leaving: LeavingTable::default(),
                 notices: NoticeTable::default(),
-                news: Vec::new(),
-                notes: HashMap::new(),
+                recent_leaving: Vec::new(),
+                chat_notes: HashMap::new(),
                 events_seen: HashMap::new(),
                 plain_in_flight: HashMap::new(),
                 retries: RetryBudget::default(),
                 shares: ShareTable::default(),
             }),
             limits: Mutex::default(),
-            claims: Mutex::new(ClaimWaiters {
+            claims: Mutex::new(PendingClaims {
                 batch: ClaimBatch::default(),
                 waiting: HashMap::new(),
                 batches: HashMap::new(),
@@ -263,7 +263,7 @@
         self.view.read().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// A number that is unique in this life.
+    /// A number that is unique in this incarnation.
     pub(super) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
@@ -279,70 +279,71 @@
     }
 
     /// Replaces the view after a change of configuration, roster or leaving lives.
-    pub(super) fn renew_view(
+    pub(super) fn update_view(
         &self,
         configuration: Option<Arc<Configuration>>,
         roster: Option<RouterRoster>,
     ) {
-        let mut place = self.view.write().unwrap_or_else(|poison| poison.into_inner());
-        let before = place.clone();
+        let mut current = self.view.write().unwrap_or_else(|poison| poison.into_inner());
+        let before = current.clone();
         let configuration = configuration.unwrap_or_else(|| before.configuration.clone());
         let roster = roster.filter(|new| new.epoch > before.roster.epoch);
         let roster = roster.unwrap_or_else(|| before.roster.clone());
-        let mut desk = lock(&self.desk);
+        let mut home_state = lock(&self.home_state);
         let now_ms = self.clock.now_ms();
         let closed = |upstream| {
-            desk.leaving.is_leaving(upstream) || desk.outliers.is_ejected(upstream, now_ms)
+            home_state.leaving.is_leaving(upstream)
+                || home_state.outliers.is_ejected(upstream, now_ms)
         };
         let view = RouterView::new(configuration, roster, &before, closed);
-        assign_homes(&mut desk, &view, self.settings.id);
-        *place = Arc::new(view);
+        assign_homes(&mut home_state, &view, self.settings.id);
+        *current = Arc::new(view);
     }
 
     /// The load of a fleet, as known here and now.
     pub(super) fn fleet_load(
         &self,
-        desk: &HomeDesk,
+        home_state: &HomeState,
         fleet: FleetKey,
-        sight: &FleetSight,
+        info: &FleetInfo,
     ) -> FleetLoad {
-        let own_work = desk.homes.fleet_work(fleet);
-        let engines = sight.view.engines.len() as u32;
-        desk.others.fleet_load(fleet, own_work, engines, self.clock.now_ms())
+        let own_work = home_state.homes.fleet_work(fleet);
+        let engines = info.view.engines.len() as u32;
+        home_state.remote_load.fleet_load(fleet, own_work, engines, self.clock.now_ms())
     }
 
     /// This router's rows for the load exchange.
     pub(super) fn load_rows(&self) -> Vec<LoadRow> {
         let view = self.view();
-        let desk = lock(&self.desk);
+        let home_state = lock(&self.home_state);
         let engines = view.fleets.iter().filter(|(_, s)| s.entry.kind == FleetKind::Engine);
-        let row = |(fleet, sight): (&FleetKey, &FleetSight)| {
-            let queue = desk.queues.get(fleet);
+        let row = |(fleet, info): (&FleetKey, &FleetInfo)| {
+            let queue = home_state.queues.get(fleet);
             let waiting = queue.is_some_and(|queue| queue.has_waiting(RequestClass::Batch));
-            let most = sight.entry.requests_per_engine;
-            desk.homes.load_row(*fleet, sight.view.engines.len() as u32, most, waiting)
+            let most = info.entry.requests_per_engine;
+            home_state.homes.load_row(*fleet, info.view.engines.len() as u32, most, waiting)
         };
         engines.map(row).collect()
     }
 
     /// What a placement in this fleet may go by.
-    pub(super) fn known<'a>(
+    pub(super) fn placement_context<'a>(
         &self,
-        desk: &'a HomeDesk,
+        home_state: &'a HomeState,
         fleet: FleetKey,
-        sight: &'a FleetSight,
+        info: &'a FleetInfo,
         work: u64,
     ) -> PlacementContext<'a> {
         PlacementContext {
             own: self.settings.id,
             fleet,
-            view: &sight.view,
-            homes: &desk.homes,
-            memory: &desk.memory,
-            hints: desk.others.hints(fleet),
-            hints_known: desk.others.reported_ms() > 0,
-            load: self.fleet_load(desk, fleet, sight),
-            multiple: sight.entry.multiple,
+            view: &info.view,
+            homes: &home_state.homes,
+            memory: &home_state.memory,
+            hints: home_state.remote_load.hints(fleet),
+            hints_known: home_state.remote_load.reported_ms() > 0,
+            load: self.fleet_load(home_state, fleet, info),
+            multiple: info.entry.multiple,
             work,
         }
     }
@@ -353,68 +354,73 @@
         fleet: FleetKey,
         chat: ChatKey,
         engine: UpstreamKey,
-        life: Incarnation,
+        incarnation: Incarnation,
         tokens: u32,
     ) {
         let view = self.view();
-        let home = view.fleets.get(&fleet).and_then(|sight| sight.view.chat_home(chat));
-        let mut desk = lock(&self.desk);
-        let known = desk.memory.holders(chat).iter().any(|holder| holder.engine == engine);
-        desk.memory.note(chat, engine, life, tokens);
+        let home = view.fleets.get(&fleet).and_then(|info| info.view.chat_home(chat));
+        let mut home_state = lock(&self.home_state);
+        let noted = home_state.memory.holders(chat).iter().any(|holder| holder.engine == engine);
+        home_state.memory.note(chat, engine, incarnation, tokens);
         // The chat's home is notified once for each engine; it need not know of each turn.
-        if let Some(home) = home.filter(|home| *home != self.settings.id && !known) {
-            desk.notes.entry(home).or_default().push(ChatNote { chat, engine, life, tokens });
+        if let Some(home) = home.filter(|home| *home != self.settings.id && !noted) {
+            home_state.chat_notes.entry(home).or_default().push(ChatNote {
+                chat,
+                engine,
+                life: incarnation,
+                tokens,
+            });
         }
     }
 
-    /// Notes a life that leaves; news is sent to the others, and closes it here at once.
-    pub(super) fn note_leaving(&self, mark: LeavingIncarnation) {
-        let news = {
-            let mut desk = lock(&self.desk);
-            let news = desk.leaving.note_leaving(mark);
-            if news {
-                desk.news.push((mark, self.clock.now_ms()));
-                desk.homes.close(mark.upstream, true);
+    /// Notes a incarnation that leaves; is_new is sent to the others, and closes it here at once.
+    pub(super) fn note_leaving(&self, leaving: LeavingIncarnation) {
+        let is_new = {
+            let mut home_state = lock(&self.home_state);
+            let is_new = home_state.leaving.note_leaving(leaving);
+            if is_new {
+                home_state.recent_leaving.push((leaving, self.clock.now_ms()));
+                home_state.homes.close(leaving.upstream, true);
             }
-            news
+            is_new
         };
-        if news {
-            self.renew_view(None, None);
-            if let Some(sight) = self.view().upstreams.get(&mark.upstream) {
-                tracing::info!("router: {} leaves.", sight.name);
+        if is_new {
+            self.update_view(None, None);
+            if let Some(info) = self.view().upstreams.get(&leaving.upstream) {
+                tracing::info!("router: {} leaves.", info.name);
             }
         }
     }
 
-    /// Notes the life that an upstream reported; a new life opens it again.
-    pub(super) fn note_incarnation(&self, upstream: UpstreamKey, life: Incarnation) {
+    /// Notes the incarnation that an upstream reported; a new incarnation opens it again.
+    pub(super) fn note_incarnation(&self, upstream: UpstreamKey, incarnation: Incarnation) {
         let opened = {
-            let mut desk = lock(&self.desk);
-            let was_leaving = desk.leaving.is_leaving(upstream);
-            if desk.leaving.incarnation(upstream) < life {
-                desk.memory.set_life(upstream, life);
-                desk.events_seen.remove(&upstream);
-                desk.notices.forget(upstream);
+            let mut home_state = lock(&self.home_state);
+            let was_leaving = home_state.leaving.is_leaving(upstream);
+            if home_state.leaving.incarnation(upstream) < incarnation {
+                home_state.memory.set_life(upstream, incarnation);
+                home_state.events_seen.remove(&upstream);
+                home_state.notices.forget(upstream);
             }
-            desk.leaving.note_incarnation(upstream, life);
-            was_leaving && !desk.leaving.is_leaving(upstream)
+            home_state.leaving.note_incarnation(upstream, incarnation);
+            was_leaving && !home_state.leaving.is_leaving(upstream)
         };
         if opened {
-            self.renew_view(None, None);
+            self.update_view(None, None);
         }
     }
 }
 
-fn assign_homes(desk: &mut HomeDesk, view: &RouterView, own: RouterId) {
+fn assign_homes(home_state: &mut HomeState, view: &RouterView, own: RouterId) {
     let epoch = view.roster.epoch;
-    for (fleet, sight) in &view.fleets {
-        if sight.entry.kind != FleetKind::Engine {
+    for (fleet, info) in &view.fleets {
+        if info.entry.kind != FleetKind::Engine {
             continue;
         }
-        for engine in &sight.members {
+        for engine in &info.members {
             let home = view.roster.home(*engine) == Some(own);
-            desk.homes.assign(*engine, *fleet, home, epoch);
-            desk.homes.close(*engine, !sight.view.engines.contains_key(engine));
+            home_state.homes.assign(*engine, *fleet, home, epoch);
+            home_state.homes.close(*engine, !info.view.engines.contains_key(engine));
         }
     }
 }
--- a/lib/src/transport/router_status.rs
+++ b/lib/src/transport/router_status.rs
@@ -20,15 +20,15 @@
     let chat = call.query("chat").filter(|chat| !chat.is_empty());
     let service = call.query("service").unwrap_or_else(|| "chat".to_string());
     let fleet = directory_fleet(&view, &workspace, &service);
-    let sight = fleet.and_then(|fleet| view.fleets.get(&fleet));
+    let info = fleet.and_then(|fleet| view.fleets.get(&fleet));
     let chat = chat.map(|chat| ChatKey::of(&workspace, &chat));
     let hints = match fleet {
-        Some(fleet) => lock(&shared.desk).others.hints(fleet).to_vec(),
+        Some(fleet) => lock(&shared.home_state).remote_load.hints(fleet).to_vec(),
         None => Vec::new(),
     };
     let spread = shared.next_number();
-    let question = AddressRequest { chat, zone: &shared.settings.zone, spread, hints: &hints };
-    let answer = addresses(&view.roster, sight.map(|sight| &sight.view), &question);
+    let request = AddressRequest { chat, zone: &shared.settings.zone, spread, hints: &hints };
+    let answer = addresses(&view.roster, info.map(|info| &info.view), &request);
     let keep = format!("max-age={}", answer.keep_seconds);
     HttpReply::json(200, &answer).with("cache-control", keep)
 }
@@ -55,15 +55,15 @@
         let lease = lock(&shared.lease);
         (lease.is_held(now_ms), lease.may_serve(now_ms), lease.applied_version())
     };
-    let desk = lock(&shared.desk);
-    let engines: Vec<_> = desk
+    let home_state = lock(&shared.home_state);
+    let engines: Vec<_> = home_state
         .homes
         .homed()
         .map(|(engine, slot)| {
-            let name = view.upstreams.get(&engine).map_or("?", |sight| &sight.name);
+            let name = view.upstreams.get(&engine).map_or("?", |info| &info.name);
             serde_json::json!({
                 "upstream": name, "requests": slot.requests, "work": slot.load(),
-                "closed": slot.closed, "admits": desk.homes.is_home(engine),
+                "closed": slot.closed, "admits": home_state.homes.is_home(engine),
             })
         })
         .collect();
@@ -73,22 +73,22 @@
         .keys()
         .filter_map(|name| {
             let key = FleetKey::of(name);
-            let load = shared.fleet_load(&desk, key, view.fleets.get(&key)?);
+            let load = shared.fleet_load(&home_state, key, view.fleets.get(&key)?);
             Some(serde_json::json!({
                 "fleet": name, "work": load.work, "engines": load.engines, "age_ms": load.age_ms,
             }))
         })
         .collect();
-    let chats = desk.memory.len();
-    drop(desk);
+    let chats = home_state.memory.len();
+    drop(home_state);
     let body = serde_json::json!({
         "router": shared.id(), "zone": shared.settings.zone, "lease_held": held,
         "serves": may_serve && !shared.draining.load(Ordering::Relaxed),
         "draining": shared.draining.load(Ordering::Relaxed),
         "version": version, "epoch": view.roster.epoch,
         "in_flight": shared.in_flight.load(Ordering::Relaxed), "chats": chats,
-        "engines": engines, "fleets": fleets, "counters": shared.seen.counters(),
-        "histograms": shared.seen.rows(), "wire": shared.client.wire.rows(),
+        "engines": engines, "fleets": fleets, "counters": shared.metrics.counters(),
+        "histograms": shared.metrics.rows(), "wire": shared.client.wire.rows(),
     });
     HttpReply::json(200, &body)
 }
--- a/lib/src/transport/seen.rs
+++ b/lib/src/transport/seen.rs
@@ -11,12 +11,12 @@
 use crate::coordination::fair_queue::RequestClass;
 
 /// Workspaces beyond this many share one row, so that memory stays bounded.
-pub const MOST_WORKSPACES: usize = 64;
-const LONGEST_US: u64 = 3_600_000_000;
+pub const MAX_WORKSPACES: usize = 64;
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
 /// What is measured of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum SeenPhase {
+pub enum RequestPhase {
     /// From arrival to dispatch.
     Wait,
     /// From arrival to the first piece.
@@ -27,20 +27,20 @@
     Whole,
 }
 
-impl SeenPhase {
+impl RequestPhase {
     fn name(self) -> &'static str {
         match self {
-            SeenPhase::Wait => "wait",
-            SeenPhase::FirstToken => "first_token",
-            SeenPhase::BetweenTokens => "between_tokens",
-            SeenPhase::Whole => "whole",
+            RequestPhase::Wait => "wait",
+            RequestPhase::FirstToken => "first_token",
+            RequestPhase::BetweenTokens => "between_tokens",
+            RequestPhase::Whole => "whole",
         }
     }
 }
 
 /// One histogram's figures, in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenRow {
+pub struct HistogramRow {
     /// The class.
     pub class: String,
     /// The workspace, or `other`.
@@ -59,25 +59,25 @@
     pub max_us: u64,
 }
 
-type SeenKey = (RequestClass, String, SeenPhase);
+type HistogramKey = (RequestClass, String, RequestPhase);
 
 /// Histograms and counters of one router.
-pub struct SeenTable {
-    histograms: Mutex<BTreeMap<SeenKey, Histogram<u64>>>,
+pub struct RouterMetrics {
+    histograms: Mutex<BTreeMap<HistogramKey, Histogram<u64>>>,
     counters: Mutex<BTreeMap<&'static str, u64>>,
     statsd: Option<StatsdClient>,
 }
 
-impl SeenTable {
+impl RouterMetrics {
     /// A table whose counters also go to `statsd`, if given.
-    pub fn new(statsd: Option<SocketAddr>) -> SeenTable {
+    pub fn new(statsd: Option<SocketAddr>) -> RouterMetrics {
         let client = statsd.and_then(|address| {
             let socket = UdpSocket::bind("0.0.0.0:0").ok()?;
             socket.set_nonblocking(true).ok()?;
             let sink = UdpMetricSink::from(address, socket).ok()?;
             Some(StatsdClient::from_sink("wingshed", sink))
         });
-        SeenTable { histograms: Mutex::default(), counters: Mutex::default(), statsd: client }
+        RouterMetrics { histograms: Mutex::default(), counters: Mutex::default(), statsd: client }
     }
 
     /// Counts an event.
@@ -91,23 +91,23 @@
     }
 
     /// Records a value in microseconds.
-    pub fn record(&self, class: RequestClass, workspace: &str, phase: SeenPhase, us: u64) {
+    pub fn record(&self, class: RequestClass, workspace: &str, phase: RequestPhase, us: u64) {
         let mut table = self.histograms.lock().unwrap_or_else(|poison| poison.into_inner());
         let mut key = (class, workspace.to_string(), phase);
-        if !table.contains_key(&key) && table.len() >= MOST_WORKSPACES * 12 {
+        if !table.contains_key(&key) && table.len() >= MAX_WORKSPACES * 12 {
             key.1 = "other".to_string();
         }
         let histogram = table.entry(key).or_insert_with(|| {
-            Histogram::new_with_max(LONGEST_US, 2).expect("the bounds are constant and good")
+            Histogram::new_with_max(MAX_RECORDED_US, 2).expect("the bounds are constant and good")
         });
         histogram.saturating_record(us);
     }
 
     /// All histograms.
-    pub fn rows(&self) -> Vec<SeenRow> {
+    pub fn rows(&self) -> Vec<HistogramRow> {
         let table = self.histograms.lock().unwrap_or_else(|poison| poison.into_inner());
-        let to_row =
-            |((class, workspace, phase), histogram): (&SeenKey, &Histogram<u64>)| SeenRow {
+        let to_row = |((class, workspace, phase), histogram): (&HistogramKey, &Histogram<u64>)| {
+            HistogramRow {
                 class: class.name().to_string(),
                 workspace: workspace.clone(),
                 phase: phase.name().to_string(),
@@ -116,7 +116,8 @@
                 p95_us: histogram.value_at_quantile(0.95),
                 p99_us: histogram.value_at_quantile(0.99),
                 max_us: histogram.max(),
-            };
+            }
+        };
         table.iter().map(to_row).collect()
     }
 
--- a/lib/tests/test_promises.rs
+++ b/lib/tests/test_promises.rs
@@ -426,7 +426,7 @@
         let second = send(&system.client, router, &chat_call(&chat("second", 4)), None);
         (running.join().unwrap(), second)
     });
-    let counters = system.routers[0].as_ref().unwrap().shared().seen.counters();
+    let counters = system.routers[0].as_ref().unwrap().shared().metrics.counters();
 
     assert!(first.whole && busy.whole && second.whole, "{second:?}");
     assert_eq!(busy.upstream, first.upstream, "the holder is busy with the same chat");
