--- a/lib/src/transport/http_client.rs
+++ b/lib/src/transport/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP out, by `attohttpc`: one connection a call, the body handed on as it comes.
+//! HTTP client based on `attohttpc`, with one connection for each call and streamed answer bodies.
 
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -10,51 +10,51 @@
 use super::wire_count::{WireCount, CONNECTION_BYTES};
 use crate::protocol::http::{HttpCall, HttpReply};
 
-/// How long a call may take in its phases.
+/// The time limits of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimes {
-    /// To connect.
+    /// The longest time to connect.
     pub connect: Duration,
-    /// Between two reads.
+    /// The longest wait for a read.
     pub read: Duration,
 }
 
 impl CallTimes {
-    /// The same time for both.
+    /// Uses the same limit for both.
     pub fn of_ms(ms: u64) -> CallTimes {
         CallTimes { connect: Duration::from_millis(ms), read: Duration::from_millis(ms) }
     }
 }
 
-/// Why a call brought no whole answer.
+/// The reason why a call has no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CallFailure {
-    /// No byte was sent.
+    /// No byte of the call was sent.
     #[snafu(display("not sent: {text}"))]
     NotSent {
-        /// The system's word.
+        /// The underlying error.
         text: String,
     },
-    /// Bytes may have been sent.
+    /// Bytes of the call may have been sent.
     #[snafu(display("broken: {text}"))]
     Broken {
-        /// The system's word.
+        /// The underlying error.
         text: String,
     },
 }
 
-/// An answer whose body is still coming.
+/// An answer whose body is still being received.
 pub struct OpenReply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Names in lower case, with values.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The reader of the body.
     pub body: ReplyBody,
 }
 
 impl OpenReply {
-    /// Reads the rest: a body that breaks off, or that is longer than `max_bytes` bytes, makes no answer.
+    /// Reads the rest of the answer. Fails if the body breaks off or is longer than `max_bytes`.
     pub fn whole(self, max_bytes: usize) -> Result<HttpReply, CallFailure> {
         let mut body = Vec::new();
         let read = self.body.take(max_bytes as u64 + 1).read_to_end(&mut body);
@@ -66,12 +66,12 @@
     }
 }
 
-/// A body that ends well only where its framing ends it.
+/// Reads a body, and fails unless it ends where its framing ends it.
 pub struct ReplyBody {
     reader: attohttpc::ResponseReader,
-    /// Bytes that must still come, where a length was given.
+    /// The number of bytes still to be received, if the answer has a content length.
     remaining: Option<u64>,
-    /// The kind of call or the status rules a body out, whatever the headers say.
+    /// Whether the method or the status excludes a body, whatever the headers state.
     is_empty: bool,
 }
 
@@ -93,7 +93,8 @@
         }
         let read = self.reader.read(bytes)?;
         let Some(remaining) = &mut self.remaining else { return Ok(read) };
-        // `attohttpc` ends a body at its length, and as well where the connection is closed before that.
+        // `attohttpc` reports the end of a body also when the connection is closed before its
+        // length.
         if read == 0 && *remaining > 0 {
             let text = format!("the connection ended {remaining} bytes short of the length");
             return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
@@ -106,10 +107,10 @@
     }
 }
 
-/// Makes calls and counts them.
+/// An HTTP client that counts its messages and bytes.
 #[derive(Clone, Debug, Default)]
 pub struct HttpClient {
-    /// The counters.
+    /// The counters of messages and bytes.
     pub wire: Arc<WireCount>,
 }
 
@@ -152,7 +153,7 @@
         Ok(OpenReply { status, headers, body: ReplyBody::new(&call.method, response) })
     }
 
-    /// Sends a call and reads the whole answer, of at max_bytes `max_bytes` bytes.
+    /// Sends a call and reads the whole answer, whose body may have at most `max_bytes` bytes.
     pub fn call(
         &self,
         address: SocketAddr,
@@ -167,7 +168,7 @@
     }
 }
 
-/// Only errors that a connection never opened with count as not sent.
+/// Maps an error to a failure. Only errors by which a connection never opened count as not sent.
 fn to_failure(error: attohttpc::Error) -> CallFailure {
     let text = error.to_string();
     let not_sent = match error.kind() {
--- a/lib/src/transport/http_server.rs
+++ b/lib/src/transport/http_server.rs
@@ -1,14 +1,15 @@
-//! HTTP in: `hyper`'s HTTP/1 over blocking sockets, a thread a connection.
+//! HTTP server based on `hyper`'s HTTP/1 over blocking sockets, with one thread for each
+//! connection.
 //!
-//! `tiny_http` was used first and did not fit: its pool hands a burst of connections to
-//! the few threads that were idle a moment ago, so a good request may wait behind silent
-//! or long ones, and each accept error ends its loop. See `docs/house-style.md` for the
-//! figures, and `lib/tests/test_http_server.rs` for each finding as a test.
+//! `tiny_http` doesn't fit: its pool hands a burst of connections to the few threads that were idle
+//! a moment before, so a request may wait behind silent or long ones, and any accept error ends its
+//! loop. See `docs/house-style.md` for the figures, and `lib/tests/test_http_server.rs` for a test
+//! of each fault.
 //!
-//! A connection's thread reads the request and writes the answer; a worker runs the
-//! handler. Between them is a short queue of parts, so that a slow caller holds back the
-//! handler instead of filling memory. A future here waits for the socket's next bytes, which
-//! [`drive_connection`] does, or for that queue and for room to write, which simply block.
+//! The thread of a connection reads the request and writes the answer, and a worker runs the
+//! handler. A short queue of parts connects them, so that a slow caller blocks the handler instead
+//! of filling memory. A future in this module waits for the next bytes of the socket, for which
+//! [`drive_connection`] polls, or for that queue or a write, which block the thread.
 
 use std::future::Future;
 use std::io::{self, Write};
@@ -31,31 +32,33 @@
 use crate::protocol::http::{HttpCall, HttpReply};
 use crate::transport::worker_pool::WorkerPool;
 
-/// How often the accept loop looks whether it should stop.
+/// How often the accept loop checks whether it should stop.
 const ACCEPT_POLL: Duration = Duration::from_millis(100);
-/// After an accept error, such as running out of descriptors.
+/// The pause after an accept error, such as running out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The number of connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Parts of an answer that may wait for a slow caller.
+/// The maximum number of parts of an answer that wait for a slow caller.
 const MAX_BUFFERED_PARTS: usize = 32;
-/// Idle connections may be this many more than requests in flight.
+/// How many connections may be open beyond the limit of requests in flight, for idle connections.
 const MAX_IDLE_CONNECTIONS: usize = 512;
+/// The minimum size of a connection's read buffer in bytes, below which `hyper` panics.
 const MIN_READ_BUFFER_BYTES: usize = 8192;
 
-/// What a server refuses beyond.
+/// The limits beyond which a server refuses requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Requests handled at once.
+    /// The maximum number of requests handled at once.
     pub in_flight: usize,
-    /// Bytes of a body.
+    /// The maximum length of a body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of all headers.
+    /// The maximum length of the target and all headers, in bytes.
     pub header_bytes: usize,
-    /// Longest silence_limit of a connection, and longest wait for a caller that does not read.
+    /// The longest silence of a connection, and the longest wait for a caller that doesn't read.
     pub read_timeout: Duration,
 }
 
-/// Why a request was refused before a handler saw it.
+/// The reason why a request was refused before a handler received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerRefusal {
     /// All workers are busy.
@@ -68,16 +71,17 @@
     BodyBroken,
 }
 
-/// One request with the way to answer it.
+/// A request and the writer for its answer.
 pub struct HttpExchange {
     /// The request.
     pub call: HttpCall,
     /// The caller's address, if known.
     pub peer: Option<SocketAddr>,
-    /// The answer's writer.
+    /// The writer for the answer.
     pub writer: ResponseWriter,
 }
 
+/// A part of an answer that a handler hands to the thread of the connection.
 enum ResponsePart {
     Whole(HttpReply),
     Begin(u16, Vec<(String, String)>),
@@ -85,8 +89,8 @@
     Finish,
 }
 
-/// Writes one answer: whole, or as a stream. One that is dropped before its end is cut
-/// visibly: the connection closes without a clean end.
+/// Writes one answer, either whole or as a stream. If it is dropped before the end of the answer,
+/// the connection closes without a clean end, so that the caller detects the cut.
 pub struct ResponseWriter {
     parts: Sender<ResponsePart>,
 }
@@ -106,7 +110,7 @@
         self.part(ResponsePart::Begin(status, headers.to_vec()))
     }
 
-    /// Sends a chunk at once; waits while the caller does not read.
+    /// Sends a chunk at once. Blocks while the caller doesn't read.
     pub fn chunk(&mut self, bytes: &[u8]) -> io::Result<()> {
         match bytes.is_empty() {
             true => Ok(()),
@@ -120,33 +124,33 @@
     }
 }
 
-/// What handles requests.
+/// The function that handles a request.
 pub type ExchangeHandler = Arc<dyn Fn(HttpExchange) + Send + Sync>;
-/// What words a refusal.
+/// The function that makes the answer to a refused request.
 pub type RefusalReply = Arc<dyn Fn(ServerRefusal) -> HttpReply + Send + Sync>;
 
 /// A running server.
 pub struct HttpServer {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
 }
 
-/// A listening socket at `address`.
+/// Opens a listening socket at `address`.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
-    // Lets `accept` return now and then, to see whether to stop.
+    // Makes `accept` return regularly, so that the accept loop can check whether to stop.
     socket.set_read_timeout(Some(ACCEPT_POLL))?;
     Ok(socket.into())
 }
 
 impl HttpServer {
-    /// Serves on a socket from [`listen`] until stopped.
+    /// Starts serving on a socket from [`listen`].
     pub fn start(
         listener: TcpListener,
         limits: ServerLimits,
@@ -169,7 +173,7 @@
         Ok(HttpServer { stop, thread: Some(thread), address })
     }
 
-    /// Accepts no further connection and waits until the accept loop is over.
+    /// Stops accepting connections and waits until the accept loop has ended.
     pub fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -217,8 +221,8 @@
             return;
         }
         let this = self.clone();
-        // Without a thread for it, the connection is closed; the caller has sent nothing yet
-        // that could have run.
+        // If no worker is free, the connection is closed. No request of the caller has been read by
+        // then, so none has run.
         let _ = self.connections.run(Box::new(move || this.serve(stream, peer)));
     }
 
@@ -265,11 +269,12 @@
             Ok(ResponsePart::Begin(status, headers)) => {
                 Ok(response(status, &headers, PartBody::stream(parts)))
             }
-            // A handler that ends without an answer cuts the connection.
+            // The handler ended without an answer, so the connection is cut.
             _ => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
 
+    /// Reads a whole request within the limits.
     async fn read(&self, request: Request<Incoming>) -> Result<HttpCall, ServerRefusal> {
         let (head, body) = request.into_parts();
         let headers: Vec<(String, String)> = head
@@ -305,8 +310,8 @@
     response(reply.status, &reply.headers, body)
 }
 
-/// A header that HTTP cannot carry is left out: it came from a name that was checked before,
-/// or from an upstream that may say anything.
+/// Makes a response. Headers that are invalid in HTTP are left out: they come from upstreams, which
+/// may send anything, since all other names are checked before.
 fn response(status: u16, headers: &[(String, String)], body: PartBody) -> Response<PartBody> {
     let mut builder = Response::builder().status(status);
     for (name, value) in headers {
@@ -319,7 +324,7 @@
     builder.body(body).unwrap_or_else(|_| Response::new(PartBody::default()))
 }
 
-/// An answer's body: whole, or parts as the handler makes them.
+/// The body of an answer: either whole, or parts as the handler produces them.
 #[derive(Default)]
 struct PartBody {
     whole: Option<Bytes>,
@@ -347,8 +352,8 @@
         let Some(parts) = self.parts.clone() else { return Poll::Ready(None) };
         let part = match parts.try_recv() {
             Ok(part) => Ok(part),
-            // What was handed over is only flushed when the body has nothing more for now; so
-            // it says so once, and waits when it is asked again.
+            // `hyper` flushes the parts that it has only when the body is pending. So the body
+            // returns pending once when the queue is empty, and blocks when it is polled again.
             Err(_) if !self.flushed => {
                 self.flushed = true;
                 context.waker().wake_by_ref();
@@ -382,6 +387,7 @@
     }
 }
 
+/// A waker that sets a flag, by which [`drive_connection`] detects that it must poll again.
 #[derive(Default)]
 struct WakeFlag(AtomicBool);
 
@@ -391,8 +397,8 @@
     }
 }
 
-/// Polls a connection to its end. When it waits and nothing woke it, it waits for bytes; a
-/// caller that stays silent for too long is given up.
+/// Polls a connection to its end. While the connection is pending and wasn't woken, waits for bytes
+/// from the caller; drops the connection of a caller that sends nothing for `silence_limit`.
 fn drive_connection(connection: impl Future, socket: &TcpStream, silence_limit: Duration) {
     let flag = Arc::new(WakeFlag::default());
     let waker = flag.clone().into();
@@ -406,19 +412,22 @@
     }
 }
 
-/// Without chunks or a length the end of the connection ends an answer, so it's reset wherever it isn't shut after
-/// the last byte, also by the end of this process.
+/// Makes the connection end by a reset unless it is shut down after the last byte, even if this
+/// process ends. Without chunks or a length, a clean end of the connection would mark the answer as
+/// complete.
 fn reset_unless_shut(socket: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO))
 }
 
+/// Waits at most `most` until the socket is readable; returns whether it is.
 fn wait_readable(socket: &TcpStream, most: Duration) -> bool {
     let mut wanted = libc::pollfd { fd: socket.as_raw_fd(), events: libc::POLLIN, revents: 0 };
-    // SAFETY: one descriptor, open for as long as `socket` lives.
+    // SAFETY: the array has one descriptor, which is open as long as `socket` lives.
     unsafe { libc::poll(&mut wanted, 1, most.as_millis() as i32) > 0 }
 }
 
-/// A socket whose writes block, up to their time-out; reads take what is there.
+/// A socket whose writes block up to their timeout, and whose reads return the bytes that are
+/// available.
 struct BlockingStream(TcpStream);
 
 impl hyper::rt::Read for BlockingStream {
@@ -429,7 +438,7 @@
     ) -> Poll<io::Result<()>> {
         let mut bytes = [0; 16 << 10];
         let most = buffer.remaining().min(bytes.len());
-        // SAFETY: the buffer is ours and as long as said; the descriptor is open.
+        // SAFETY: the buffer is a local array of at least `most` bytes, and the descriptor is open.
         let length = unsafe {
             let start = bytes.as_mut_ptr().cast();
             libc::recv(self.0.as_raw_fd(), start, most, libc::MSG_DONTWAIT)
@@ -466,7 +475,8 @@
     }
 }
 
-/// A socket's time-out shows as "would block", which must not look like "ask again".
+/// Maps the timeout of a socket, which is reported as `WouldBlock`, to `TimedOut`, so that the
+/// write isn't tried again.
 fn timed_out(error: io::Error) -> io::Error {
     match error.kind() {
         io::ErrorKind::WouldBlock => io::ErrorKind::TimedOut.into(),
--- a/lib/src/transport/keeper_client.rs
+++ b/lib/src/transport/keeper_client.rs
@@ -1,4 +1,4 @@
-//! How a router talks to the keepers: it finds the leader and asks again when that moves.
+//! A client of the keepers, which finds the leader and follows it when it changes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -13,21 +13,22 @@
 use crate::protocol::seal::{SealMaker, SEAL_HEADER};
 use crate::state::settings::KeeperAddress;
 
+/// The maximum length of a keeper's reply, in bytes.
 const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// Why no keeper answered.
+/// The reason why a call has no answer.
 #[derive(Clone, Debug, Snafu)]
 pub enum KeeperFailure {
-    /// No keeper took the call; nothing was done.
-    #[snafu(display("no keeper took the call: {text}"))]
+    /// No keeper accepted the call, so it had no effect.
+    #[snafu(display("no keeper accepted the call: {text}"))]
     NotTaken {
-        /// The last word heard.
+        /// The last error.
         text: String,
     },
-    /// A keeper may have taken the call.
-    #[snafu(display("a keeper may have taken the call: {text}"))]
+    /// A keeper may have accepted the call.
+    #[snafu(display("a keeper may have accepted the call: {text}"))]
     Unsure {
-        /// The last word heard.
+        /// The last error.
         text: String,
     },
 }
@@ -43,7 +44,7 @@
 }
 
 impl KeeperClient {
-    /// A client of these keepers.
+    /// Makes a client of these keepers.
     pub fn new(
         keepers: Vec<KeeperAddress>,
         maker: Arc<SealMaker>,
@@ -54,17 +55,17 @@
         KeeperClient { keepers, leader, maker, client, times, stopped }
     }
 
-    /// Sends nothing more, so that a caller that tries one keeper after the other ends soon.
+    /// Fails all further calls, so that a caller that tries one keeper after another ends soon.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Where the leader was last seen.
+    /// Returns the address of the keeper that was the last known leader.
     pub fn leader(&self) -> SocketAddr {
         self.keepers[self.leader.load(Ordering::Relaxed) % self.keepers.len()].address
     }
 
-    /// The keeper at this address answered as leader.
+    /// Records that the keeper at this address answered as leader.
     pub fn note_leader(&self, address: SocketAddr) {
         let found = self.keepers.iter().position(|keeper| keeper.address == address);
         if let Some(at) = found {
@@ -72,20 +73,20 @@
         }
     }
 
-    /// The keeper last seen leading does not answer: the next one is tried.
+    /// Moves to the next keeper, since the last known leader doesn't answer.
     pub fn try_next_leader(&self) {
         self.leader.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All keepers.
+    /// Returns all keepers.
     pub fn keepers(&self) -> &[KeeperAddress] {
         &self.keepers
     }
 
-    /// Asks one keeper.
+    /// Sends a call to one keeper.
     pub fn call(&self, address: SocketAddr, call: &KeeperCall) -> Result<KeeperReply, CallFailure> {
         if self.stopped.load(Ordering::Relaxed) {
-            return Err(CallFailure::NotSent { text: "this process stops".to_string() });
+            return Err(CallFailure::NotSent { text: "this process is stopping".to_string() });
         }
         let body = encode(call);
         let seal = self.maker.header(CALL_PATH, &body, wall_ms());
@@ -97,10 +98,10 @@
         decode(&reply.body).map_err(|text| CallFailure::Broken { text })
     }
 
-    /// Asks the leader, looking for it among all keepers.
+    /// Sends a call to the leader, which it searches among all keepers.
     ///
-    /// A call that may have been taken is sent again only by the caller's choice: claims and
-    /// changes carry ids that make that safe.
+    /// If a keeper may have accepted the call, the caller decides whether to send it again: claims
+    /// and changes carry ids that make this safe.
     pub fn call_leader(&self, call: &KeeperCall) -> Result<KeeperReply, KeeperFailure> {
         let mut last = String::new();
         let mut unsure = false;
@@ -110,7 +111,7 @@
                 Ok(KeeperReply::NotLeader(hint)) => self.note_leader_hint(at, hint, &mut last),
                 Ok(KeeperReply::Unsure) => {
                     unsure = true;
-                    last = "the leader cannot vouch for it".to_string();
+                    last = "the leader cannot confirm that the call is committed".to_string();
                     break;
                 }
                 Ok(reply) => return Ok(reply),
@@ -142,6 +143,7 @@
     }
 }
 
+/// Returns the kind under which the bytes of a call are counted.
 fn kind_of(call: &KeeperCall) -> &'static str {
     match call {
         KeeperCall::Identity => "identity",
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -1,8 +1,8 @@
-//! The keeper's one loop: it alone owns the consensus and the state machine.
+//! The event loop of a keeper, the sole owner of its consensus and its state machine.
 //!
-//! A thread writes the files, since a sync may take longer than a leader may be silent. Events that
-//! come while it works are written with the next sync and only then answered: that is the group
-//! commit. Nothing else in a keeper holds state.
+//! A separate thread writes the files, since a sync may take longer than a leader may stay silent.
+//! Events that arrive during a sync are written with the next one and answered only after it, which
+//! makes a group commit.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -39,112 +39,116 @@
 };
 use crate::state::log_store::{EntryPayload, GroupMember, GroupMembership, LogEntry, LogSnapshot};
 
-/// A snapshot is taken after this many entries.
+/// A snapshot of the state machine is taken after this many applied log entries.
 pub const COMPACT_ENTRIES: u64 = 4096;
+/// The longest wait for an event before the timers are checked.
 const POLL: Duration = Duration::from_millis(10);
-/// A leader whose disk works on one job for this long makes way for another, in milliseconds.
+/// A leader resigns when its disk works on one job for longer than this, in milliseconds.
 const DISK_TIMEOUT_MS: u64 = 5000;
-/// Events that one step takes.
+/// The maximum number of events that one step of the loop handles.
 const MAX_EVENTS_PER_STEP: usize = 512;
+/// How long reported leaving upstreams are passed on to the routers, in milliseconds.
 const LEAVING_KEEP_MS: u64 = 10_000;
+/// The pause before an order that had no result is sent again, in milliseconds.
 const ORDER_RETRY_MS: u64 = 1000;
 
-/// Reads the loop's state; the flag is whether this keeper may vouch for it.
+/// A function that reads the loop's state. The flag is whether this keeper has the leader's lease,
+/// so that the state it reads is current.
 pub type LoopRead = Box<dyn FnOnce(&KeeperLoop, bool) + Send>;
 
-/// What is asked of the loop.
+/// An event that the loop handles.
 pub enum KeeperEvent {
-    /// A message of another keeper.
+    /// A consensus message from another keeper.
     Raft(RaftMessage),
-    /// A call by a router or keeper.
+    /// A call from a router or another keeper, with the channel for the reply.
     Call(KeeperCall, Sender<KeeperReply>),
-    /// A router's renewal, with where to answer.
+    /// A router's lease renewal, with the address for the grant.
     Renew(SocketAddr, LeaseRenewal),
-    /// Claims by datagram, with where to answer.
+    /// Claims and reports by datagram, with the address for the answer and the number of the batch.
     Claims(SocketAddr, u64, Vec<ClaimRequest>, Vec<ClaimReport>),
-    /// An operator's operation, already authorized.
+    /// An operator's operation, which is already authorized.
     Operate(KeeperOperation, Sender<OperateReply>),
-    /// A change of membership.
+    /// A change of the group's membership.
     Member(MemberChange, Sender<OperateReply>),
-    /// Hand leadership over.
+    /// A request to hand leadership over.
     Transfer(Sender<OperateReply>),
-    /// Read the state; the flag is whether this keeper may vouch for it.
+    /// A request to read the state.
     Read(LoopRead),
-    /// An order was sent, with its end if it has one.
+    /// An order was sent; its final state is `None` when it must be sent again.
     OrderSent(u64, Option<OrderState>),
-    /// The weight store reported its limit.
+    /// The weight store reported how many loads it takes at once.
     StoreLimit(usize),
-    /// The first group has formed.
+    /// All keepers of the first group are found; the group starts with this membership.
     Form(GroupMembership),
-    /// End the loop.
+    /// A request to end the loop.
     Stop,
 }
 
-/// The ways out of the loop: sending needs sockets that the loop does not own.
+/// The functions by which the loop sends messages, since it owns no sockets.
 pub struct LoopOutputs {
-    /// For short messages.
+    /// The port for messages that fit into a datagram.
     pub port: DatagramPort,
     /// Sends a message that is too long for a datagram.
     pub send_long: Box<dyn Fn(KeeperId, SocketAddr, RaftMessage) + Send>,
     /// Sends an order to its upstream's address.
     pub send_order: Box<dyn Fn(OrderRecord, SocketAddr) + Send>,
-    /// Counted bytes.
+    /// Reads the counted bytes on the wire.
     pub wire: Box<dyn Fn() -> Vec<WireRow> + Send>,
 }
 
-/// What a loop starts from.
+/// The initial state and resources of a loop.
 pub struct LoopStart {
     /// This keeper's number.
     pub id: KeeperId,
-    /// The consensus, over what the disk held.
+    /// The consensus, restored from disk.
     pub core: RaftCore,
     /// The state machine, as of the snapshot.
     pub machine: KeeperMachine,
     /// The thread that writes the data folder.
     pub disk: LoopDisk,
-    /// The life of the data folder.
+    /// The incarnation of the data folder.
     pub incarnation: Incarnation,
     /// The clock of this process.
     pub clock: NodeClock,
-    /// Spreads the election timers.
+    /// The seed that spreads the election timers.
     pub seed: u64,
-    /// How many loads the weight store takes at once.
+    /// The maximum number of loads that the weight store takes at once.
     pub max_loads: usize,
-    /// The keepers that the settings name.
+    /// The addresses of the keepers in the settings.
     pub configured: BTreeMap<KeeperId, SocketAddr>,
 }
 
 /// A loop's ends of the channels to its disk thread.
 pub struct LoopDisk {
-    /// Takes jobs, which are carried out in order.
+    /// The channel to the disk thread, which runs the jobs in order.
     pub jobs: Sender<DiskJob>,
-    /// Reports the end of each job.
+    /// The channel on which the disk thread reports the end of each job.
     pub reports: Receiver<DiskReport>,
 }
 
-/// Why a loop ended: a keeper that cannot write must not answer.
+/// The failure that ended a loop: a keeper that cannot write must not answer.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
 pub enum LoopFailure {
     /// The disk thread could not carry out a job.
     #[snafu(display("{text}"))]
     Disk {
-        /// What it said.
+        /// The error of the disk thread.
         text: String,
     },
     /// The state machine cannot start from the leader's snapshot.
     #[snafu(display("the snapshot that the leader sent cannot be read: {text}"))]
     Image {
-        /// What is wrong with it.
+        /// Why the snapshot cannot be read.
         text: String,
     },
 }
 
-/// See the module.
+/// The event loop of a keeper with its consensus and its state machine.
 pub struct KeeperLoop {
     /// This keeper's number.
     pub id: KeeperId,
     durable: DurableCore,
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, up to the last entry applied here.
     pub machine: KeeperMachine,
     disk: LoopDisk,
     incarnation: Incarnation,
@@ -166,7 +170,7 @@
 }
 
 impl KeeperLoop {
-    /// A loop over what the disk held.
+    /// Makes a loop that continues from the state on disk.
     pub fn new(start: LoopStart, outputs: LoopOutputs) -> KeeperLoop {
         let LoopStart { id, core, machine, disk, incarnation, clock, seed, max_loads, configured } =
             start;
@@ -195,7 +199,7 @@
         }
     }
 
-    /// The consensus.
+    /// Returns the consensus.
     pub fn core(&self) -> &RaftCore {
         &self.durable.core
     }
@@ -204,7 +208,7 @@
     ///
     /// # Errors
     ///
-    /// The disk fails, or a leader sent what cannot be read.
+    /// Returns an error if the disk fails or the leader sent a snapshot that cannot be read.
     pub fn run(mut self, events: Receiver<KeeperEvent>) -> Result<(), LoopFailure> {
         let reports = self.disk.reports.clone();
         let mut running = true;
@@ -230,11 +234,12 @@
         Ok(())
     }
 
-    /// Enters no further term while the disk works: a vote that is not written does not count.
+    /// Advances the consensus timers. While a job is on the disk, a follower starts no new term,
+    /// since a vote doesn't count until it is written.
     fn tick(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let leads = self.durable.core.role() == RaftRole::Leader;
         if leads && self.durable.is_stuck(DISK_TIMEOUT_MS, now_ms) {
-            tracing::warn!("keeper: resigns, since its disk writes nothing.");
+            tracing::warn!("keeper: resigns as leader because its disk does not complete a write.");
             self.durable.core.resign(now_ms);
         } else if leads || self.durable.is_idle() {
             self.durable.core.tick(now_ms, output);
@@ -258,7 +263,8 @@
 
     // ---- events ----
 
-    /// Takes an event and those that wait behind it; false when one of them ends the loop.
+    /// Handles an event and the events queued behind it; returns false when one of them ends the
+    /// loop.
     fn handle_events(
         &mut self,
         first: KeeperEvent,
@@ -272,6 +278,7 @@
         running
     }
 
+    /// Handles one event; returns false when it ends the loop.
     fn handle_event(&mut self, event: KeeperEvent, output: &mut RaftOutput) -> bool {
         let now_ms = self.clock.now_ms();
         match event {
@@ -286,8 +293,8 @@
                 self.propose(operation, Waiter::Operate(sender), output);
             }
             KeeperEvent::Member(change, sender) => {
-                let place = self.durable.core.change_member(change, now_ms, output);
-                self.add_waiter(place, Waiter::Operate(sender));
+                let position = self.durable.core.change_member(change, now_ms, output);
+                self.add_waiter(position, Waiter::Operate(sender));
             }
             KeeperEvent::Transfer(sender) => {
                 let reply = match self.durable.core.transfer(None, now_ms, output) {
@@ -330,7 +337,8 @@
         let _ = sender.send(reply);
     }
 
-    /// Ends first, so that a claim given back can be taken in the same batch.
+    /// Proposes the reports before the claims, so that a released claim can be granted again in the
+    /// same batch.
     fn propose_claims(
         &mut self,
         claims: Vec<ClaimRequest>,
@@ -349,12 +357,14 @@
         let at_ms = wall_ms().max(self.machine.now_ms);
         let command = KeeperCommand { at_ms, operation };
         let payload = EntryPayload::Command(encode(&command));
-        let place = self.durable.core.propose(payload, output);
-        self.add_waiter(place, waiter);
+        let position = self.durable.core.propose(payload, output);
+        self.add_waiter(position, waiter);
     }
 
-    fn add_waiter(&mut self, place: Result<(u64, u64), RaftRefusal>, waiter: Waiter) {
-        match (place, waiter) {
+    /// Registers a waiter for a proposed entry, or answers it at once when the proposal was
+    /// refused.
+    fn add_waiter(&mut self, position: Result<(u64, u64), RaftRefusal>, waiter: Waiter) {
+        match (position, waiter) {
             (Ok((index, term)), waiter) => {
                 if let Some((_, earlier)) = self.waiters.insert(index, (term, waiter)) {
                     earlier.unsure();
@@ -374,7 +384,7 @@
         }
     }
 
-    /// Who this keeper is.
+    /// Returns the number and incarnation of this keeper and the members that it knows.
     pub fn identity(&self) -> KeeperIdentity {
         let members = self.core().membership().members.iter();
         let members: BTreeMap<KeeperId, Incarnation> =
@@ -383,6 +393,8 @@
         KeeperIdentity { id: self.id, incarnation: self.incarnation, blank, members }
     }
 
+    /// Returns the changes of the configuration after version `after`, or the whole document when
+    /// some of them are no longer kept.
     fn changes_after(&self, after: u64) -> KeeperReply {
         let configuration = &self.machine.configuration;
         let first_kept = self.machine.recent.front().map_or(u64::MAX, |record| record.version);
@@ -394,7 +406,7 @@
         KeeperReply::Changes(newer.cloned().collect())
     }
 
-    /// The first group begins with equal snapshots on all its keepers.
+    /// Starts the first group. All of its keepers start from the same empty snapshot.
     fn form(&mut self, membership: GroupMembership) {
         if !self.core().membership().members.is_empty() {
             return;
@@ -403,18 +415,22 @@
         let snapshot = LogSnapshot { index: 0, term: 0, membership, image };
         let now_ms = self.clock.now_ms();
         let job = self.durable.start_group(snapshot, self.seed, now_ms);
-        tracing::info!("keeper: forms a group of {}.", self.core().membership().members.len());
-        // Without a disk thread the loop ends with its next look at the reports.
+        tracing::info!(
+            "keeper: starts a group of {} keepers.",
+            self.core().membership().members.len()
+        );
+        // If the disk thread has ended, the loop ends when it next reads the reports.
         let _ = self.submit(job);
     }
 
-    // ---- leading ----
+    // ---- tasks of the leader ----
 
+    /// Tracks gain and loss of leadership and runs the tasks of a leader that has a lease.
     fn run_leader_tasks(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let leads = self.core().role() == RaftRole::Leader;
         if !leads {
             if self.leading_since.take().is_some() {
-                tracing::info!("keeper: leads no more.");
+                tracing::info!("keeper: no longer leads.");
                 self.lapsing.clear();
                 self.orders_in_flight.clear();
             }
@@ -438,7 +454,7 @@
     fn lapse_sessions(&mut self, now_ms: u64, output: &mut RaftOutput) {
         for (id, incarnation) in self.sessions.lapsed(&self.machine.roster, now_ms) {
             if self.lapsing.insert((id, incarnation)) {
-                tracing::warn!("keeper: router {id} lapsed.");
+                tracing::warn!("keeper: the session of router {id} lapsed.");
                 let operation = KeeperOperation::Lapse(id, incarnation);
                 self.propose(operation, Waiter::Detached, output);
             }
@@ -516,7 +532,7 @@
         self.propose(KeeperOperation::OrderEnd(number, end), Waiter::Detached, output);
     }
 
-    // ---- after a step ----
+    // ---- results of a step ----
 
     fn process_outcome(&mut self, outcome: DurableOutcome) -> Result<(), LoopFailure> {
         if let Some(snapshot) = outcome.installed {
@@ -539,7 +555,7 @@
     fn send(&self, messages: Vec<(KeeperId, RaftMessage)>) {
         for (to, message) in messages {
             let member = self.core().membership().members.get(&to);
-            // A keeper that is being brought in knows no members yet, but must answer its leader.
+            // A keeper that joins the group has no members yet, but must answer its leader.
             let address = member.map(|member| member.address);
             let Some(address) = address.or_else(|| self.configured.get(&to).copied()) else {
                 continue;
@@ -581,14 +597,16 @@
         match decode::<KeeperCommand>(bytes) {
             Ok(command) => self.machine.apply(&command, entry.term, entry.index),
             Err(error) => {
-                // Every keeper skips it alike; a newer leader wrote what this one cannot read.
+                // A newer leader wrote an entry that this version cannot read. All keepers of this
+                // version skip it.
                 tracing::error!("keeper: cannot read entry {}: {error}.", entry.index);
                 KeeperAnswer::Done
             }
         }
     }
 
-    /// Routers ask at once instead of at their next renewal.
+    /// Notifies the routers of a new configuration or roster, so that they fetch it at once instead
+    /// of at their next renewal.
     fn notify(&self, version: u64, epoch: u64) {
         let notice = Datagram::Notice { version, epoch };
         for session in self.machine.roster.routers.values() {
@@ -596,6 +614,7 @@
         }
     }
 
+    /// Takes a snapshot when enough entries were applied since the last one.
     fn compact(&mut self, now_ms: u64) -> Result<(), LoopFailure> {
         let enough = self.applied >= self.core().snapshot_index() + COMPACT_ENTRIES;
         if !enough || !self.durable.is_idle() {
@@ -603,19 +622,19 @@
         }
         let job = self.durable.compact(self.applied, self.machine.to_image(), now_ms);
         if job.is_some() {
-            tracing::info!("keeper: takes a snapshot at {}.", self.applied);
+            tracing::info!("keeper: takes a snapshot at entry {}.", self.applied);
         }
         self.submit(job)
     }
 
     // ---- reading ----
 
-    /// The configuration as applied here.
+    /// Returns the configuration as applied here.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.machine.configuration
     }
 
-    /// All that a status page shows.
+    /// Returns the state that the status page shows.
     pub fn status(&self) -> KeeperStatus {
         let now_ms = self.clock.now_ms();
         let members = self.core().membership().members.iter();
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -1,4 +1,4 @@
-//! The keeper as a node: its loop, its sockets, and the forming of the first group.
+//! The keeper as a node: its loop, its sockets, and the formation of the first group.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -39,39 +39,43 @@
 };
 use crate::state::settings::KeeperSettings;
 
+/// The maximum number of HTTP requests that are handled at once.
 const MAX_IN_FLIGHT: usize = 512;
+/// The maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
+/// How long a handler waits for the loop's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// The number of long messages that may wait for one keeper; further ones are dropped.
 const LONG_MESSAGE_QUEUE: usize = 64;
 
 /// Why a node does not start or has stopped.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum NodeError {
-    /// Its files.
+    /// The files cannot be opened or written.
     #[snafu(display("{source}"))]
     Store {
-        /// What is wrong with them.
+        /// The error of the store.
         source: StoreError,
     },
-    /// Its snapshot cannot be read.
+    /// The snapshot cannot be read.
     #[snafu(display("the snapshot cannot be read: {text}"))]
     Image {
-        /// What is wrong.
+        /// Why the snapshot cannot be read.
         text: String,
     },
-    /// Its sockets.
+    /// A socket cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The system's word.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Writes a backup into this keeper's empty data folder, as a group of this keeper alone; the
-/// others are then brought in as after the loss of their disks.
+/// Writes a backup into this keeper's empty data folder, as a group of this keeper alone. The other
+/// keepers are then added in the same way as after the loss of their disks.
 pub fn restore_backup(settings: &KeeperSettings, image: &[u8]) -> Result<(), NodeError> {
     KeeperMachine::from_image(image).map_err(|text| NodeError::Image { text })?;
     let life = Incarnation(rand::random::<u64>() | 1);
@@ -90,7 +94,7 @@
     store.install(&snapshot, hard_state, &[]).context(StoreSnafu)
 }
 
-/// What the handlers of a keeper share.
+/// The state that the handlers of a keeper share.
 pub(super) struct KeeperShared {
     pub(super) settings: KeeperSettings,
     pub(super) events: Sender<KeeperEvent>,
@@ -105,19 +109,19 @@
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     failure: Arc<Mutex<Option<LoopFailure>>>,
-    /// Where it listens.
+    /// The address on which the keeper listens.
     pub address: SocketAddr,
 }
 
 impl KeeperNode {
-    /// Opens the data folder and starts.
+    /// Opens the data folder and starts the keeper.
     pub fn start(settings: KeeperSettings) -> Result<KeeperNode, NodeError> {
         let clock = NodeClock::default();
         let new_incarnation = Incarnation(rand::random::<u64>() | 1);
         let opened = LogStore::open(&settings.data_folder, settings.id, new_incarnation);
         let (store, stored) = opened.context(StoreSnafu)?;
         if stored.torn_bytes > 0 {
-            tracing::warn!("keeper: cut a torn tail of {} bytes.", stored.torn_bytes);
+            tracing::warn!("keeper: truncated a torn tail of {} bytes.", stored.torn_bytes);
         }
         let machine = match stored.snapshot.image.is_empty() {
             true => KeeperMachine::default(),
@@ -178,7 +182,8 @@
         Ok(KeeperNode { events, server, stop, threads, failure, address })
     }
 
-    /// Hands leadership over if it has it, then stops: a planned stop costs no election.
+    /// Hands leadership over if this keeper leads, then stops, so that a planned stop causes no
+    /// election timeout.
     pub fn stop_planned(self) {
         let (sender, receiver) = bounded(1);
         let _ = self.events.send(KeeperEvent::Transfer(sender));
@@ -188,18 +193,19 @@
         self.stop_now();
     }
 
-    /// Stops at once, as a crash would but for the last write.
+    /// Stops at once. This equals a crash, except that the last write is completed.
     pub fn stop_now(mut self) {
         self.shut_down();
     }
 
-    /// Whether the loop has ended, and why.
+    /// Returns the failure that ended the loop, if there is one.
     pub fn failure(&self) -> Option<String> {
         let failure = self.failure.lock().unwrap_or_else(|poison| poison.into_inner());
         failure.as_ref().map(|error| error.to_string())
     }
 
-    /// Reads something from the loop.
+    /// Reads a value from the loop; returns `None` when the loop has ended or doesn't answer in
+    /// time.
     pub fn read<T: Send + 'static>(
         &self,
         read: impl FnOnce(&KeeperLoop, bool) -> T + Send + 'static,
@@ -223,7 +229,7 @@
     }
 }
 
-/// Reads something from the loop; `None` when it has ended.
+/// Reads a value from the loop; returns `None` when the loop has ended or doesn't answer in time.
 pub(super) fn read_loop<T: Send + 'static>(
     events: &Sender<KeeperEvent>,
     read: impl FnOnce(&KeeperLoop, bool) -> T + Send + 'static,
@@ -244,14 +250,14 @@
 ) -> JoinHandle<()> {
     spawn_named("keeper-loop", move || {
         if let Err(error) = keeper.run(receiver) {
-            tracing::error!("keeper: stops, for it cannot write: {error}.");
+            tracing::error!("keeper: stops because its loop failed: {error}.");
             *failure.lock().unwrap_or_else(|poison| poison.into_inner()) = Some(error);
         }
         stop.store(true, Ordering::Relaxed);
     })
 }
 
-/// Starts the thread that writes the files; it ends with the loop.
+/// Starts the thread that writes the data folder. It ends when the loop drops its channel.
 fn start_loop_disk(folder: PathBuf, store: LogStore) -> (LoopDisk, JoinHandle<()>) {
     let (jobs, to_do) = unbounded();
     let (done, reports) = unbounded();
@@ -261,7 +267,7 @@
 
 fn spawn_named(name: &str, run: impl FnOnce() + Send + 'static) -> JoinHandle<()> {
     let thread = std::thread::Builder::new().name(name.to_string()).spawn(run);
-    thread.expect("the system has room for a thread at the start")
+    thread.expect("a thread can be spawned at startup")
 }
 
 fn receive_datagrams(
@@ -285,8 +291,9 @@
     port.receive(checker.clone(), stop.clone(), take).ok()
 }
 
-/// One thread and one bounded queue for each other keeper: a slow one delays no other, and
-/// what does not fit is lost, which the consensus allows.
+/// Returns a sender of long messages with one thread and one bounded queue for each keeper, so that
+/// a slow keeper delays no other. Messages that exceed a queue are dropped, which the consensus
+/// tolerates.
 fn long_message_sender(
     maker: Arc<SealMaker>,
     http: HttpClient,
@@ -330,7 +337,8 @@
     })
 }
 
-/// Forms the first group when the disk is blank, and asks the weight store for its limit.
+/// Starts a thread that forms the first group when the disk is blank and that requests the weight
+/// store's limit every five seconds.
 fn spawn_background_tasks(
     shared: Arc<KeeperShared>,
     blank: bool,
@@ -338,15 +346,15 @@
 ) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut forming = blank && !shared.settings.join;
-        let mut waited = 0u32;
+        let mut rounds = 0u32;
         while !stop.load(Ordering::Relaxed) {
             if forming {
                 forming = !try_forming_group(&shared);
             }
-            if waited % 50 == 0 {
+            if rounds % 50 == 0 {
                 request_store_limit(&shared);
             }
-            waited = waited.wrapping_add(1);
+            rounds = rounds.wrapping_add(1);
             std::thread::sleep(Duration::from_millis(100));
         }
     })
@@ -365,9 +373,10 @@
     }
 }
 
-/// A blank keeper forms the first group only when every other named keeper is blank too, or
-/// knows this very life as a member: otherwise its disk was lost, and it must not vote.
-/// True when there is nothing left to try.
+/// Tries to form the first group; returns whether no further try is needed.
+///
+/// A blank keeper forms the group only when every other configured keeper is blank too or has this
+/// incarnation as a member. Otherwise this keeper has lost its disk and must not vote.
 fn try_forming_group(shared: &KeeperShared) -> bool {
     let Some(own) = read_loop(&shared.events, |keeper, _| keeper.identity()) else {
         return true;
@@ -387,8 +396,8 @@
             };
             if !other.blank && other.members.get(&own.id) != Some(&own.incarnation) {
                 tracing::error!(
-                    "keeper: this disk is new but the group is not; it does not vote until it \
-                     is brought in by `wingshed keeper replace`."
+                    "keeper: this disk is blank but the group exists already; the keeper does not vote \
+                     until it is added by `wingshed keeper replace`."
                 );
                 return true;
             }
@@ -410,6 +419,7 @@
     let _ = exchange.writer.send(&reply);
 }
 
+/// Answers a call from a router or another keeper after checking its seal.
 fn sealed_reply(shared: &KeeperShared, call: &HttpCall, path: &str) -> HttpReply {
     let checked = {
         let mut checker = shared.checker.lock().unwrap_or_else(|poison| poison.into_inner());
--- a/lib/src/transport/keeper_operator.rs
+++ b/lib/src/transport/keeper_operator.rs
@@ -1,4 +1,4 @@
-//! The operators' calls at a keeper, and the sending of fenced orders.
+//! Handling of operators' calls at a keeper, and sending of fenced orders to upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,9 @@
     ChangeAnswer, ConfigChange, KeeperAnswer, KeeperOperation, OrderRecord, OrderState,
 };
 
+/// How long an operator's call waits for its operation to be committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum time for an upstream to carry out an order, in milliseconds.
 const ORDER_TIMEOUT_MS: u64 = 60_000;
 
 /// Answers an operator's call.
@@ -61,6 +63,7 @@
     }
 }
 
+/// Returns the address of the leader if another keeper leads.
 fn leader_address(keeper: &KeeperLoop) -> Option<SocketAddr> {
     let leader = keeper.core().leader().filter(|leader| *leader != keeper.id)?;
     keeper.core().membership().members.get(&leader).map(|member| member.address)
@@ -101,6 +104,7 @@
     wait(shared, |sender| KeeperEvent::Operate(operation, sender))
 }
 
+/// Sends an event to the loop and waits for its reply.
 fn wait(
     shared: &KeeperShared,
     event: impl FnOnce(Sender<OperateReply>) -> KeeperEvent,
@@ -182,7 +186,7 @@
     }
 }
 
-/// A router that is ordered to leave drains and ends; its VM may then be taken away.
+/// Orders a router to leave: it drains and ends, after which its VM may be removed.
 fn leave_reply(shared: &KeeperShared, call: &HttpCall) -> HttpReply {
     let submitted: SubmittedLeave = match body_of(call) {
         Ok(submitted) => submitted,
@@ -228,7 +232,7 @@
     }
 }
 
-/// Sends an order; `None` when it should be sent again.
+/// Sends an order to an upstream and returns its final state, or `None` when it must be sent again.
 pub(super) fn send_order(
     http: &HttpClient,
     order: &OrderRecord,
@@ -238,7 +242,11 @@
     match http.call(address, &call, CallTimes::of_ms(ORDER_TIMEOUT_MS), 64 << 10, "order") {
         Ok(reply) if reply.status == 200 => Some(OrderState::Done),
         Ok(reply) if reply.status < 500 => {
-            tracing::warn!("orders: order {} was refused: {}.", order.number, reply.status);
+            tracing::warn!(
+                "orders: the upstream refused order {} with status {}.",
+                order.number,
+                reply.status
+            );
             Some(OrderState::Refused)
         }
         Ok(_) | Err(_) => None,
--- a/lib/src/transport/keeper_waiter.rs
+++ b/lib/src/transport/keeper_waiter.rs
@@ -1,4 +1,4 @@
-//! Who waits at a keeper for an entry of its log, and how each is answered.
+//! The callers that wait at a keeper for a log entry to be committed, and the replies to them.
 
 use std::net::SocketAddr;
 
@@ -12,28 +12,29 @@
 /// The answer to an operator's operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperateReply {
-    /// Committed, with the state machine's answer.
+    /// The operation is committed; this is the state machine's answer.
     Done(KeeperAnswer),
-    /// Not taken.
+    /// The operation was refused.
     Refused(RaftRefusal),
-    /// Taken, but it is not known whether it will be committed.
+    /// The operation was accepted, but it is not known whether it will be committed.
     Unsure,
 }
 
-/// Who waits for an entry to be committed.
+/// A caller that waits for an entry to be committed.
 pub(super) enum Waiter {
     /// An operator.
     Operate(Sender<OperateReply>),
-    /// A router or keeper, over a connection.
+    /// A router or keeper that called by HTTP.
     Call(Sender<KeeperReply>),
-    /// A router, by datagram: the port to answer from, its address, its number.
+    /// A router that sent a datagram: the port to answer from, the router's address, and the number
+    /// of its batch.
     Datagram(DatagramPort, SocketAddr, u64),
-    /// No caller waits.
+    /// No caller waits for the entry.
     Detached,
 }
 
 impl Waiter {
-    /// The entry is committed.
+    /// Answers the caller after the entry was committed.
     pub(super) fn answer(self, answer: KeeperAnswer) {
         match self {
             Waiter::Operate(sender) => drop(sender.send(OperateReply::Done(answer))),
@@ -53,12 +54,13 @@
         }
     }
 
-    /// It isn't known whether the entry will be committed.
+    /// Notifies the caller that it isn't known whether the entry will be committed.
     pub(super) fn unsure(self) {
         match self {
             Waiter::Operate(sender) => drop(sender.send(OperateReply::Unsure)),
             Waiter::Call(sender) => drop(sender.send(KeeperReply::Unsure)),
-            // It asks again, perhaps elsewhere: claims carry their attempt.
+            // The router sends its claims again, perhaps to another keeper, which their attempt
+            // numbers make safe.
             Waiter::Datagram(..) | Waiter::Detached => {}
         }
     }
--- a/lib/src/transport/mod.rs
+++ b/lib/src/transport/mod.rs
@@ -1,7 +1,7 @@
 //! The highest layer: sockets, threads, clocks, and the node programs.
 //!
-//! Shared tables are each behind one lock. No thread holds two of them at once,
-//! but for the order stated at [`router_shared::RouterShared`].
+//! Each shared table has one lock. A thread holds two of these locks at once only in the order that
+//! [`router_shared::RouterShared`] states.
 
 pub mod clock;
 pub mod datagram;
--- a/lib/src/transport/router_claims.rs
+++ b/lib/src/transport/router_claims.rs
@@ -1,4 +1,5 @@
-//! Run-once claims at a router: requests before dispatch, in batches, and reported after.
+//! Run-once claims of a router: they are requested from the keepers in batches before a request is
+//! dispatched, and reported as ended afterwards.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,16 +15,23 @@
     ClaimAnswer, ClaimEnd, ClaimKey, ClaimReport, ClaimRequest, ClaimState,
 };
 
+/// How long a request waits for the answer to its claim before it is refused as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long a claim thread waits for work before it checks whether the router stops, and how long
+/// it pauses after a failed batch.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
+/// The maximum number of HTTP calls for one batch.
 const MAX_CALLS: usize = 3;
-/// So many claims, and so many ends, fit into a datagram.
+/// The maximum number of claims, and of reports, in one datagram; larger batches are sent by HTTP.
 const MAX_PER_DATAGRAM: usize = 8;
+/// How often a batch is sent by datagram before it is sent by HTTP.
 const MAX_DATAGRAM_SENDS: usize = 4;
-/// A commit takes a fits_datagram milliseconds; a lost datagram costs this much.
+/// How long the answer to a datagram is awaited. A commit takes a few milliseconds, so this is the
+/// delay that a lost datagram causes.
 const DATAGRAM_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// A claim that was granted. It must be ended; dropped without, it counts as unknown.
+/// A granted claim. It reports its end to the keepers; if it is dropped without [`HeldClaim::end`],
+/// the end is reported as unknown.
 pub(super) struct HeldClaim {
     shared: Arc<RouterShared>,
     report: ClaimReport,
@@ -31,7 +39,7 @@
 }
 
 impl HeldClaim {
-    /// Reports the end.
+    /// Reports how the claimed request ended.
     pub(super) fn end(mut self, end: ClaimEnd) {
         self.report.end = end;
         self.send();
@@ -53,7 +61,7 @@
     }
 }
 
-/// Claims a run-once request, or says why it is not run.
+/// Claims a run-once request. The error states why the request is not run.
 pub(super) fn claim(
     shared: &Arc<RouterShared>,
     request: &CallerRequest,
@@ -89,7 +97,7 @@
             CallerError::not_run(400, "bad_request", "The issue time lies in the future.")
         }
         None => {
-            // It may yet be granted, so it is given back whatever comes of it.
+            // The keepers may still grant the claim, so its end is reported as not dispatched.
             held.send();
             let text = "The keepers did not answer, so the request was not run.";
             return Err(CallerError::not_run(503, "no_keeper", text).after(1000));
@@ -108,7 +116,7 @@
     CallerError::not_run(409, "already_claimed", text).with_ran(ran)
 }
 
-/// Sends batches until the router stops. More than one thread may run this.
+/// Sends batches of claims and reports until the router stops. Several threads may run this.
 pub(super) fn run_claims(shared: &Arc<RouterShared>) {
     while !shared.stopping.load(Ordering::Relaxed) {
         let batch = {
@@ -129,7 +137,7 @@
     let requests: Vec<ClaimRequest> = batch.claims.iter().map(|(_, claim)| *claim).collect();
     let fits_datagram =
         requests.len() <= MAX_PER_DATAGRAM && batch.reports.len() <= MAX_PER_DATAGRAM;
-    // Claims and reports carry their attempt, so that sending them again changes nothing.
+    // Claims and reports carry their attempt number, so sending them again has no further effect.
     let answers = match fits_datagram {
         true => send_datagrams(shared, &requests, &batch.reports),
         false => None,
@@ -152,7 +160,8 @@
     }
 }
 
-/// A fits_datagram claims by datagram cost a tenth of the bytes of a call; what is lost is sent again.
+/// Sends a small batch by datagram, which costs a tenth of the bytes of an HTTP call; lost
+/// datagrams are sent again.
 fn send_datagrams(
     shared: &Arc<RouterShared>,
     claims: &[ClaimRequest],
@@ -192,7 +201,7 @@
     })
 }
 
-/// An answer came by datagram.
+/// Delivers the answers that a keeper sent by datagram to the thread that sent batch `number`.
 pub(super) fn receive_answers(
     shared: &RouterShared,
     number: u64,
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -1,4 +1,5 @@
-//! A router's control thread: its session, lease, configuration, roster, engines, VM list.
+//! The control thread of a router. It maintains the router's session, lease, configuration and
+//! roster, and polls the engines and the VM list.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -20,18 +21,24 @@
 use crate::state::ids::{FleetKey, UpstreamKey};
 use crate::state::roster::{RouterRoster, RouterSession};
 
-/// Each engine of this home is asked for its state this often, in milliseconds.
+/// Interval in milliseconds at which the state of each engine of this home is requested.
 pub const ENGINE_POLL_MS: u64 = 2000;
+/// Interval in milliseconds at which the VM list is read.
 const LIST_POLL_MS: u64 = 1000;
+/// The longest wait for an event before the recurring tasks are checked, in milliseconds.
 const TICK_MS: u64 = 25;
-/// Without a grant for this long, routers send each other their loads.
+/// Without a grant for this long, in milliseconds, routers send each other their loads.
 const LEADERLESS_MS: u64 = 1000;
+/// Interval in milliseconds at which routers send each other their loads without a leader.
 const SUMS_INTERVAL_MS: u64 = 500;
+/// How long a new leaving incarnation is reported to the keepers, in milliseconds.
 const LEAVING_KEEP_MS: u64 = 3000;
+/// The maximum number of chat notes in one datagram.
 const NOTES_PER_DATAGRAM: usize = 24;
+/// The maximum length in bytes of an engine's state and of the VM list.
 const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// When each recurring task is due next.
+/// The times at which the recurring tasks are due next.
 #[derive(Default)]
 struct ControlSchedule {
     renew_ms: u64,
@@ -43,7 +50,7 @@
     turn: u64,
 }
 
-/// What the datagram thread sends to the control thread.
+/// An event that the datagram thread sends to the control thread.
 pub(super) enum ControlEvent {
     Grant(SocketAddr, LeaseGrant),
     Notice { version: u64, epoch: u64 },
@@ -52,7 +59,7 @@
     Chats(Vec<ChatNote>),
 }
 
-/// Runs until the router stops.
+/// Runs the control thread until the router stops.
 pub(super) fn run_control(
     shared: &Arc<RouterShared>,
     events: &crossbeam::channel::Receiver<ControlEvent>,
@@ -95,7 +102,7 @@
             let mut home_state = lock(&shared.home_state);
             home_state.peer_loads.note(router, &rows, now_ms);
             home_state.peer_loads.expire(now_ms);
-            // Sums of peers count only while no keeper sums up.
+            // The loads that peers report are used only while no leader grants leases.
             if now_ms > home_state.remote_load.reported_ms() + LEADERLESS_MS {
                 let fleets: Vec<FleetKey> = rows.iter().map(|row| row.fleet).collect();
                 let rows = home_state.peer_loads.others(shared.id(), &fleets);
@@ -124,7 +131,7 @@
     match shared.keepers.call_leader(&KeeperCall::Join(shared.id(), session)) {
         Ok(_) => true,
         Err(failure) => {
-            tracing::warn!("router: cannot join: {failure}.");
+            tracing::warn!("router: cannot join the roster: {failure}.");
             false
         }
     }
@@ -185,8 +192,9 @@
     }
 }
 
-// ---- what is in force ----
+// ---- configuration and roster ----
 
+/// Fetches the configuration and the roster if a keeper reported newer ones.
 fn fetch_newer(shared: &Arc<RouterShared>, version: u64, epoch: u64) {
     let applied_version = lock(&shared.lease).applied_version();
     if applied_version.is_none_or(|applied| applied < version) {
@@ -199,7 +207,8 @@
     }
 }
 
-/// The leader first; any keeper will do, since versions only rise.
+/// Calls the leader first and then the other keepers. Any keeper may answer, since versions only
+/// increase.
 fn call_any(shared: &RouterShared, call: &KeeperCall) -> Result<KeeperReply, ()> {
     let leader = shared.keepers.leader();
     let others = shared.keepers.keepers().iter().map(|keeper| keeper.address);
@@ -239,23 +248,25 @@
 
 fn apply_configuration(shared: &Arc<RouterShared>, configuration: Arc<Configuration>) {
     let version = configuration.version;
-    // The view first: once the lease says that a version is applied, requests rely on it.
+    // The view is replaced before the lease records the version, since requests rely on the view
+    // once the lease covers the version.
     let current = lock(&shared.lease).applied_version();
     if current.is_some_and(|current| current >= version) {
         return;
     }
     shared.update_view(Some(configuration), None);
     lock(&shared.lease).apply(version);
-    tracing::info!("router: version {version} is in force.");
+    tracing::info!("router: applied configuration version {version}.");
 }
 
 fn apply_roster(shared: &Arc<RouterShared>, roster: RouterRoster) {
     let epoch = roster.epoch;
     shared.update_view(None, Some(roster));
-    tracing::info!("router: roster epoch {epoch}.");
+    tracing::info!("router: applied roster epoch {epoch}.");
 }
 
-/// Upstreams come back from being set aside, and queues move on, as time passes.
+/// Applies the changes that only depend on time: ejections that end, queued requests that can be
+/// admitted or expire, and expired shares and limits.
 fn refresh_view(shared: &Arc<RouterShared>, now_ms: u64) {
     let view = shared.view();
     let stale = {
@@ -283,7 +294,7 @@
     lock(&shared.limits).expire(now_ms);
 }
 
-/// Chats that went elsewhere are reported to their homes, many in one datagram.
+/// Reports chats that ran on engines of this router to the chats' homes, many in one datagram.
 fn report_chats(shared: &Arc<RouterShared>) {
     let notes = std::mem::take(&mut lock(&shared.home_state).chat_notes);
     let view = shared.view();
@@ -295,8 +306,9 @@
     }
 }
 
-// ---- while no keeper leads ----
+// ---- without a leader ----
 
+/// Sends the loads and leaving incarnations to the other routers while no leader grants leases.
 fn send_sums_without_leader(shared: &Arc<RouterShared>, times: &mut ControlSchedule, now_ms: u64) {
     let lease_fresh = now_ms < lock(&shared.home_state).remote_load.reported_ms() + LEADERLESS_MS;
     if lease_fresh || now_ms < times.sums_ms {
@@ -333,7 +345,8 @@
         }
         *due = now_ms + ENGINE_POLL_MS;
         let shared = shared.clone();
-        // A full pool means that engines hang; this one is asked at its next turn.
+        // The pool is full when engines don't respond; this engine is polled again at its next
+        // turn.
         let _ = pool.run(Box::new(move || poll_engine(&shared, engine)));
     }
 }
@@ -370,7 +383,8 @@
     apply_cache_events(&mut home_state, engine, incarnation, seen, &state);
 }
 
-/// A jump in the numbers turns what is known of the engine into "perhaps".
+/// Applies an engine's cache events to the chat memory. A gap in the event numbers makes the
+/// entries of the engine uncertain.
 fn apply_cache_events(
     home_state: &mut super::router_shared::HomeState,
     engine: UpstreamKey,
@@ -423,7 +437,7 @@
         return;
     };
     if left_out > 0 {
-        tracing::warn!("router: left out {left_out} malformed entries of the VM list.");
+        tracing::warn!("router: ignored {left_out} malformed entries of the VM list.");
     }
     let view = shared.view();
     for entry in entries.iter().filter(|entry| entry.state == VmStanding::Leaving) {
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -1,4 +1,4 @@
-//! Running a request on an engine: claim, dispatch, relay, resume, cancel.
+//! Execution of a request on an engine: claim, dispatch, relay of the answer, resume and cancel.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,28 +19,34 @@
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{Incarnation, UpstreamKey};
 
-/// Between two reads of a stream; a first token may wait behind other work.
+/// The longest wait between two reads of a stream, in milliseconds. It is long because the first
+/// token may wait behind other work of the engine.
 const PIECE_TIMEOUT_MS: u64 = 30_000;
+/// The maximum number of attempts in a row to resume a stream that broke off.
 const MAX_RESUMES: u32 = 5;
+/// The pause before an attempt to resume; within one break it grows with the number of attempts.
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// A caller that was cut off may resume for this long before its run is cancelled.
+/// How long a caller that was disconnected may resume before its run is cancelled.
 const RESUME_GRACE: Duration = Duration::from_millis(2000);
+/// The maximum length in bytes of an engine's refusal, which is read whole.
 const MAX_REFUSAL_BYTES: usize = 64 << 10;
+/// The maximum time for the import of a KV prefix, in milliseconds.
 const IMPORT_TIMEOUT_MS: u64 = 3000;
-/// The code of a try that an engine refused as not run.
+/// The error code of a try that an engine refused without running the request.
 pub(super) const REFUSED_CODE: &str = "upstream_refused";
-/// The code of a try whose connection never opened: it put no load on anyone.
+/// The error code of a try whose connection never opened, so that it added no load to the engine.
 pub(super) const UNREACHABLE_CODE: &str = "upstream_unreachable";
 
-/// What became of a try on one engine.
+/// The outcome of a try on one engine.
 pub(super) enum RunEnd {
-    /// The caller has its answer, whole or as an explicit error.
+    /// The caller has received its answer or an explicit error, or is gone.
     Answered,
-    /// It surely did not run there, or may be repeated, and the caller has seen nothing.
+    /// The request did not run on the engine or may be repeated, and the caller has received
+    /// nothing.
     TryElsewhere(CallerError),
 }
 
-/// One try on one engine.
+/// One try of a request on one engine.
 struct EngineRun<'a, 'w> {
     shared: &'a Arc<RouterShared>,
     address: SocketAddr,
@@ -54,8 +60,8 @@
     incarnation: Incarnation,
 }
 
-/// Runs a request on the engine of `slot`. A run-once request is claimed first; `held` keeps
-/// the claim over tries on several engines of this home.
+/// Runs a request on the engine of `slot`. A run-once request is claimed first; `held` keeps the
+/// claim across tries on several engines of this home.
 pub(super) fn run_on_engine(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -104,7 +110,8 @@
     run.start(held)
 }
 
-/// Has the engine import the chat's KV from its holder; without it, it computes the prefix.
+/// Requests the engine to import the chat's KV prefix from its holder. If the import fails, the
+/// engine computes the prefix itself.
 fn import_prefix(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -124,6 +131,7 @@
 }
 
 impl EngineRun<'_, '_> {
+    /// Sends the request to the engine and handles its reply to the end.
     fn start(&mut self, held: &mut Option<HeldClaim>) -> RunEnd {
         let request = self.placement.request;
         let priority = self.placement.decision.class.priority();
@@ -147,7 +155,7 @@
         }
     }
 
-    /// An engine's refusal is its word that the request did not run.
+    /// Handles a reply other than 200, which means that the engine did not run the request.
     fn handle_refusal(&mut self, reply: OpenReply, held: &mut Option<HeldClaim>) -> RunEnd {
         let head = engine::read_head(&reply.headers);
         self.note_head(&head);
@@ -159,7 +167,7 @@
         }
         let answer = match reply.whole(MAX_REFUSAL_BYTES) {
             Ok(answer) => answer,
-            // Its head has said that the request did not run.
+            // The status alone states that the request did not run.
             Err(failure) => {
                 self.note_failure();
                 return RunEnd::TryElsewhere(self.not_run(&failure.to_string()));
@@ -170,7 +178,7 @@
         RunEnd::Answered
     }
 
-    /// Reads the stream to its end, resuming it where it breaks.
+    /// Relays the stream to its end and resumes it when it breaks off.
     fn relay_to_end(&mut self, reply: OpenReply, held: &mut Option<HeldClaim>) -> RunEnd {
         let mut reply = reply;
         let mut tries = 0;
@@ -207,6 +215,7 @@
         }
     }
 
+    /// Relays one stream to the caller and records the times of its pieces.
     fn relay(&mut self, reply: OpenReply) -> StreamEnd {
         let (metrics, class) = (&self.shared.metrics, self.placement.decision.class);
         let workspace = &self.placement.request.workspace;
@@ -225,7 +234,7 @@
         })
     }
 
-    /// Takes the run up again after the last piece that was passed on.
+    /// Resumes the run after the last piece that was sent to the caller.
     fn resume(&mut self, tries: &mut u32) -> Option<OpenReply> {
         let call = engine::resume_call(&self.run, self.order.last());
         let times = CallTimes::of_ms(PIECE_TIMEOUT_MS);
@@ -241,8 +250,9 @@
         None
     }
 
-    /// The run broke and could not be resumed so far. It may be tried elsewhere when the engine
-    /// says that it never ran, or when it is repeatable and the caller has seen nothing.
+    /// Handles a run that broke off and could not be resumed so far. Another engine may be tried
+    /// when this engine reports that it never ran the request, or when the request is repeatable
+    /// and the caller has received nothing.
     fn after_break(&mut self, text: String, held: &mut Option<HeldClaim>) -> RunEnd {
         let call = engine::resume_call(&self.run, self.order.last());
         let times = CallTimes::of_ms(PIECE_TIMEOUT_MS);
@@ -252,7 +262,7 @@
             if reply.status == 200 {
                 return self.relay_to_end(reply, held);
             }
-            // Only the same incarnation can know that it never had the run.
+            // Only the incarnation that the request was sent to can rule out that it ran it.
             let same_incarnation =
                 self.incarnation != Incarnation(0) && head.incarnation == self.incarnation;
             if reply.status == 404 && same_incarnation && self.order.last() == 0 {
@@ -268,8 +278,12 @@
         self.give_up(&text, held)
     }
 
+    /// Fails the request with an explicit error after its run broke off for good.
     fn give_up(&mut self, text: &str, held: &mut Option<HeldClaim>) -> RunEnd {
-        tracing::warn!("relay: request {} broke: {text}.", self.placement.request.request_id);
+        tracing::warn!(
+            "relay: request {} failed before its answer was complete: {text}.",
+            self.placement.request.request_id
+        );
         let message = "The engine failed before the answer was whole.";
         let error = CallerError::not_run(502, "upstream_failed", message);
         self.sink.fail(&error.with_ran(RanMark::Unknown));
@@ -282,6 +296,7 @@
         CallerError::not_run(503, REFUSED_CODE, message).after(1000)
     }
 
+    /// Records the incarnation and the leaving state that the head of an engine's reply reports.
     fn note_head(&mut self, head: &EngineHead) {
         if head.incarnation != Incarnation(0) {
             self.incarnation = head.incarnation;
@@ -294,6 +309,7 @@
         }
     }
 
+    /// Records that this engine holds the chat's prefix now.
     fn note_chat(&self, head: &EngineHead) {
         let tokens = self.placement.prompt_tokens() + self.placement.output_tokens();
         self.shared.note_chat(
@@ -311,6 +327,7 @@
         self.shared.note_failure(self.engine);
     }
 
+    /// Records a complete answer.
     fn finish(&self) {
         lock(&self.shared.home_state).outliers.note_success(self.engine);
         let us = self.arrived.elapsed().as_micros() as u64;
@@ -318,7 +335,8 @@
         self.shared.metrics.record(class, workspace, RequestPhase::Whole, us);
     }
 
-    /// The position on the engine is kept meanwhile: the run goes on there.
+    /// Cancels the run of a caller that is gone, after the time in which it may resume. The run
+    /// keeps its slot on the engine during that time, since it continues there.
     fn cancel_after_grace(&self) {
         self.shared.metrics.count("callers.gone");
         std::thread::sleep(RESUME_GRACE);
@@ -335,7 +353,7 @@
 }
 
 impl RouterShared {
-    /// A failure counts against an upstream as a passive health check.
+    /// Records a failure of an upstream as a passive health check, which may eject the upstream.
     pub(super) fn note_failure(&self, upstream: UpstreamKey) {
         let view = self.view();
         let Some(info) = view.upstreams.get(&upstream) else { return };
@@ -354,14 +372,14 @@
             !was && home_state.outliers.is_ejected(upstream, now_ms)
         };
         if ejected {
-            tracing::warn!("router: sets {} ejected.", info.name);
+            tracing::warn!("router: ejects upstream {}.", info.name);
             self.metrics.count("upstreams.set_aside");
             self.update_view(None, None);
         }
     }
 }
 
-/// Takes a stream up again for a caller that was cut off, at any router.
+/// Resumes a stream for a caller that was disconnected. Any router can do this.
 pub(super) fn resume_for_caller(
     cx: &ServeContext,
     request: &CallerRequest,
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -1,5 +1,5 @@
-//! Requests between routers: forwarded on to a chat's home, to an engine's home, or to a
-//! peer whose lease holds.
+//! Requests between routers: they are forwarded to the home of a chat, to the home of an engine, or
+//! to a peer that has a lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,13 +27,14 @@
 };
 use crate::protocol::seal::SEAL_HEADER;
 
+/// The longest wait between two reads of a peer's answer, in milliseconds.
 const FORWARD_READ_TIMEOUT_MS: u64 = 120_000;
 
-/// What became of a request that was forwarded on.
+/// The outcome of a forwarded request.
 pub(super) enum ForwardEnd {
-    /// The caller has its answer.
+    /// The caller has received its answer or an explicit error.
     Answered,
-    /// The peer did not take it, or failed before anything of the answer came.
+    /// The peer did not accept the request, or failed before any part of the answer arrived.
     TryElsewhere(CallerError),
 }
 
@@ -46,9 +47,9 @@
     HttpCall::post(FORWARD_PATH, body).with(SEAL_HEADER, seal)
 }
 
-/// Passes a request on and relays the answer. Sending it again retryable_codes is safe also after
-/// bytes were sent: a run-once request is claimed by the router that dispatches it, and another may
-/// be repeated.
+/// Forwards a request and relays the answer. Another try elsewhere is safe even after bytes were
+/// sent: a run-once request is claimed by the router that dispatches it, and any other may be
+/// repeated.
 pub(super) fn forward(
     cx: &ServeContext,
     address: SocketAddr,
@@ -88,7 +89,7 @@
     handle_peer_reply(open, sink)
 }
 
-/// Relays a peer's stream; if the peer dies, the engine is asked directly for the rest.
+/// Relays a peer's stream. If the peer fails, the rest is requested directly from the engine.
 fn relay_from_peer(
     cx: &ServeContext,
     request: &CallerRequest,
@@ -101,12 +102,15 @@
         StreamEnd::Done | StreamEnd::CallerGone => {}
         StreamEnd::Failed(text) => {
             let message = "The engine failed before the answer was whole.";
-            tracing::warn!("relay: request {} failed at a peer: {text}.", request.request_id);
+            tracing::warn!(
+                "relay: the engine of request {} failed behind a peer: {text}.",
+                request.request_id
+            );
             let error = CallerError::not_run(502, "upstream_failed", message);
             sink.fail(&error.with_ran(RanMark::Unknown));
         }
         StreamEnd::Broken(text) => {
-            tracing::warn!("relay: a peer broke off ({text}), asking {upstream} itself.");
+            tracing::warn!("relay: the stream from a peer broke off ({text}); resuming at upstream {upstream}.");
             cx.shared.metrics.count("streams.taken_over");
             let position = ResumePlace { upstream: upstream.to_string(), last: order.last() };
             resume_for_caller(cx, request, &position, sink);
@@ -114,7 +118,8 @@
     }
 }
 
-/// Takes a peer's refusal, or an answer that it passes on whole.
+/// Handles a peer's reply that is not a stream: a refusal that allows another try, or an answer
+/// that is sent to the caller as a whole.
 fn handle_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
     let ran = RanMark::of(find_header(&open.headers, RAN_HEADER));
     let HttpReply { status, headers, body } = match open.whole(MAX_ANSWER_BYTES) {
@@ -137,7 +142,7 @@
     ForwardEnd::Answered
 }
 
-/// A router without a lease, or draining, passes callers on to one that may serve.
+/// Forwards a request to a peer that may serve it, since this router has no lease or is draining.
 pub(super) fn forward_to_peer(
     cx: &ServeContext,
     request: &CallerRequest,
@@ -157,7 +162,7 @@
     sink.fail(&no_lease_error());
 }
 
-/// A request that a peer forwarded on.
+/// Receives a request that a peer forwarded, after checking its seal.
 pub(super) fn receive_forward(
     shared: &Arc<RouterShared>,
     call: &HttpCall,
@@ -193,18 +198,20 @@
     arrived: Instant,
 ) {
     let ForwardRequest { hops, aim: purpose, mut request, .. } = forwarded;
-    // Between routers an answer always streams, so that the sender sees what is whole.
+    // Between routers an answer is always a stream, so that the sender can tell whether it is
+    // complete.
     if let Some(facts) = &mut request.facts {
         facts.stream = true;
     }
-    // The lease first: the view that is read after it holds all that the lease vouches for.
+    // The lease is checked before the view is read, so that the view is at least as new as the
+    // version that the lease covers.
     let leased = shared.is_leased();
     let cx = ServeContext { shared: shared.clone(), view: shared.view(), arrived, hops };
     let mut sink = AnswerSink::new(writer, true, &request.request_id, hops);
     if hops > MOST_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
-    // A draining router goes on serving as a home until its peers have turned retryable_codes.
+    // A draining router with a lease continues to serve as a home until its peers use other homes.
     if !leased {
         return sink.fail(&no_lease_error());
     }
--- a/lib/src/transport/router_home.rs
+++ b/lib/src/transport/router_home.rs
@@ -1,4 +1,4 @@
-//! Admission and the queue at a home.
+//! Admission to the engines of a home router, and its queues.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::protocol::peer_wire::RouteDecision;
 use crate::state::ids::{ChatKey, FleetKey, UpstreamKey, WorkspaceKey};
 
-/// A place on an engine, granted back when dropped.
+/// An admitted request's slot on an engine, which is released when dropped.
 pub(super) struct AdmittedSlot {
     shared: Arc<RouterShared>,
-    /// The engine.
+    /// The engine that admitted the request.
     pub(super) engine: UpstreamKey,
     fleet: FleetKey,
     workspace: WorkspaceKey,
@@ -36,27 +36,31 @@
     }
 }
 
-/// What a request brings to a home.
+/// A chat request with the data that its placement uses.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementRequest<'a> {
     pub(super) request: &'a CallerRequest,
     pub(super) decision: &'a RouteDecision,
     pub(super) chat: ChatKey,
     pub(super) fleet: FleetKey,
-    /// The engine to import the prefix from, before it runs elsewhere.
+    /// The engine from which another engine imports the chat's prefix before it runs the request.
     pub(super) import_from: Option<UpstreamKey>,
 }
 
 impl PlacementRequest<'_> {
+    /// Returns the length of the prompt, or 1 if it isn't known.
     pub(super) fn prompt_tokens(&self) -> u32 {
         self.request.facts.as_ref().map_or(1, |facts| facts.prompt_tokens)
     }
 
+    /// Returns the expected length of the answer.
     pub(super) fn output_tokens(&self) -> u32 {
         let asked = self.request.facts.as_ref().and_then(|facts| facts.max_tokens);
         asked.unwrap_or(u32::MAX).min(self.decision.expected_output.max(1))
     }
 
+    /// Returns the expected work of the request on an engine that has `cached_tokens` of its prompt
+    /// cached.
     pub(super) fn work(&self, cached_tokens: u32) -> u64 {
         request_work(self.prompt_tokens(), self.output_tokens(), cached_tokens)
     }
@@ -68,7 +72,7 @@
     ChatKey::of(&request.workspace, name)
 }
 
-/// The engines to try, best first.
+/// Returns the engines to try, best first.
 pub(super) fn candidates(
     shared: &RouterShared,
     view: &RouterView,
@@ -83,7 +87,8 @@
     )
 }
 
-/// Admits a request to an engine of this home, or says why not.
+/// Admits a request to an engine of this home, unless requests of its class or a higher one wait in
+/// the queue or the engine is at its bound.
 pub(super) fn admit(
     shared: &Arc<RouterShared>,
     view: &RouterView,
@@ -114,7 +119,7 @@
     Ok(AdmittedSlot { shared, engine, fleet: placement.fleet, workspace, work })
 }
 
-/// What a class and a workspace may fill of each engine of this home.
+/// Returns how much of each engine of this home a class and a workspace may use.
 fn admission_rule(
     home_state: &HomeState,
     info: &FleetInfo,
@@ -127,13 +132,14 @@
     let open = home_state.homes.homed().filter(|(_, slot)| slot.fleet == fleet && !slot.closed);
     let slots = open.count() as u32 * entry.requests_per_engine;
     let heavy = home_state.shares.is_heavy(fleet, workspace, slots, now_ms);
-    // A heavy workspace is held to what the batch class may fill.
+    // A workspace that uses more than its share is limited to the bound of the batch class.
     let class = if heavy { RequestClass::Batch } else { class };
     let max_requests = class.places(entry.requests_per_engine);
     AdmissionRule { multiple: entry.multiple, max_requests }
 }
 
-/// A place in this home's queue. Dropping it gives the place up, and a slot that came too late.
+/// A position in a queue of this home. Dropping it leaves the queue and releases a slot that was
+/// granted but not used.
 pub(super) struct QueueTicket {
     shared: Arc<RouterShared>,
     fleet: FleetKey,
@@ -144,8 +150,8 @@
 }
 
 impl QueueTicket {
-    /// Queues for one of this home's engines, or for a certain one; `None` when the queue is
-    /// full.
+    /// Enters the queue for any engine of this home, or for the engine `only`; returns `None` when
+    /// the queue is full.
     pub(super) fn enter(
         shared: &Arc<RouterShared>,
         view: &RouterView,
@@ -180,7 +186,7 @@
         Some(QueueTicket { shared, fleet, ticket, workspace, work, granted })
     }
 
-    /// Waits for a slot.
+    /// Waits at most `max_ms` milliseconds for a slot.
     pub(super) fn wait(&self, max_ms: u64) -> Option<AdmittedSlot> {
         let engine = self.granted.recv_timeout(Duration::from_millis(max_ms)).ok()?;
         Some(self.slot(engine))
@@ -205,12 +211,13 @@
             queue.remove(self.ticket);
         }
         drop(home_state);
-        // A slot that came in the moment that the wait ended is granted back.
+        // A slot that was granted just as the wait ended is released.
         drop(self.granted.try_recv().ok().map(|engine| self.slot(engine)));
     }
 }
 
-/// What to do about a prefix whose holder, an engine of this home, is at its bound.
+/// Chooses between waiting for the holder of a prefix, importing the prefix from it and recomputing
+/// it, when the holder is an engine of this home at its bound.
 pub(super) fn holder_choice(
     shared: &RouterShared,
     view: &RouterView,
@@ -220,7 +227,7 @@
     let Some(info) = view.fleets.get(&placement.fleet) else { return MoveChoice::Recompute };
     let work = placement.work(holder.cached_tokens);
     let home_state = lock(&shared.home_state);
-    // Behind others that wait already, how long the holder will be busy isn't context.
+    // If other requests wait already, the time until the holder is free cannot be estimated.
     let ahead = home_state
         .queues
         .get(&placement.fleet)
@@ -234,7 +241,7 @@
     choose_move(&info.entry.rates, cached, wait)
 }
 
-/// Gives waiting requests the slots that have come free.
+/// Admits waiting requests of a fleet's queue to the slots that have become free.
 pub(super) fn admit_waiting(
     shared: &RouterShared,
     home_state: &mut HomeState,
--- a/lib/src/transport/router_node.rs
+++ b/lib/src/transport/router_node.rs
@@ -25,7 +25,9 @@
 use crate::protocol::seal::SealMaker;
 use crate::state::settings::RouterSettings;
 
+/// The number of threads that send claims.
 const CLAIM_THREAD_COUNT: usize = 2;
+/// How often a drain checks whether it is complete.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// A running router.
@@ -33,12 +35,12 @@
     shared: Arc<RouterShared>,
     server: HttpServer,
     threads: Vec<JoinHandle<()>>,
-    /// Where it listens.
+    /// The address on which the router listens.
     pub address: SocketAddr,
 }
 
 impl RouterNode {
-    /// Starts the router. It takes no work before it knows what is in force.
+    /// Starts the router. It accepts no work until it has a lease for the configuration in force.
     pub fn start(settings: RouterSettings) -> Result<RouterNode, NodeError> {
         let address = settings.address;
         let client = HttpClient::default();
@@ -102,12 +104,12 @@
         Ok(RouterNode { shared, server, threads, address })
     }
 
-    /// What its threads share, for status pages and tests.
+    /// Returns the state that the router's threads share, for status pages and tests.
     pub fn shared(&self) -> &Arc<RouterShared> {
         &self.shared
     }
 
-    /// Waits until the router may serve.
+    /// Waits until the router may serve; returns false when it may not after `timeout`.
     pub fn wait_ready(&self, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         while Instant::now() < until {
@@ -119,15 +121,15 @@
         false
     }
 
-    /// Whether an operator has ordered this life of the router to leave.
+    /// Returns whether an operator has ordered this incarnation of the router to leave.
     pub fn is_ordered_to_leave(&self) -> bool {
         let view = self.shared.view();
         let session = view.roster.routers.get(&self.shared.id());
         session.is_some_and(|s| s.leaving && s.incarnation == self.shared.incarnation)
     }
 
-    /// Leaves the directory, passes newcomers to peers, and ends when the last request has:
-    /// true when nothing was cut. See [`DrainWatch`] for how long that takes.
+    /// Leaves the directory, forwards new requests to peers, and stops when the last request has
+    /// ended. Returns whether no request was cut. See [`DrainWatch`] for the time that this takes.
     pub fn drain(mut self) -> bool {
         tracing::info!("router: {} drains.", self.shared.id());
         self.shared.draining.store(true, Ordering::Relaxed);
@@ -147,8 +149,8 @@
         left == 0
     }
 
-    /// Notifies the keepers that this router leaves. The channel disconnects when they have
-    /// answered or cannot be reached.
+    /// Notifies the keepers that this router leaves. The returned channel disconnects when they
+    /// have answered or cannot be reached.
     fn send_leave(&mut self) -> Receiver<()> {
         let (ended, leave_sent) = bounded::<()>(0);
         let shared = self.shared.clone();
@@ -156,18 +158,20 @@
             let _ended = ended;
             let leave = KeeperCall::Leave(shared.id(), shared.incarnation);
             if let Err(failure) = shared.keepers.call_leader(&leave) {
-                tracing::warn!("router: cannot tell the keepers of the drain: {failure}.");
+                tracing::warn!("router: cannot notify the keepers of the drain: {failure}.");
             }
         };
         let thread = std::thread::Builder::new().name("leave".to_string()).spawn(run);
         match thread {
             Ok(thread) => self.threads.push(thread),
-            Err(error) => tracing::warn!("router: no thread to tell the keepers: {error}."),
+            Err(error) => tracing::warn!(
+                "router: cannot start the thread that notifies the keepers: {error}."
+            ),
         }
         leave_sent
     }
 
-    /// Stops at once.
+    /// Stops at once, without a drain.
     pub fn stop_now(mut self) {
         self.shut_down();
     }
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -1,4 +1,6 @@
-//! Placing a chat at its home: the candidates in order, then the queue, then a refusal.
+//! Placement of a chat request at its home router.
+//!
+//! The home tries the candidate engines in order, then queues the request, and finally refuses it.
 
 use std::time::Duration;
 
@@ -18,18 +20,20 @@
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{FleetKey, UpstreamKey};
 
-/// A request that found no place looks again after this, in milliseconds.
+/// Interval in milliseconds at which a request that no engine admitted tries the engines of other
+/// homes again while it waits in the queue.
 const RETRY_ELSEWHERE_MS: u64 = 40;
-/// So many engines of other homes are asked each time.
+/// The maximum number of engines of other homes that are tried at each of these intervals.
 const MAX_REMOTE_RETRIES: usize = 2;
 
-/// A request that the system gives up on is answered at once, with a time to come back.
+/// The error for a request that no engine can take; it asks the caller to retry after `after_ms`.
 pub(super) fn busy_error(after_ms: u64) -> CallerError {
     let text = "Every engine that may serve this is at its bound.";
     CallerError::not_run(503, "busy", text).after(after_ms)
 }
 
-/// Places a chat: the candidates in order, then the queue, then a refusal as not run.
+/// Serves a chat request from its home: tries the candidate engines in order, then waits in the
+/// queue, and refuses the request as not run when the policy's wait has passed.
 pub(super) fn serve_at_home(
     cx: &ServeContext,
     request: &CallerRequest,
@@ -68,7 +72,8 @@
             None => {}
             Some(RunEnd::Answered) => return,
             Some(RunEnd::TryElsewhere(error)) => {
-                // A connection that never opened multiplied no load, so it costs no retry.
+                // A try whose connection never opened added no load, so it isn't charged to the
+                // retry budget.
                 let free = error.code == UNREACHABLE_CODE;
                 if !free && !lock(&cx.shared.home_state).retries.spend() {
                     spent = Some(error);
@@ -80,7 +85,8 @@
     }
     match spent {
         Some(error) => {
-            // Bytes of a tried request may have been sent; the claim says what is known.
+            // Bytes of the last try may have been sent, so the claim ends with the status of that
+            // try.
             if let Some(claim) = held {
                 claim.end(claim_end_of(error.ran));
             }
@@ -90,7 +96,8 @@
     }
 }
 
-/// Waits for the holder when that is the cheapest; true when the request was answered there.
+/// Waits for the engine that holds the chat's prefix if `plan` says so; returns whether the request
+/// was answered there.
 fn wait_for_holder(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -116,7 +123,7 @@
     }
 }
 
-/// `None` when the engine has no room.
+/// Tries an engine of this home; returns `None` when the engine has no free capacity.
 fn try_local(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -129,7 +136,8 @@
     Some(run_on_engine(cx, placement, &slot, held, sink))
 }
 
-/// Asks the engine's own home; `None` when it has no room.
+/// Forwards the request to the home of the engine; returns `None` when the engine has no free
+/// capacity or the request cannot be forwarded.
 fn try_remote(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -165,8 +173,10 @@
     }
 }
 
-/// No engine has room: queues at this home, and meanwhile looks again elsewhere now and then, since
-/// engines of other homes grow light and homes and leases move; until the policy's wait is over.
+/// Queues the request at this home until the policy's wait is over, then refuses it.
+///
+/// Every `RETRY_ELSEWHERE_MS` it also tries engines of other homes, since their load, the homes and
+/// the leases may have changed in the meantime.
 fn wait_and_serve(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -185,7 +195,7 @@
                     return serve_on_slot(&cx.renewed(), placement, &slot, held, sink);
                 }
             }
-            // The queue here is full; elsewhere there may be room.
+            // The queue of this home is full, but an engine of another home may become free.
             None => std::thread::sleep(Duration::from_millis(slice_ms)),
         }
         if held.is_none() && serve_on_remote_engine(&cx.renewed(), placement, sink) {
@@ -195,7 +205,8 @@
     refuse_busy(cx, held, sink, 500 + wait_ms / 4);
 }
 
-/// Tries the engines of other homes; true when the request was answered.
+/// Tries the best engines of other homes; returns whether the caller has got its answer or an
+/// error.
 fn serve_on_remote_engine(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -216,7 +227,8 @@
     false
 }
 
-/// What was tried before did not run, or may be repeated: a claim is given back.
+/// Refuses the request as busy. Earlier tries did not run it, or it may be repeated, so a held
+/// claim is released as not dispatched.
 fn refuse_busy(
     cx: &ServeContext,
     held: &mut Option<HeldClaim>,
@@ -230,7 +242,7 @@
     sink.fail(&busy_error(retry_after_ms));
 }
 
-/// The last try: what it does not answer is refused.
+/// Runs the request on an admitted slot as the last try: a failure is reported to the caller.
 fn serve_on_slot(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -249,14 +261,15 @@
     }
 }
 
-/// The engine that a peer chose.
+/// The engine that a peer router chose for a forwarded request.
 pub(super) struct EngineTarget {
     pub(super) engine: UpstreamKey,
     pub(super) cached_tokens: u32,
     pub(super) import_from: Option<UpstreamKey>,
 }
 
-/// Serves on one engine of this home, or says that there is no room.
+/// Serves a forwarded request on one engine of this home, or refuses it when the engine has no free
+/// capacity.
 pub(super) fn serve_at_engine(
     cx: &ServeContext,
     request: &CallerRequest,
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -1,4 +1,4 @@
-//! Requests to plain upstreams.
+//! Requests to plain upstreams, which serve one request with one whole answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,11 +19,12 @@
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{FleetKey, UpstreamKey};
 
-/// The longest answer that is passed on whole, in bytes.
+/// The maximum length in bytes of an answer that is sent to the caller as a whole.
 pub(super) const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// The maximum number of upstreams that one request tries.
 const MAX_TRIES: usize = 3;
 
-/// Serves a plain request from one of its fleet.
+/// Serves a plain request from an upstream of its fleet, with retries on other upstreams.
 pub(super) fn serve_plain(
     cx: &ServeContext,
     request: &CallerRequest,
@@ -88,16 +89,20 @@
     sink.fail(&last);
 }
 
+/// The outcome of a try on one plain upstream.
 enum PlainEnd {
     Answered,
     NotRun(String),
-    /// It turned the request away and asks for rest, which says nothing of its health.
+    /// The upstream rejected the request and requested a back-off, which doesn't count against its
+    /// health.
     BackingOff(String),
     Unknown(String),
 }
 
-/// Chooses an upstream and counts the request there. Where there is none since all that take work rest, how long
-/// the first of them does, in milliseconds.
+/// Chooses an upstream and counts the request as in flight there.
+///
+/// The error holds the time in milliseconds until the first upstream ends its back-off, if all that
+/// accept work are backing off, or else `None`.
 fn choose(
     shared: &RouterShared,
     info: &FleetInfo,
@@ -117,7 +122,8 @@
     Ok(chosen)
 }
 
-/// The upstreams that aren't set aside, as this router knows them: it receives no other router's requests.
+/// Returns the upstreams of a fleet that are neither ejected nor leaving. Their load counts only
+/// this router's requests, since routers don't exchange the load of plain upstreams.
 fn candidates(
     home_state: &HomeState,
     info: &FleetInfo,
@@ -178,7 +184,8 @@
         let mut home_state = lock(&shared.home_state);
         let in_flight = home_state.plain_in_flight.entry(upstream).or_default();
         *in_flight = in_flight.saturating_sub(1);
-        // Whatever the end, or a refusal that says nothing of its health would keep it aside for good.
+        // Every outcome ends the trial; otherwise a refusal that doesn't count for or against its
+        // health would keep the upstream ejected for good.
         home_state.outliers.end_trial(upstream);
         if matches!(end, PlainEnd::Answered) {
             home_state.outliers.note_success(upstream);
@@ -190,7 +197,7 @@
     end
 }
 
-/// Notes the rest that an upstream asks for; false where it doesn't.
+/// Records the back-off that an upstream requested; returns false when it requested none.
 fn record_backoff(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
     let Some(backoff_ms) = plain::asked_rest(reply) else { return false };
     lock(&shared.home_state).notices.note_backoff(upstream, backoff_ms, shared.clock.next_ms());
--- a/lib/src/transport/router_relay.rs
+++ b/lib/src/transport/router_relay.rs
@@ -1,4 +1,4 @@
-//! The relay: pieces from an engine or a peer router, in order, to one caller.
+//! Relay of answers: pieces from an engine or a peer router are sent in order to one caller.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -14,15 +14,17 @@
 use crate::protocol::http::HttpReply;
 use crate::protocol::sse::{write_event, SseEvent, SseReader};
 
-/// A missing piece is waited for this long before the stream is resumed.
+/// How long a missing piece is awaited before the stream is resumed.
 const GAP_TIMEOUT: Duration = Duration::from_millis(100);
+/// The maximum length in bytes of a line of a stream; the rest of a longer line is read as another
+/// line.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// The caller is gone: it hung up, or does not read.
+/// The caller has closed its connection or does not read from it.
 #[derive(Debug)]
 pub(super) struct CallerGone;
 
-/// Where an answer goes: a stream, or an answer that is sent whole at its end.
+/// The destination of an answer: a stream, or a whole answer that is sent at its end.
 pub(super) struct AnswerSink<'a> {
     writer: &'a mut ResponseWriter,
     stream: bool,
@@ -54,27 +56,27 @@
         }
     }
 
-    /// Names the upstream that serves.
+    /// Sets the name of the upstream that serves the request.
     pub(super) fn set_upstream(&mut self, name: &str) {
         self.upstream = name.to_string();
     }
 
-    /// Names the router that the chat's next request should come to.
+    /// Sets the router to which the chat's next request should be sent.
     pub(super) fn set_router(&mut self, router: Option<SocketAddr>) {
         self.router = router;
     }
 
-    /// Counts routers passed after this one.
+    /// Sets the number of routers that the request passed.
     pub(super) fn set_hops(&mut self, hops: u8) {
         self.hops = hops;
     }
 
-    /// Whether the caller may have seen something of the answer.
+    /// Returns whether the caller may have received a part of the answer.
     pub(super) fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// Forgets what was kept of an answer that will be run anew elsewhere.
+    /// Discards the collected text of an answer that will be produced again by another engine.
     pub(super) fn discard_text(&mut self) {
         self.text.clear();
     }
@@ -104,7 +106,7 @@
         self.writer.begin(200, &headers).map_err(|_| CallerGone)
     }
 
-    /// Passes a piece on at once, or keeps it for the whole answer.
+    /// Sends a piece at once, or collects it for the whole answer.
     pub(super) fn send_piece(&mut self, number: u64, data: &str) -> Result<(), CallerGone> {
         if !self.stream {
             self.text.push_str(&piece_text(data));
@@ -116,7 +118,7 @@
         self.writer.chunk(&write_event(&event)).map_err(|_| CallerGone)
     }
 
-    /// The answer is whole.
+    /// Completes the answer after piece `last`.
     pub(super) fn end(&mut self, last: u64) -> Result<(), CallerGone> {
         if !self.stream {
             let body = whole_answer(&self.request_id, &self.upstream, &self.text, "stop");
@@ -132,7 +134,7 @@
         self.writer.finish().map_err(|_| CallerGone)
     }
 
-    /// The answer cannot be completed: an explicit error, never a clean end.
+    /// Ends an answer that cannot be completed with an explicit error, never with a clean end.
     pub(super) fn fail(&mut self, error: &CallerError) {
         if self.stream && self.begun {
             let data = error.to_value().to_string();
@@ -153,7 +155,8 @@
         let _ = self.writer.send(&reply);
     }
 
-    /// Passes an upstream's own refusal on as it is.
+    /// Sends an upstream's whole reply to the caller, with its status, its body and some of its
+    /// headers.
     pub(super) fn send_reply(&mut self, mut reply: HttpReply, ran: RanMark) {
         self.begun = true;
         let kind = reply.header("content-type").unwrap_or("application/octet-stream").to_string();
@@ -165,20 +168,22 @@
     }
 }
 
-/// How reading a stream ended.
+/// The outcome of relaying a stream.
 #[derive(Debug)]
 pub(super) enum StreamEnd {
-    /// With its last piece.
+    /// The stream was relayed to its end.
     Done,
-    /// Cut, or a piece is missing: resume after the last that was passed on.
+    /// The stream was cut or lacks a piece; it can be resumed after the last piece that was
+    /// relayed.
     Broken(String),
-    /// The sender says that it failed.
+    /// The sender reported a failure.
     Failed(String),
-    /// The caller is gone.
+    /// The caller has closed its connection or does not read from it.
     CallerGone,
 }
 
-/// Reads a stream to its end and passes its pieces on. `on_piece` is called with each.
+/// Reads a stream to its end and sends its pieces to the caller. `on_piece` is called with the
+/// number of each piece.
 pub(super) fn relay_stream(
     body: impl Read,
     order: &mut PieceOrder<String>,
@@ -249,7 +254,8 @@
     }
 }
 
-/// Routers name the upstream in each event's id; engines give the number only.
+/// Removes the upstream's name from an event's id. Routers add the name to the id, engines send the
+/// number alone.
 fn strip_upstream_name(mut event: SseEvent) -> SseEvent {
     if let Some(id) = &mut event.id {
         if let Some(at) = id.find('@') {
--- a/lib/src/transport/router_serve.rs
+++ b/lib/src/transport/router_serve.rs
@@ -1,4 +1,5 @@
-//! A caller's request at its entry router: read, checked, limited, decided, passed home.
+//! Handling of a caller's request at its entry router: it is read, authenticated, limited and
+//! decided, and forwarded to its home.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -28,27 +29,27 @@
 use crate::state::configuration::{hash_key, FleetKind, WorkspaceEntry};
 use crate::state::ids::{ChatKey, FleetKey, RouterId, WorkspaceKey};
 
-/// What the steps of serving one request share.
+/// The context that the steps of serving one request share.
 pub(super) struct ServeContext {
-    /// The router.
+    /// The state of this router.
     pub(super) shared: Arc<RouterShared>,
-    /// The view when the request came.
+    /// The view at the time when the request arrived.
     pub(super) view: Arc<RouterView>,
-    /// When it came.
+    /// When the request arrived.
     pub(super) arrived: Instant,
-    /// Routers that it passed before this one.
+    /// The number of routers that the request passed before this one.
     pub(super) hops: u8,
 }
 
 impl ServeContext {
-    /// The same with the view of now.
+    /// Returns the same context with the current view.
     pub(super) fn renewed(&self) -> ServeContext {
         let (shared, view) = (self.shared.clone(), self.shared.view());
         ServeContext { shared, view, arrived: self.arrived, hops: self.hops }
     }
 }
 
-/// Counts a request in and out.
+/// Counts a request as no longer in flight when dropped.
 struct InFlightGuard<'a>(&'a RouterShared);
 
 impl Drop for InFlightGuard<'_> {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Handles one exchange.
+/// Handles one HTTP exchange.
 pub(super) fn serve(shared: &Arc<RouterShared>, exchange: HttpExchange) {
     shared.in_flight.fetch_add(1, Ordering::Relaxed);
     let _count = InFlightGuard(shared);
@@ -78,7 +79,8 @@
     arrived: Instant,
 ) {
     shared.metrics.count("requests");
-    // The lease first: the view that is read after it holds all that the lease vouches for.
+    // The lease is checked before the view is read, so that the view is at least as new as the
+    // version that the lease covers.
     let leased = shared.is_leased();
     let serves = leased && !shared.draining.load(Ordering::Relaxed);
     let view = shared.view();
@@ -100,8 +102,8 @@
     }
 }
 
-/// Reads a request and checks its key. A key that is not known is refused for matches_key only while the
-/// lease proves that no newer configuration has it.
+/// Reads a request and checks its key. An unknown key is refused with a final error only while the
+/// lease proves that no newer configuration contains it.
 fn read_caller(
     shared: &RouterShared,
     view: &RouterView,
@@ -111,7 +113,7 @@
     let key_hash = caller_key(&call).map(hash_key);
     let fresh_id = format!("{:x}-{:x}", shared.incarnation.0, shared.next_number());
     let request = read_request(call, &fresh_id, wall_ms())?;
-    // A router that has never read a configuration knows no workspace to check against.
+    // A router that has never read a configuration has no workspaces to check against.
     if lock(&shared.lease).applied_version().is_none() {
         return Err(no_lease_error());
     }
@@ -127,7 +129,8 @@
     key_hash: Option<&str>,
 ) -> Result<(), CallerError> {
     let entry = view.configuration.workspaces.get(workspace);
-    // An unknown workspace is compared too, so that the time doesn't reveal whether it exists.
+    // The key of an unknown workspace is compared too, so that the time doesn't reveal whether the
+    // workspace exists.
     let expected = entry.map_or("0".repeat(64), |entry| entry.key_hash.clone());
     let presented = key_hash.unwrap_or("");
     let matches_key = bool::from(presented.as_bytes().ct_eq(expected.as_bytes()));
@@ -140,7 +143,7 @@
     }
 }
 
-/// The refusal of a router whose lease has lapsed.
+/// The error of a router whose lease has lapsed.
 pub(super) fn no_lease_error() -> CallerError {
     let text = "This router cannot vouch for what is in force now.";
     CallerError::not_run(503, "no_lease", text).after(1000)
@@ -179,7 +182,7 @@
     CallerError::not_run(429, "over_limit", text).at(WORKSPACE_HEADER).after(after)
 }
 
-/// Runs the workspace's policy.
+/// Decides how to route a request by running the workspace's policy.
 fn decide(
     view: &RouterView,
     request: &CallerRequest,
@@ -222,13 +225,15 @@
     })
 }
 
+/// Returns whether this router is home to an open engine of the fleet.
 fn is_home_of(cx: &ServeContext, fleet: FleetKey) -> bool {
     let home_state = lock(&cx.shared.home_state);
     let mut homed = home_state.homes.homed();
     homed.any(|(_, slot)| slot.fleet == fleet && !slot.closed)
 }
 
-/// The router that should position a chat: this one if it holds the chat, else the chat's home.
+/// Returns the router that should place a chat: this one if one of its engines holds the chat,
+/// otherwise the chat's home.
 fn next_home(cx: &ServeContext, fleet: FleetKey, chat: ChatKey) -> Option<RouterId> {
     let info = cx.view.fleets.get(&fleet)?;
     let home_state = lock(&cx.shared.home_state);
@@ -250,7 +255,7 @@
     let chat = chat_key(request);
     let fleet = FleetKey::of(&decision.fleet);
     let fresh = request.facts.as_ref().is_some_and(|facts| facts.fresh);
-    // A router that is home to none of the fleet has no queue to wait in.
+    // A router that is home to no engine of the fleet has no queue, so it forwards new chats too.
     let home = if fresh && is_home_of(cx, fleet) { None } else { next_home(cx, fleet, chat) };
     let session = home.filter(|home| *home != cx.shared.id());
     let session = session.and_then(|home| cx.view.roster.routers.get(&home));
@@ -259,7 +264,7 @@
         let aim = ForwardAim::ToChatHome(decision.clone());
         match forward(cx, session.address, request, aim, sink) {
             ForwardEnd::Answered => return,
-            // The home is gone or has no lease: this router stands in for it.
+            // The home is unreachable or has no lease, so this router places the chat instead.
             ForwardEnd::TryElsewhere(_) => {
                 if !lock(&cx.shared.home_state).retries.spend() {
                     return sink.fail(&busy_error(1000));
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share.
+//! The state that the threads of a router share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,48 +35,49 @@
 use crate::state::roster::RouterRoster;
 use crate::state::settings::RouterSettings;
 
-/// Chats that one home remembers.
+/// The maximum number of chats whose engines one home remembers.
 pub const MAX_REMEMBERED_CHATS: usize = 200_000;
 
-/// One upstream, as a view holds it.
+/// The data of one upstream in a view.
 #[derive(Clone, Debug)]
 pub struct UpstreamInfo {
-    /// Its name.
+    /// The upstream's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its fleet.
+    /// The fleet that it belongs to.
     pub fleet: FleetKey,
 }
 
-/// One fleet, as a view holds it.
+/// The data of one fleet in a view.
 #[derive(Clone, Debug)]
 pub struct FleetInfo {
-    /// Its rules.
+    /// The fleet's rules in the configuration.
     pub entry: Arc<FleetEntry>,
-    /// Those that take new work, with their homes.
+    /// The upstreams that accept new work, with their homes.
     pub view: FleetView,
-    /// All of its upstreams.
+    /// All upstreams of the fleet.
     pub members: Vec<UpstreamKey>,
 }
 
-/// All that a request needs to read, at one moment. Immutable; a newer one replaces it.
+/// An immutable snapshot of the data that requests read. A newer view replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct RouterView {
-    /// The configuration.
+    /// The configuration in force.
     pub configuration: Arc<Configuration>,
-    /// Its policies, compiled.
+    /// The compiled policies of the configuration, by name.
     pub policies: HashMap<String, Arc<PolicyProgram>>,
-    /// The routers.
+    /// The roster of routers.
     pub roster: RouterRoster,
-    /// The fleets.
+    /// The fleets by key.
     pub fleets: HashMap<FleetKey, FleetInfo>,
-    /// The upstreams.
+    /// The upstreams by key.
     pub upstreams: HashMap<UpstreamKey, UpstreamInfo>,
 }
 
 impl RouterView {
-    /// The view of a configuration and a roster; `closed` is whether an upstream takes no new work.
+    /// Makes the view of a configuration and a roster. `closed` returns whether an upstream accepts
+    /// no new work.
     pub fn new(
         configuration: Arc<Configuration>,
         roster: RouterRoster,
@@ -111,7 +112,7 @@
     }
 }
 
-/// Unchanged policies are not compiled again.
+/// Compiles the policies of a configuration, and reuses the programs of unchanged ones.
 fn compile_policies(
     configuration: &Configuration,
     before: &RouterView,
@@ -131,17 +132,17 @@
     policies
 }
 
-/// Who waits for a claim's answer.
+/// The claims that are still to be sent and the threads that wait for answers.
 pub(super) struct PendingClaims {
-    /// What is to be sent.
+    /// The claims and reports that are still to be sent.
     pub(super) batch: ClaimBatch,
-    /// By the caller's handle.
+    /// The threads that wait for the answer to a claim, by attempt number.
     pub(super) waiting: HashMap<u64, Sender<Option<ClaimAnswer>>>,
-    /// Batches that were sent by datagram, by number.
+    /// The threads that wait for the answers to a batch sent by datagram, by batch number.
     pub(super) batches: HashMap<u64, Sender<Option<Vec<ClaimAnswer>>>>,
 }
 
-/// The tables of a home, behind one lock because one decision reads most of them.
+/// The tables of a home. They share one lock, because one decision reads most of them.
 #[derive(Debug)]
 pub(super) struct HomeState {
     pub(super) homes: HomeTable,
@@ -161,16 +162,16 @@
     pub(super) shares: ShareTable,
 }
 
-/// What all threads of a router reach.
+/// The state that all threads of a router share.
 ///
 /// Lock order, where a thread must hold two: `view`, then `home_state`, then `limits`. The
-/// locks of `lease`, `claims`, `checker` and `seen` are never held with another.
+/// locks of `lease`, `claims`, `checker` and `metrics` are never held with another.
 pub struct RouterShared {
-    /// Its settings.
+    /// The router's settings.
     pub settings: RouterSettings,
-    /// This incarnation.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Its monotonic clock.
+    /// The monotonic clock of this process.
     pub clock: NodeClock,
     pub(super) client: HttpClient,
     pub(super) maker: Arc<SealMaker>,
@@ -186,15 +187,16 @@
     pub(super) claims: Mutex<PendingClaims>,
     pub(super) claims_ready: std::sync::Condvar,
     next_number: AtomicU64,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub(super) in_flight: AtomicUsize,
-    /// The router drains.
+    /// Whether the router is draining.
     pub(super) draining: AtomicBool,
-    /// The router stops.
+    /// Whether the router is stopping.
     pub(super) stopping: AtomicBool,
 }
 
-/// Takes a lock, also when a thread panicked with it: the tables are whole between steps.
+/// Takes a lock even if a thread panicked while holding it, since the tables are consistent between
+/// steps.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poison| poison.into_inner())
 }
@@ -209,8 +211,8 @@
     ) -> RouterShared {
         let checker = SealChecker::new(&settings.fleet_key, wall_ms());
         RouterShared {
-            // A later incarnation has a higher number, as long as the VM's clock does not fall back
-            // by more than its restart takes.
+            // A later incarnation has a higher number, unless the VM's clock is set back by more
+            // than the time that the restart takes.
             incarnation: Incarnation(wall_ms()),
             clock: NodeClock::default(),
             client,
@@ -253,32 +255,33 @@
         }
     }
 
-    /// This router's number.
+    /// Returns the number of this router.
     pub fn id(&self) -> RouterId {
         self.settings.id
     }
 
-    /// The view in force.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<RouterView> {
         self.view.read().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// A number that is unique in this incarnation.
+    /// Returns a number that is unique in this incarnation.
     pub(super) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Whether the lease proves that what is applied here is in force.
+    /// Returns whether the lease proves that the configuration applied here is in force.
     pub(super) fn is_leased(&self) -> bool {
         lock(&self.lease).may_serve(self.clock.now_ms())
     }
 
-    /// Whether new work may be taken here.
+    /// Returns whether this router may accept new requests.
     pub fn may_serve(&self) -> bool {
         self.is_leased() && !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Replaces the view after a change of configuration, roster or leaving lives.
+    /// Replaces the view after a change of the configuration, the roster, or the leaving or ejected
+    /// upstreams.
     pub(super) fn update_view(
         &self,
         configuration: Option<Arc<Configuration>>,
@@ -300,7 +303,8 @@
         *current = Arc::new(view);
     }
 
-    /// The load of a fleet, as known here and now.
+    /// Returns the load of a fleet from this router's own work and the last report of the other
+    /// routers.
     pub(super) fn fleet_load(
         &self,
         home_state: &HomeState,
@@ -312,7 +316,7 @@
         home_state.remote_load.fleet_load(fleet, own_work, engines, self.clock.now_ms())
     }
 
-    /// This router's rows for the load exchange.
+    /// Returns the rows that this router sends in the exchange of loads.
     pub(super) fn load_rows(&self) -> Vec<LoadRow> {
         let view = self.view();
         let home_state = lock(&self.home_state);
@@ -326,7 +330,7 @@
         engines.map(row).collect()
     }
 
-    /// What a placement in this fleet may go by.
+    /// Returns the data for placing `work` in a fleet.
     pub(super) fn placement_context<'a>(
         &self,
         home_state: &'a HomeState,
@@ -348,7 +352,7 @@
         }
     }
 
-    /// Notes where a chat went, here and for the chat's home.
+    /// Records that an engine holds a chat, in this router's memory and for the chat's home.
     pub(super) fn note_chat(
         &self,
         fleet: FleetKey,
@@ -362,7 +366,7 @@
         let mut home_state = lock(&self.home_state);
         let noted = home_state.memory.holders(chat).iter().any(|holder| holder.engine == engine);
         home_state.memory.note(chat, engine, incarnation, tokens);
-        // The chat's home is notified once for each engine; it need not know of each turn.
+        // The chat's home is notified only once for each engine, not on each turn of the chat.
         if let Some(home) = home.filter(|home| *home != self.settings.id && !noted) {
             home_state.chat_notes.entry(home).or_default().push(ChatNote {
                 chat,
@@ -373,7 +377,8 @@
         }
     }
 
-    /// Notes a incarnation that leaves; is_new is sent to the others, and closes it here at once.
+    /// Records that an incarnation of an upstream is leaving. A new report closes the upstream here
+    /// at once and is sent to the other routers.
     pub(super) fn note_leaving(&self, leaving: LeavingIncarnation) {
         let is_new = {
             let mut home_state = lock(&self.home_state);
@@ -392,7 +397,8 @@
         }
     }
 
-    /// Notes the incarnation that an upstream reported; a new incarnation opens it again.
+    /// Records the incarnation that an upstream reported. A new incarnation ends the leaving state
+    /// of the earlier one.
     pub(super) fn note_incarnation(&self, upstream: UpstreamKey, incarnation: Incarnation) {
         let opened = {
             let mut home_state = lock(&self.home_state);
@@ -411,6 +417,7 @@
     }
 }
 
+/// Updates which engines this router is home to, and which of them are closed.
 fn assign_homes(home_state: &mut HomeState, view: &RouterView, own: RouterId) {
     let epoch = view.roster.epoch;
     for (fleet, info) in &view.fleets {
@@ -426,7 +433,7 @@
 }
 
 impl RouterShared {
-    /// Bytes on the wire by kind.
+    /// Returns the counted messages and bytes on the wire by kind.
     pub fn wire_rows(&self) -> Vec<crate::protocol::operator::WireRow> {
         self.client.wire.rows()
     }
--- a/lib/src/transport/router_status.rs
+++ b/lib/src/transport/router_status.rs
@@ -11,6 +11,7 @@
 use crate::protocol::http::{HttpCall, HttpReply};
 use crate::state::ids::{ChatKey, FleetKey};
 
+/// Answers a directory request with the router addresses to use for a chat.
 pub(super) fn directory_reply(shared: &Arc<RouterShared>, call: &HttpCall) -> HttpReply {
     let view = shared.view();
     if view.roster.routers.is_empty() {
@@ -33,7 +34,8 @@
     HttpReply::json(200, &answer).with("cache-control", keep)
 }
 
-/// The fleet that the workspace's policy names for a service, when that alone decides.
+/// Returns the fleet that the workspace's policy chooses for a chat request to a service, without
+/// labels or a prompt.
 fn directory_fleet(view: &RouterView, workspace: &str, service: &str) -> Option<FleetKey> {
     let entry = view.configuration.workspaces.get(workspace)?;
     let program = view.policies.get(&entry.policy)?;
@@ -48,6 +50,7 @@
     Some(FleetKey::of(&decision.fleet))
 }
 
+/// Answers a request for the status page.
 pub(super) fn status_reply(shared: &Arc<RouterShared>) -> HttpReply {
     let view = shared.view();
     let now_ms = shared.clock.now_ms();
--- a/lib/src/transport/seen.rs
+++ b/lib/src/transport/seen.rs
@@ -1,4 +1,4 @@
-//! What a router has seen: histograms for each class and workspace, and counters.
+//! The metrics of a router: histograms for each class and workspace, and counters.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,11 +10,13 @@
 
 use crate::coordination::fair_queue::RequestClass;
 
-/// Workspaces beyond this many share one row, so that memory stays bounded.
+/// The number of workspaces whose histograms of all classes and phases fit into the table. Further
+/// workspaces share the rows of `other`, so that memory stays bounded.
 pub const MAX_WORKSPACES: usize = 64;
+/// The largest time that a histogram records, in microseconds: one hour.
 const MAX_RECORDED_US: u64 = 3_600_000_000;
 
-/// What is measured of a request.
+/// A phase of a request whose time is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPhase {
     /// From arrival to dispatch.
@@ -38,24 +40,24 @@
     }
 }
 
-/// One histogram's figures, in microseconds.
+/// The statistics of one histogram, in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistogramRow {
-    /// The class.
+    /// The request class.
     pub class: String,
     /// The workspace, or `other`.
     pub workspace: String,
-    /// What is measured.
+    /// The measured phase.
     pub phase: String,
-    /// How many values.
+    /// The number of values.
     pub count: u64,
-    /// The middle value.
+    /// The median.
     pub p50_us: u64,
-    /// 95 of 100 are at most this.
+    /// The 95th percentile.
     pub p95_us: u64,
-    /// 99 of 100 are at most this.
+    /// The 99th percentile.
     pub p99_us: u64,
-    /// The largest.
+    /// The largest value.
     pub max_us: u64,
 }
 
@@ -69,7 +71,7 @@
 }
 
 impl RouterMetrics {
-    /// A table whose counters also go to `statsd`, if given.
+    /// Makes empty metrics whose counters are also sent to `statsd`, if given.
     pub fn new(statsd: Option<SocketAddr>) -> RouterMetrics {
         let client = statsd.and_then(|address| {
             let socket = UdpSocket::bind("0.0.0.0:0").ok()?;
@@ -98,12 +100,12 @@
             key.1 = "other".to_string();
         }
         let histogram = table.entry(key).or_insert_with(|| {
-            Histogram::new_with_max(MAX_RECORDED_US, 2).expect("the bounds are constant and good")
+            Histogram::new_with_max(MAX_RECORDED_US, 2).expect("the constant bounds are valid")
         });
         histogram.saturating_record(us);
     }
 
-    /// All histograms.
+    /// Returns the statistics of all histograms.
     pub fn rows(&self) -> Vec<HistogramRow> {
         let table = self.histograms.lock().unwrap_or_else(|poison| poison.into_inner());
         let to_row = |((class, workspace, phase), histogram): (&HistogramKey, &Histogram<u64>)| {
@@ -121,7 +123,7 @@
         table.iter().map(to_row).collect()
     }
 
-    /// All counters.
+    /// Returns all counters by name.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         let counters = self.counters.lock().unwrap_or_else(|poison| poison.into_inner());
         counters.iter().map(|(name, count)| (name.to_string(), *count)).collect()
--- a/lib/src/transport/worker_pool.rs
+++ b/lib/src/transport/worker_pool.rs
@@ -1,7 +1,8 @@
-//! A pool of workers that grows to a fixed limit and shrinks when idle.
+//! A pool of worker threads that grows to a fixed limit and shrinks when idle.
 //!
-//! A stream holds its worker to its end, so the limit is also the limit of requests
-//! in flight. A job that finds no room is given back, to be refused at once.
+//! A stream occupies its worker until it ends, so the limit of the pool is also the limit of
+//! requests in flight. A job for which no worker is free is returned, so that the caller can refuse
+//! it at once.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -9,13 +10,15 @@
 
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 
-/// Stacks of workers: enough for the deepest call, small enough for thousands.
+/// The stack size of a worker: enough for the deepest call, and small enough for thousands of
+/// workers.
 const STACK_BYTES: usize = 256 << 10;
+/// How long an idle worker waits for a job before it ends.
 const IDLE: Duration = Duration::from_secs(5);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// See the module.
+/// A pool of worker threads; clones share the workers.
 #[derive(Clone)]
 pub struct WorkerPool {
     sender: Sender<Job>,
@@ -26,18 +29,19 @@
 }
 
 impl WorkerPool {
-    /// A pool of at most `limit` workers.
+    /// Makes a pool of at most `limit` workers.
     pub fn new(name: &'static str, limit: usize) -> WorkerPool {
         let (sender, receiver) = bounded(0);
         WorkerPool { sender, receiver, workers: Arc::default(), limit, name }
     }
 
-    /// How many workers there are now.
+    /// Returns the current number of workers.
     pub fn workers(&self) -> usize {
         self.workers.load(Ordering::Relaxed)
     }
 
-    /// Runs a job on an idle or new worker, or gives it back when all are busy.
+    /// Runs a job on an idle or new worker, or returns it when all workers are busy or no thread
+    /// can be started.
     pub fn run(&self, job: Job) -> Result<(), Job> {
         let job = match self.sender.try_send(job) {
             Ok(()) => return Ok(()),
@@ -76,7 +80,7 @@
     slot.lock().unwrap_or_else(|poison| poison.into_inner()).take()
 }
 
-/// Counts a worker down also when its job panicked.
+/// Counts a worker as ended when dropped, even if its job panicked.
 struct WorkerCount(Arc<AtomicUsize>);
 
 impl Drop for WorkerCount {
