--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -396,8 +396,8 @@
             };
             if !other.blank && other.members.get(&own.id) != Some(&own.incarnation) {
                 tracing::error!(
-                    "keeper: this disk is blank but the group exists already; the keeper does not vote \
-                     until it is added by `wingshed keeper replace`."
+                    "keeper: this disk is blank but the group exists already; the keeper does not \
+                     vote until it is added by `wingshed keeper replace`."
                 );
                 return true;
             }
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -110,7 +110,9 @@
             sink.fail(&error.with_ran(RanMark::Unknown));
         }
         StreamEnd::Broken(text) => {
-            tracing::warn!("relay: the stream from a peer broke off ({text}); resuming at upstream {upstream}.");
+            tracing::warn!(
+                "relay: the stream from a peer broke off ({text}); resumes at {upstream}."
+            );
             cx.shared.metrics.count("streams.taken_over");
             let position = ResumePlace { upstream: upstream.to_string(), last: order.last() };
             resume_for_caller(cx, request, &position, sink);
--- a/lib/tests/test_answer_body.rs
+++ b/lib/tests/test_answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer that is relayed piece by piece.
+//! Tests of the body of an answer that is relayed piece by piece.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -7,7 +7,7 @@
 use hyper::body::Body;
 use wingshed_lib::transport::vm_relay::{AnswerBody, CutShort};
 
-/// All pieces that the body brings, and how it ends.
+/// Returns all pieces of the body and how it ends.
 async fn read(mut body: AnswerBody) -> (Vec<Bytes>, Result<(), CutShort>) {
     let mut pieces = Vec::new();
     loop {
--- a/lib/tests/test_broken_answers.rs
+++ b/lib/tests/test_broken_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that break off on their way to a router, as their callers see them.
+//! Tests what callers receive when the answer of an upstream breaks off on its way to a router.
 
 mod testutils;
 
@@ -11,8 +11,8 @@
 use wingshed_standin::caller::{chat_call, plain_call, send};
 use wingshed_standin::system::SystemMake;
 
-/// A system of one router, with these beside its upstreams.
-fn system_beside(
+/// Starts a system of one router, with `upstreams` added to the fleet. `change` adapts the system.
+fn system_with_upstreams(
     change: impl FnOnce(&mut SystemMake),
     fleet: &str,
     upstreams: &[SocketAddr],
@@ -32,14 +32,15 @@
     fixture
 }
 
-fn short_of_its_length() -> SocketAddr {
+fn answer_short_of_its_length() -> SocketAddr {
     let bytes = b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf".to_vec();
     raw_answer(bytes, RawEnd::Close, RawPace::AtOnce)
 }
 
 #[test]
 fn a_plain_answer_short_of_its_length_is_an_explicit_failure() {
-    let fixture = system_beside(|make| make.plains = 0, "plain", &[short_of_its_length()]);
+    let fixture =
+        system_with_upstreams(|make| make.plains = 0, "plain", &[answer_short_of_its_length()]);
     let system = &fixture.system;
 
     for service in ["plain", "receipts"] {
@@ -53,7 +54,8 @@
 
 #[test]
 fn a_repeatable_request_whose_answer_is_short_of_its_length_is_repeated_elsewhere() {
-    let fixture = system_beside(|make| make.plains = 1, "plain", &[short_of_its_length()]);
+    let fixture =
+        system_with_upstreams(|make| make.plains = 1, "plain", &[answer_short_of_its_length()]);
     let system = &fixture.system;
 
     for number in 0..10 {
@@ -68,7 +70,7 @@
 fn an_engines_refusal_that_breaks_off_is_not_passed_on_as_whole() {
     let bytes = b"HTTP/1.1 400 Bad\r\ncontent-length: 10\r\n\r\nhalf".to_vec();
     let engine = raw_answer(bytes, RawEnd::Close, RawPace::AtOnce);
-    let fixture = system_beside(|make| make.engines = 0, "engines", &[engine]);
+    let fixture = system_with_upstreams(|make| make.engines = 0, "engines", &[engine]);
     let system = &fixture.system;
 
     let call = chat_call(&returning_chat("refused", "chat"));
@@ -84,7 +86,7 @@
     let bytes = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let upstream = raw_answer(bytes.into_bytes(), RawEnd::Close, RawPace::AtOnce);
     let change = |make: &mut SystemMake| (make.plains, make.routers) = (0, 2);
-    let mut fixture = system_beside(change, "plain", &[upstream]);
+    let mut fixture = system_with_upstreams(change, "plain", &[upstream]);
     let system = &mut fixture.system;
     let entry = system.router_addresses()[0];
     let drained = system.routers[0].take().unwrap();
--- a/lib/tests/test_http_client.rs
+++ b/lib/tests/test_http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client takes an answer for whole only when its framing says so.
+//! Tests that the HTTP client accepts an answer as complete only when its framing ends it.
 
 mod testutils;
 
@@ -6,7 +6,8 @@
 use wingshed_lib::protocol::http::{HttpCall, HttpReply};
 use wingshed_lib::transport::http_client::{CallFailure, CallTimes, HttpClient};
 
-/// A case, its method, what is sent, how the connection ends, and the body that is read.
+/// A case: its name, the method, the bytes of the answer, how the connection ends, and the expected
+/// body.
 type WholeRow = (&'static str, &'static str, &'static [u8], RawEnd, &'static [u8]);
 
 fn call(method: &str, bytes: &[u8], end: RawEnd, pace: RawPace) -> Result<HttpReply, CallFailure> {
@@ -63,17 +64,17 @@
         ("no framing, reset", b"HTTP/1.1 200 OK\r\n\r\nhalf", RawEnd::Reset),
     ];
 
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     for (case, bytes, end) in rows {
         for pace in [RawPace::AtOnce, RawPace::ByByte] {
             let reply = call("GET", bytes, end, pace);
             if !matches!(reply, Err(CallFailure::Broken { .. })) {
-                taken.push(format!("{case}, {pace:?}"));
+                accepted.push(format!("{case}, {pace:?}"));
             }
         }
     }
 
-    assert_eq!(taken, Vec::<String>::new());
+    assert_eq!(accepted, Vec::<String>::new());
 }
 
 #[test]
--- a/lib/tests/test_http_server.rs
+++ b/lib/tests/test_http_server.rs
@@ -1,5 +1,5 @@
-//! The HTTP server's promises: pieces leave at once, slow and silent callers are bounded,
-//! limits refuse, and a cut answer is seen as cut.
+//! Tests of the HTTP server: pieces are sent at once, slow and silent callers use bounded memory
+//! and time, requests beyond the limits are refused, and callers detect a cut answer.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -42,13 +42,13 @@
 
 #[test]
 fn each_piece_leaves_before_the_next_is_made() {
-    let (go, gone) = bounded::<()>(0);
+    let (go, proceed) = bounded::<()>(0);
     let server = server(Arc::new(move |mut exchange: HttpExchange| {
         exchange.writer.begin(200, &[]).unwrap();
         for number in 0..5 {
             exchange.writer.chunk(format!("piece {number}\n").as_bytes()).unwrap();
-            // The next piece is made only once the caller has read this one.
-            gone.recv().unwrap();
+            // The next piece is produced only after the caller has read this one.
+            proceed.recv().unwrap();
         }
         exchange.writer.finish().unwrap();
     }));
@@ -70,24 +70,24 @@
 
 #[test]
 fn a_caller_that_does_not_read_holds_a_bounded_buffer_and_is_given_up() {
-    let (told, hear) = unbounded();
-    let taken = Arc::new(AtomicUsize::new(0));
-    let counted = taken.clone();
+    let (ended, handler_ended) = unbounded();
+    let written = Arc::new(AtomicUsize::new(0));
+    let counted = written.clone();
     let server = server(Arc::new(move |mut exchange: HttpExchange| {
         exchange.writer.begin(200, &[]).unwrap();
         let piece = vec![7; 64 << 10];
         while exchange.writer.chunk(&piece).is_ok() {
             counted.fetch_add(piece.len(), Ordering::Relaxed);
         }
-        told.send(()).unwrap();
+        ended.send(()).unwrap();
     }));
 
     let mut caller = TcpStream::connect(server.address).unwrap();
     caller.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-    let given_up = hear.recv_timeout(Duration::from_secs(20));
+    let given_up = handler_ended.recv_timeout(Duration::from_secs(20));
 
-    assert!(given_up.is_ok(), "the handler is told that the caller does not read");
-    assert!(taken.load(Ordering::Relaxed) < 64 << 20, "what waits is bounded");
+    assert!(given_up.is_ok(), "the writer fails because the caller does not read");
+    assert!(written.load(Ordering::Relaxed) < 64 << 20, "the buffered bytes are bounded");
 }
 
 #[test]
@@ -113,8 +113,8 @@
         ("HeadersTooLong", HttpCall::get("/").with("x-long", long)),
     ];
 
-    for (refusal, asked) in rows {
-        let reply = call(server.address, &asked).unwrap();
+    for (refusal, request) in rows {
+        let reply = call(server.address, &request).unwrap();
         assert_eq!(String::from_utf8(reply.body).unwrap(), format!("\"{refusal}\""));
     }
     let reply = call(server.address, &HttpCall::post("/", b"still here".to_vec())).unwrap();
@@ -142,9 +142,9 @@
 
 #[test]
 fn more_than_the_limit_in_flight_are_refused_at_once() {
-    let (go, gone) = bounded::<()>(0);
+    let (go, proceed) = bounded::<()>(0);
     let server = server(Arc::new(move |mut exchange: HttpExchange| {
-        gone.recv().unwrap();
+        proceed.recv().unwrap();
         let _ = exchange.writer.send(&HttpReply { status: 200, ..HttpReply::default() });
     }));
     let address = server.address;
@@ -187,8 +187,8 @@
     }
 }
 
-/// What an HTTP/1.0 caller reads of an answer, and how its connection ends.
-fn read_by_old_caller(handler: ExchangeHandler) -> (String, std::io::Result<usize>) {
+/// Returns the bytes of an answer that an HTTP/1.0 caller reads, and how its connection ends.
+fn read_as_http_10(handler: ExchangeHandler) -> (String, std::io::Result<usize>) {
     let server = server(handler);
     let mut caller = TcpStream::connect(server.address).unwrap();
     caller.write_all(b"GET / HTTP/1.0\r\nhost: x\r\n\r\n").unwrap();
@@ -199,18 +199,18 @@
 
 #[test]
 fn a_caller_without_chunks_sees_that_its_answer_was_cut() {
-    let (answer, end) = read_by_old_caller(Arc::new(|mut exchange: HttpExchange| {
+    let (answer, end) = read_as_http_10(Arc::new(|mut exchange: HttpExchange| {
         exchange.writer.begin(200, &[]).unwrap();
         exchange.writer.chunk(b"some").unwrap();
         std::thread::sleep(Duration::from_millis(100));
     }));
 
-    assert!(end.is_err(), "the connection ended well after {answer:?}");
+    assert!(end.is_err(), "the connection ended cleanly after {answer:?}");
 }
 
 #[test]
 fn a_caller_without_chunks_gets_its_answer_whole() {
-    let (answer, end) = read_by_old_caller(Arc::new(|mut exchange: HttpExchange| {
+    let (answer, end) = read_as_http_10(Arc::new(|mut exchange: HttpExchange| {
         exchange.writer.begin(200, &[]).unwrap();
         for _ in 0..100 {
             exchange.writer.chunk(&[b'x'; 10_000]).unwrap();
--- a/lib/tests/test_keepers.rs
+++ b/lib/tests/test_keepers.rs
@@ -1,4 +1,4 @@
-//! The keepers' promises on running nodes: changes, claims, repair, planned stops.
+//! Tests of the keepers' guarantees on running nodes: changes, claims, repair and planned stops.
 
 mod testutils;
 
@@ -32,7 +32,7 @@
         if let Some(reply) = system.operate("POST", "/operator/changes", Some(change)) {
             return (reply.status, serde_json::from_slice(&reply.body).unwrap());
         }
-        assert!(Instant::now() < until, "no keeper takes the change");
+        assert!(Instant::now() < until, "no keeper accepts the change");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -43,7 +43,7 @@
         if let Some((version, _)) = system.current() {
             return version;
         }
-        assert!(Instant::now() < until, "no keeper vouches");
+        assert!(Instant::now() < until, "no keeper has the leader's lease");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -70,7 +70,7 @@
         assert_eq!((*status, &answer["Conflict"]["winner"]), (409, &json!(winner_id)));
     }
 
-    // The same ids again: from another leader, and after every keeper was started anew.
+    // The same ids are sent again: to another leader, and after a restart of every keeper.
     let leader = system.wait_leader();
     system.keepers[leader].take().unwrap().stop_now();
     let resent: Vec<(u16, Value)> = changes.iter().map(|change| submit(&system, change)).collect();
@@ -154,12 +154,12 @@
     };
     let before = votes(&system);
 
-    // With the lost disk not counted, the two others are the whole quorum: losing one more
-    // must stop the group rather than let the blank keeper vote.
+    // Without the lost disk the two other keepers are the whole quorum. If one more is lost, the
+    // group must stop and not let the blank keeper vote.
     let other = 3 - leader - lost;
     system.keepers[other].take().unwrap().stop_now();
     std::thread::sleep(Duration::from_millis(2500));
-    let vouched = system.leader();
+    let leader_without_quorum = system.leader();
     system.start_keeper(other);
     system.wait_leader();
     let address = system.keeper_settings(lost).address;
@@ -168,17 +168,17 @@
     step_until(&system, &json!({ "step": "promote", "id": lost_id }));
     let after = votes(&system);
 
-    // A second loss right after the repair is survived.
+    // The group survives a second loss right after the repair.
     let leader = system.wait_leader();
     let victim = (0..3).find(|at| *at != leader && *at != lost).unwrap();
     system.keepers[victim].take().unwrap().stop_now();
     let base = version(&system);
     let (status, _) = submit(&system, &workspace_change("after", base, "after"));
 
-    assert_eq!(vouched, None, "one keeper and a blank disk are no quorum");
+    assert_eq!(leader_without_quorum, None, "one keeper and a blank disk are no quorum");
     assert!(before.iter().all(|(_, votes)| *votes));
     assert!(after.iter().all(|(_, votes)| *votes));
-    assert_ne!(before, after, "the new life counts in place of the old");
+    assert_ne!(before, after, "the new incarnation replaces the old one");
     assert_eq!(status, 200);
 }
 
@@ -275,31 +275,31 @@
     let fixture = three_keepers();
     let mut system = fixture.system;
     let order = |id: &str, upstream: &str| json!({ "id": id, "upstream": upstream, "action": { "do": "load", "artifact": id } });
-    let give = |system: &SystemStandIn, body: &Value| {
+    let submit_order = |system: &SystemStandIn, body: &Value| {
         let reply = system.operate("POST", "/operator/orders", Some(body)).unwrap();
         assert_eq!(reply.status, 200, "{}", String::from_utf8_lossy(&reply.body));
     };
     system.wait_leader();
 
     for number in 0..3 {
-        give(&system, &order(&format!("o{number}"), "engine-0"));
+        submit_order(&system, &order(&format!("o{number}"), "engine-0"));
     }
-    give(&system, &order("o0", "engine-0"));
+    submit_order(&system, &order("o0", "engine-0"));
     let leader = system.wait_leader();
     system.keepers[leader].take().unwrap().stop_now();
     system.wait_leader();
-    give(&system, &order("o3", "engine-0"));
-    let taken = || system.engines[0].as_ref().unwrap().orders();
+    submit_order(&system, &order("o3", "engine-0"));
+    let received = || system.engines[0].as_ref().unwrap().orders();
     let until = Instant::now() + Duration::from_secs(10);
-    while taken().len() < 4 && Instant::now() < until {
+    while received().len() < 4 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(50));
     }
 
-    let taken = taken();
+    let received = received();
     let artifacts: Vec<&str> =
-        taken.iter().map(|(_, action)| action["artifact"].as_str().unwrap()).collect();
-    assert_eq!(artifacts, ["o0", "o1", "o2", "o3"], "in the log's order, each once");
-    assert!(taken.windows(2).all(|pair| pair[0].0 < pair[1].0), "fences rise: {taken:?}");
+        received.iter().map(|(_, action)| action["artifact"].as_str().unwrap()).collect();
+    assert_eq!(artifacts, ["o0", "o1", "o2", "o3"], "each order once, in the order of the log");
+    assert!(received.windows(2).all(|pair| pair[0].0 < pair[1].0), "fences increase: {received:?}");
 }
 
 #[test]
@@ -332,26 +332,26 @@
     let before = chat_call(&returning_chat("before", "alert"));
     assert!(send(&system.client, system.router_addresses()[1], &before, None).whole);
 
-    // Zone "a" holds keeper 1, router 1 and engines 0 and 3.
+    // Zone "a" contains keeper 1, router 1 and engines 0 and 3.
     system.keepers[0].take().unwrap().stop_now();
     system.routers[0].take().unwrap().stop_now();
     system.kill_engine(0);
     system.kill_engine(3);
     let (status, _) = submit(&system, &workspace_change("zone", base, "zone"));
-    // Sessions lapse, and homes move, within a few seconds.
+    // Sessions lapse and homes move within a few seconds.
     std::thread::sleep(Duration::from_millis(4500));
     let routers = system.router_addresses();
     for number in 0..30 {
         let mut chat = returning_chat(&format!("after-{number}"), "chat");
         chat.chat = format!("chat-{number}");
         let answer = send(&system.client, routers[number % 2], &chat_call(&chat), None);
-        assert!(answer.whole, "the zones left serve everything: {answer:?}");
+        assert!(answer.whole, "the remaining zones serve every request: {answer:?}");
     }
     let again = send(&system.client, routers[0], &before, None);
     let listed = directory(&system.client, routers[0], "workspace=w0");
 
     assert_eq!(status, 200);
-    assert_eq!(again.status, 409, "claims survive: {again:?}");
+    assert_eq!(again.status, 409, "claims survive the loss: {again:?}");
     assert_eq!(listed.len(), 2, "the lost router is in no directory: {listed:?}");
     assert!(system.leader().is_some());
 }
--- a/lib/tests/test_promises.rs
+++ b/lib/tests/test_promises.rs
@@ -1,4 +1,4 @@
-//! The promises of the brief as tables of fault cases, each named after what it provokes.
+//! Tests of the system's guarantees, as tables of fault cases that are named after the fault.
 
 mod testutils;
 
@@ -47,8 +47,8 @@
 
 type Fault = fn(&EngineFaults);
 
-/// Faults of a stream after which the answer must still be whole.
-const MENDED: [(&str, Fault); 7] = [
+/// Faults of a stream after which the answer must still be complete.
+const REPAIRED: [(&str, Fault); 7] = [
     ("pieces doubled", |f| f.double_every.store(2, Ordering::Relaxed)),
     ("pieces out of order", |f| f.swap_every.store(3, Ordering::Relaxed)),
     ("pieces missing", |f| f.lose_every.store(5, Ordering::Relaxed)),
@@ -67,7 +67,7 @@
     let fixture = one_router_two_engines();
     let system = &fixture.system;
 
-    for (case, fault) in MENDED {
+    for (case, fault) in REPAIRED {
         for (stream, service) in [(true, "chat"), (false, "chat"), (true, "alert")] {
             each_engine(system, clear);
             each_engine(system, fault);
@@ -83,8 +83,8 @@
     }
 }
 
-/// Faults that cannot be mended must end in an explicit error.
-const EXPLICIT: [(&str, Fault); 2] = [
+/// Faults that cannot be repaired, after which the answer must end in an explicit error.
+const UNREPAIRABLE: [(&str, Fault); 2] = [
     ("the engine says that it failed", |f| f.fail_after.store(3, Ordering::Relaxed)),
     ("cut, and the run is forgotten", |f| {
         f.cut_after.store(3, Ordering::Relaxed);
@@ -97,7 +97,7 @@
     let fixture = one_router_two_engines();
     let system = &fixture.system;
 
-    for (case, fault) in EXPLICIT {
+    for (case, fault) in UNREPAIRABLE {
         each_engine(system, clear);
         each_engine(system, fault);
         let id = case.replace([' ', ','], "-");
@@ -130,9 +130,9 @@
 
             assert_eq!(answer.ran, Some(RanMark::No), "{case}, {service}: {answer:?}");
             assert!(!system.starts().contains_key(&run_id("w0", &id)), "{case}");
-            assert!(started.elapsed() < Duration::from_secs(4), "the refusal comes at once");
+            assert!(started.elapsed() < Duration::from_secs(4), "the request is refused at once");
         }
-        // The claim was given back, so the same request may be tried again and runs.
+        // The claim was released, so the same request may be sent again and runs.
         each_engine(system, clear);
         std::thread::sleep(Duration::from_millis(2500));
         let id = format!("{}-alert", case.replace(' ', "-"));
@@ -145,7 +145,7 @@
 fn run_once_is_not_tried_again_after_it_may_have_run() {
     let fixture = one_router_two_engines();
     let system = &fixture.system;
-    // Let the router learn each engine's life.
+    // Wait until the router has read the incarnation of each engine.
     std::thread::sleep(Duration::from_millis(2500));
     let fault: Fault = |f| {
         f.cut_before_head.store(true, Ordering::Relaxed);
@@ -154,8 +154,8 @@
     };
     each_engine(system, fault);
 
-    // The run began and the connection was cut; a later life knows nothing of it, which
-    // says nothing about the life before.
+    // The run began and its connection was cut. A later incarnation of the engine reports that it
+    // doesn't have the run, which doesn't prove that the earlier incarnation didn't run it.
     let answer = ask(system, &returning_chat("lost", "alert"));
     each_engine(system, clear);
     let again = ask(system, &returning_chat("lost", "alert"));
@@ -229,7 +229,7 @@
     }
 }
 
-/// When a refusal says to come back.
+/// Returns the retry time of a refusal, in milliseconds.
 fn retry_after_ms(body: &str) -> u64 {
     let body: serde_json::Value = serde_json::from_str(body).unwrap();
     body["error"]["retry_after_ms"].as_u64().unwrap()
@@ -244,35 +244,34 @@
         let call = plain_call("w0", "k0", id, "plain", "POST", "/x");
         send(&system.client, router, &call, None)
     };
-    let tire = |at: usize, rest_s: u64| {
+    let request_backoff = |at: usize, rest_s: u64| {
         let faults = system.plains[at].as_ref().unwrap().faults();
         faults.refuse.store(true, Ordering::Relaxed);
         faults.rest_s.store(rest_s, Ordering::Relaxed);
     };
     let refused = || -> Vec<u64> { system.plains.iter().flatten().map(|p| p.refused()).collect() };
 
-    tire(0, 600);
+    request_backoff(0, 600);
     let served = (0..12).filter(|at| call(&format!("beside-{at}")).whole).count();
-    let beside = refused();
-    tire(1, 300);
+    let refused_beside = refused();
+    request_backoff(1, 300);
     call("last");
-    let before = refused();
+    let refused_before = refused();
     let answer = call("all-rest");
 
-    assert_eq!((served, beside), (12, vec![1, 0]), "it is asked once");
+    assert_eq!((served, refused_beside), (12, vec![1, 0]), "the upstream gets one request");
     assert_eq!((answer.status, answer.ran), (503, Some(RanMark::No)), "{answer:?}");
-    assert_eq!(refused(), before, "nobody is asked while all rest");
+    assert_eq!(refused(), refused_before, "no upstream gets a request while all back off");
     let wait_ms = retry_after_ms(&answer.body);
-    // The clock reads whole milliseconds: asked for within this one, a rest ends within the last of these.
-    let most_ms = 300_000 + 1;
-    assert!((290_000..=most_ms).contains(&wait_ms), "the earliest return: {wait_ms}");
+    // The clock counts whole milliseconds, so a back-off may end up to one millisecond later.
+    let max_ms = 300_000 + 1;
+    assert!((290_000..=max_ms).contains(&wait_ms), "the end of the earliest back-off: {wait_ms}");
 }
 
-/// The story: an upstream failed a few requests and was set aside for two seconds. The first request that
-/// tried it again came in a moment in which it wanted rest. From then on this router never sent it another,
-/// though it had rested and was well: callers got what the others bore. The cause: a try ended by a success
-/// or by a failure alone, and who asks for rest is neither. The evidence: none of 40 requests reached it four
-/// seconds after its rest, while nothing else kept it from them.
+/// Guards against an ejected upstream that never gets requests again. After its ejection the first
+/// request is a trial. If the upstream answered the trial with a request to back off, the trial
+/// never ended, since only a success or a failure ended it, and the router sent no further requests
+/// although the upstream was healthy after its back-off.
 #[test]
 fn an_upstream_that_asks_for_rest_when_it_is_tried_again_is_sent_requests_after_it() {
     let fixture = system_with(|make| make.routers = 1);
@@ -284,25 +283,25 @@
             send(&system.client, router, &call, None);
         }
     };
-    let tired = system.plains[0].as_ref().unwrap();
-    let counts = || (tired.runs().len(), tired.refused());
-    tired.faults().cut.store(true, Ordering::Relaxed);
+    let failing = system.plains[0].as_ref().unwrap();
+    let counts = || (failing.runs().len(), failing.refused());
+    failing.faults().cut.store(true, Ordering::Relaxed);
     call_often("fails");
-    let set_aside = counts();
-    tired.faults().cut.store(false, Ordering::Relaxed);
-    tired.faults().refuse.store(true, Ordering::Relaxed);
-    tired.faults().rest_s.store(1, Ordering::Relaxed);
+    let ejected = counts();
+    failing.faults().cut.store(false, Ordering::Relaxed);
+    failing.faults().refuse.store(true, Ordering::Relaxed);
+    failing.faults().rest_s.store(1, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(FIRST_EJECTION_MS + 100));
     call_often("tried");
-    let asked_rest = counts();
-    tired.faults().refuse.store(false, Ordering::Relaxed);
+    let after_trial = counts();
+    failing.faults().refuse.store(false, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(1500));
 
     call_often("rested");
 
-    assert!((1..10).contains(&set_aside.0), "set aside after a few: {set_aside:?}");
-    assert_eq!(asked_rest, (set_aside.0, 1), "one request tries it");
-    assert!(counts().0 > set_aside.0, "it has rested and serves: {:?}", counts());
+    assert!((1..10).contains(&ejected.0), "ejected after a few failures: {ejected:?}");
+    assert_eq!(after_trial, (ejected.0, 1), "one request is the trial");
+    assert!(counts().0 > ejected.0, "the upstream serves after its back-off: {:?}", counts());
 }
 
 #[test]
@@ -358,7 +357,8 @@
     assert!(later.whole, "{later:?}");
 }
 
-// Callers of a workspace that was just added took 401 from a router that had not heard of it for final.
+// Guards against a final 401 for callers of a new workspace, from a router that has no lease and
+// has not received the workspace yet.
 #[test]
 fn a_router_without_a_lease_calls_no_key_wrong() {
     let mut fixture = system_with(|_| {});
@@ -432,5 +432,5 @@
     assert_eq!(busy.upstream, first.upstream, "the holder is busy with the same chat");
     assert_ne!(second.upstream, first.upstream);
     assert_eq!(counters.get("kv.imported"), Some(&1), "{counters:?}");
-    assert_eq!(counters.get("cache.reused"), Some(&2), "both found the prefix: {counters:?}");
+    assert_eq!(counters.get("cache.reused"), Some(&2), "both reused the prefix: {counters:?}");
 }
--- a/lib/tests/test_whole_path.rs
+++ b/lib/tests/test_whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path over real sockets: caller, directory, router, home, engine.
+//! Tests of the whole path of a request over real sockets: caller, directory, router, home and
+//! engine.
 
 mod testutils;
 
@@ -53,7 +54,10 @@
 
         assert!(firsts.iter().all(|first| *first == firsts[0]), "{firsts:?}");
         assert_eq!(second.hops, 0, "{second:?}");
-        assert_eq!(second.upstream, answer.upstream, "it returns to where its prefix is");
+        assert_eq!(
+            second.upstream, answer.upstream,
+            "the chat returns to the engine that holds its prefix"
+        );
     }
 }
 
@@ -106,7 +110,7 @@
         std::thread::sleep(Duration::from_millis(700));
         let kept = chat_call(&returning_chat("kept", "chat"));
         let late = send(&system.client, routers[0], &kept, None);
-        assert!(late.whole, "a caller who kept the address is served by a peer: {late:?}");
+        assert!(late.whole, "a caller that kept the address is served by a peer: {late:?}");
         let listed = directory(&system.client, routers[1], "workspace=w0");
         (running.join().unwrap(), draining.join().unwrap(), listed)
     });
--- a/lib/tests/testutils/mod.rs
+++ b/lib/tests/testutils/mod.rs
@@ -10,13 +10,13 @@
 use wingshed_standin::caller::ChatAsk;
 use wingshed_standin::system::{SystemMake, SystemStandIn};
 
-/// A system with a folder of its own; the folder goes when the fixture does.
+/// A system with its own temporary folder, which is removed when the fixture is dropped.
 pub struct SystemFixture {
     pub system: SystemStandIn,
     _folder: tempfile::TempDir,
 }
 
-/// Starts a system; `change` makes it other than the small one.
+/// Starts the small system, adapted by `change`.
 pub fn system_with(change: impl FnOnce(&mut SystemMake)) -> SystemFixture {
     let folder = tempfile::tempdir().unwrap();
     let mut make = SystemMake::small(folder.path().to_path_buf());
@@ -24,7 +24,7 @@
     SystemFixture { system: SystemStandIn::start(make), _folder: folder }
 }
 
-/// A chat of workspace `w0` that has an answer already.
+/// Returns a request of workspace `w0` for a chat that already has an answer.
 pub fn returning_chat(request_id: &str, service: &str) -> ChatAsk {
     ChatAsk {
         workspace: "w0".to_string(),
--- a/lib/tests/testutils/raw_answer.rs
+++ b/lib/tests/testutils/raw_answer.rs
@@ -1,4 +1,4 @@
-//! A server that answers with certain bytes and ends its connections in a certain way.
+//! A server that answers with given bytes and ends its connections in a given way.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,24 +9,25 @@
 /// How a connection ends after the bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RawEnd {
-    /// It's closed.
+    /// The connection is closed.
     Close,
-    /// It's reset.
+    /// The connection is reset.
     Reset,
-    /// It stays open.
+    /// The connection stays open.
     Open,
 }
 
-/// How the bytes come.
+/// How the bytes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RawPace {
-    /// In one piece, and the end at once.
+    /// In one write, and the connection ends at once.
     AtOnce,
-    /// Byte by byte, and the end after a pause.
+    /// Byte by byte, and the connection ends after a pause.
     ByByte,
 }
 
-/// Answers each connection with `bytes` for as long as the process lives.
+/// Starts a server that answers each connection with `bytes` until the process ends, and returns
+/// its address.
 pub fn raw_answer(bytes: Vec<u8>, end: RawEnd, pace: RawPace) -> SocketAddr {
     let listener = TcpListener::bind(free_address()).unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,7 +64,7 @@
     }
 }
 
-/// Reads a call to its end, since a close before that would be a reset.
+/// Reads a request to its end, since a connection that is closed before would be reset.
 fn read_call(stream: &mut TcpStream) {
     let mut call = Vec::new();
     let mut bytes = [0; 4096];
