--- a/lib/src/transport/http_server.rs
+++ b/lib/src/transport/http_server.rs
@@ -201,7 +201,7 @@
     fn run(self: &Arc<Self>, listener: &TcpListener) {
         while !self.stop.load(Ordering::Relaxed) {
             match listener.accept() {
-                Ok((stream, peer)) => self.take(stream, peer),
+                Ok((stream, peer)) => self.serve_connection(stream, peer),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => {
                     tracing::warn!("http: cannot accept: {error}.");
@@ -211,7 +211,7 @@
         }
     }
 
-    fn take(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr) {
+    fn serve_connection(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr) {
         let timeout = Some(self.limits.read_timeout);
         let prepared = stream
             .set_read_timeout(timeout)
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop of a keeper, the sole owner of its consensus and its state machine.
+//! The event loop of a keeper. It alone owns the consensus and the state machine; no other part of
+//! a keeper holds state.
 //!
 //! A separate thread writes the files, since a sync may take longer than a leader may stay silent.
 //! Events that arrive during a sync are written with the next one and answered only after it, which
@@ -384,7 +385,7 @@
         }
     }
 
-    /// Returns the number and incarnation of this keeper and the members that it knows.
+    /// Returns the number and incarnation of this keeper and the members of its group.
     pub fn identity(&self) -> KeeperIdentity {
         let members = self.core().membership().members.iter();
         let members: BTreeMap<KeeperId, Incarnation> =
@@ -474,11 +475,11 @@
             self.loads.note(router, &renewal.rows, now_ms);
         }
         self.loads.expire(now_ms);
-        let asked: Vec<FleetKey> = renewal.rows.iter().map(|row| row.fleet).collect();
+        let fleets: Vec<FleetKey> = renewal.rows.iter().map(|row| row.fleet).collect();
         self.leaving_marks.retain(|(_, noted_ms)| now_ms < noted_ms + LEAVING_KEEP_MS);
-        for mark in renewal.marks {
-            if !self.leaving_marks.iter().any(|(known, _)| *known == mark) {
-                self.leaving_marks.push((mark, now_ms));
+        for leaving in renewal.marks {
+            if !self.leaving_marks.iter().any(|(known, _)| *known == leaving) {
+                self.leaving_marks.push((leaving, now_ms));
             }
         }
         let grant = LeaseGrant {
@@ -487,11 +488,11 @@
             version: self.machine.configuration.version,
             epoch: self.machine.roster.epoch,
             settled_epoch: self.sessions.settled_epoch(&self.machine.roster, now_ms),
-            rows: self.loads.others(router, &asked),
+            rows: self.loads.others(router, &fleets),
             marks: self
                 .leaving_marks
                 .iter()
-                .map(|(mark, _)| *mark)
+                .map(|(leaving, _)| *leaving)
                 .take(MARKS_PER_DATAGRAM)
                 .collect(),
         };
@@ -614,7 +615,7 @@
         }
     }
 
-    /// Takes a snapshot when enough entries were applied since the last one.
+    /// Takes a snapshot if enough entries were applied since the last one and the disk is idle.
     fn compact(&mut self, now_ms: u64) -> Result<(), LoopFailure> {
         let enough = self.applied >= self.core().snapshot_index() + COMPACT_ENTRIES;
         if !enough || !self.durable.is_idle() {
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -78,9 +78,10 @@
 /// keepers are then added in the same way as after the loss of their disks.
 pub fn restore_backup(settings: &KeeperSettings, image: &[u8]) -> Result<(), NodeError> {
     KeeperMachine::from_image(image).map_err(|text| NodeError::Image { text })?;
-    let life = Incarnation(rand::random::<u64>() | 1);
+    let new_incarnation = Incarnation(rand::random::<u64>() | 1);
     let folder = &settings.data_folder;
-    let (mut store, stored) = LogStore::open(folder, settings.id, life).context(StoreSnafu)?;
+    let (mut store, stored) =
+        LogStore::open(folder, settings.id, new_incarnation).context(StoreSnafu)?;
     if !stored.blank {
         let path = folder.clone();
         let what = "holds a group already; a backup goes into an empty folder".to_string();
@@ -277,7 +278,7 @@
     stop: &Arc<AtomicBool>,
 ) -> Option<JoinHandle<()>> {
     let events = events.clone();
-    let take = move |from, datagram| {
+    let handle_datagram = move |from, datagram| {
         let event = match datagram {
             Datagram::Renew(renewal) => KeeperEvent::Renew(from, renewal),
             Datagram::Raft(message) => KeeperEvent::Raft(message),
@@ -288,7 +289,7 @@
         };
         let _ = events.send(event);
     };
-    port.receive(checker.clone(), stop.clone(), take).ok()
+    port.receive(checker.clone(), stop.clone(), handle_datagram).ok()
 }
 
 /// Returns a sender of long messages with one thread and one bounded queue for each keeper, so that
@@ -440,12 +441,12 @@
         }
         return HttpReply { status: 200, ..HttpReply::default() };
     }
-    let asked = match decode::<KeeperCall>(&call.body) {
-        Ok(asked) => asked,
+    let keeper_call = match decode::<KeeperCall>(&call.body) {
+        Ok(keeper_call) => keeper_call,
         Err(text) => return bad(text),
     };
     let (sender, receiver) = bounded(1);
-    let _ = shared.events.send(KeeperEvent::Call(asked, sender));
+    let _ = shared.events.send(KeeperEvent::Call(keeper_call, sender));
     let reply = receiver.recv_timeout(REPLY_TIMEOUT).unwrap_or(KeeperReply::Unsure);
     HttpReply { status: 200, headers: vec![], body: encode(&reply) }
 }
--- a/lib/src/transport/keeper_operator.rs
+++ b/lib/src/transport/keeper_operator.rs
@@ -212,8 +212,8 @@
         MemberStep::Promote { id } => MemberChange::Promote(id),
         MemberStep::Remove { id } => MemberChange::Remove(id),
         MemberStep::Add { id, address } => {
-            let asked = shared.client.call(address, &KeeperCall::Identity);
-            let Ok(KeeperReply::Identity(identity)) = asked else {
+            let reply = shared.client.call(address, &KeeperCall::Identity);
+            let Ok(KeeperReply::Identity(identity)) = reply else {
                 return failure(502, "no_answer", "No keeper answers at that address.");
             };
             if identity.id != id {
--- a/lib/src/transport/router_claims.rs
+++ b/lib/src/transport/router_claims.rs
@@ -22,7 +22,8 @@
 const IDLE_WAIT: Duration = Duration::from_millis(100);
 /// The maximum number of HTTP calls for one batch.
 const MAX_CALLS: usize = 3;
-/// The maximum number of claims, and of reports, in one datagram; larger batches are sent by HTTP.
+/// The maximum number of claims, and of reports, that fit into one datagram. Larger batches are
+/// sent by HTTP.
 const MAX_PER_DATAGRAM: usize = 8;
 /// How often a batch is sent by datagram before it is sent by HTTP.
 const MAX_DATAGRAM_SENDS: usize = 4;
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -55,7 +55,7 @@
     Grant(SocketAddr, LeaseGrant),
     Notice { version: u64, epoch: u64 },
     Sums(crate::state::ids::RouterId, Vec<crate::coordination::load_spread::LoadRow>),
-    Marks(Vec<LeavingIncarnation>),
+    Leaving(Vec<LeavingIncarnation>),
     Chats(Vec<ChatNote>),
 }
 
@@ -115,7 +115,9 @@
                 home_state.memory.note(note.chat, note.engine, note.life, note.tokens);
             }
         }
-        ControlEvent::Marks(marks) => marks.into_iter().for_each(|mark| shared.note_leaving(mark)),
+        ControlEvent::Leaving(marks) => {
+            marks.into_iter().for_each(|leaving| shared.note_leaving(leaving))
+        }
     }
 }
 
@@ -144,7 +146,12 @@
         let mut home_state = lock(&shared.home_state);
         home_state.recent_leaving.retain(|(_, noted_ms)| now_ms < noted_ms + LEAVING_KEEP_MS);
         home_state.notices.sweep(|upstream| view.upstreams.contains_key(&upstream), now_ms);
-        home_state.recent_leaving.iter().map(|(mark, _)| *mark).take(MARKS_PER_DATAGRAM).collect()
+        home_state
+            .recent_leaving
+            .iter()
+            .map(|(leaving, _)| *leaving)
+            .take(MARKS_PER_DATAGRAM)
+            .collect()
     };
     let renewal = LeaseRenewal {
         router: shared.id(),
@@ -187,8 +194,8 @@
         home_state.remote_load.note(&grant.rows, grant.sent_ms);
         home_state.homes.settle(grant.settled_epoch);
     }
-    for mark in grant.marks {
-        shared.note_leaving(mark);
+    for leaving in grant.marks {
+        shared.note_leaving(leaving);
     }
 }
 
@@ -294,7 +301,7 @@
     lock(&shared.limits).expire(now_ms);
 }
 
-/// Reports chats that ran on engines of this router to the chats' homes, many in one datagram.
+/// Reports to the homes of chats which engines hold the chats, with many notes in one datagram.
 fn report_chats(shared: &Arc<RouterShared>) {
     let notes = std::mem::take(&mut lock(&shared.home_state).chat_notes);
     let view = shared.view();
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -256,8 +256,8 @@
     fn after_break(&mut self, text: String, held: &mut Option<HeldClaim>) -> RunEnd {
         let call = engine::resume_call(&self.run, self.order.last());
         let times = CallTimes::of_ms(PIECE_TIMEOUT_MS);
-        let asked = self.shared.client.open(self.address, &call, times, "engine");
-        if let Ok(reply) = asked {
+        let reopened = self.shared.client.open(self.address, &call, times, "engine");
+        if let Ok(reply) = reopened {
             let head = engine::read_head(&reply.headers);
             if reply.status == 200 {
                 return self.relay_to_end(reply, held);
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -200,8 +200,8 @@
     arrived: Instant,
 ) {
     let ForwardRequest { hops, aim: purpose, mut request, .. } = forwarded;
-    // Between routers an answer is always a stream, so that the sender can tell whether it is
-    // complete.
+    // Between routers an answer is always a stream, so that the sender can detect whether it
+    // is complete.
     if let Some(facts) = &mut request.facts {
         facts.stream = true;
     }
--- a/lib/src/transport/router_home.rs
+++ b/lib/src/transport/router_home.rs
@@ -55,8 +55,8 @@
 
     /// Returns the expected length of the answer.
     pub(super) fn output_tokens(&self) -> u32 {
-        let asked = self.request.facts.as_ref().and_then(|facts| facts.max_tokens);
-        asked.unwrap_or(u32::MAX).min(self.decision.expected_output.max(1))
+        let max_tokens = self.request.facts.as_ref().and_then(|facts| facts.max_tokens);
+        max_tokens.unwrap_or(u32::MAX).min(self.decision.expected_output.max(1))
     }
 
     /// Returns the expected work of the request on an engine that has `cached_tokens` of its prompt
@@ -66,7 +66,8 @@
     }
 }
 
-/// The chat's key: its name, or the request's wait_state when it belongs to none.
+/// Returns the key of the request's chat, or a key made of the request's id if it belongs to no
+/// chat.
 pub(super) fn chat_key(request: &CallerRequest) -> ChatKey {
     let name = request.chat.as_deref().unwrap_or(&request.request_id);
     ChatKey::of(&request.workspace, name)
@@ -87,8 +88,8 @@
     )
 }
 
-/// Admits a request to an engine of this home, unless requests of its class or a higher one wait in
-/// the queue or the engine is at its bound.
+/// Admits a request to an engine of this home, unless requests of its class or a more urgent one
+/// wait in the queue, or the engine is at its bound.
 pub(super) fn admit(
     shared: &Arc<RouterShared>,
     view: &RouterView,
@@ -234,9 +235,9 @@
         .is_some_and(|queue| queue.has_waiting(placement.decision.class));
     let context = shared.placement_context(&home_state, placement.fleet, info, work);
     let bound = admission_bound(&context.load, context.multiple, work);
-    let wait_state = context.homes.slot(holder.engine);
-    let wait_state = wait_state.filter(|_| holder.home == shared.id() && !ahead);
-    let wait = wait_state.and_then(|slot| slot.wait_ms(bound));
+    let holder_state = context.homes.slot(holder.engine);
+    let holder_state = holder_state.filter(|_| holder.home == shared.id() && !ahead);
+    let wait = holder_state.and_then(|slot| slot.wait_ms(bound));
     let cached = holder.cached_tokens.min(placement.prompt_tokens());
     choose_move(&info.entry.rates, cached, wait)
 }
@@ -251,8 +252,8 @@
     let Some(info) = view.fleets.get(&fleet) else { return };
     let Some(mut queue) = home_state.queues.remove(&fleet) else { return };
     let now_ms = shared.clock.now_ms();
-    for over in queue.expire(now_ms) {
-        home_state.tickets.remove(&over.ticket);
+    for expired in queue.expire(now_ms) {
+        home_state.tickets.remove(&expired.ticket);
     }
     loop {
         let load = shared.fleet_load(home_state, fleet, info);
--- a/lib/src/transport/router_node.rs
+++ b/lib/src/transport/router_node.rs
@@ -71,7 +71,7 @@
                 }
                 Datagram::Chats(notes) => ControlEvent::Chats(notes),
                 Datagram::Sums { router, rows, marks } => {
-                    let _ = events.send(ControlEvent::Marks(marks));
+                    let _ = events.send(ControlEvent::Leaving(marks));
                     ControlEvent::Sums(router, rows)
                 }
                 _ => return,
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -26,7 +26,8 @@
 /// The maximum number of engines of other homes that are tried at each of these intervals.
 const MAX_REMOTE_RETRIES: usize = 2;
 
-/// The error for a request that no engine can take; it asks the caller to retry after `after_ms`.
+/// Returns the error for a request that no engine can take now; the caller may retry after
+/// `after_ms`.
 pub(super) fn busy_error(after_ms: u64) -> CallerError {
     let text = "Every engine that may serve this is at its bound.";
     CallerError::not_run(503, "busy", text).after(after_ms)
@@ -96,8 +97,8 @@
     }
 }
 
-/// Waits for the engine that holds the chat's prefix if `plan` says so; returns whether the request
-/// was answered there.
+/// Waits for the engine that holds the chat's prefix if `plan` is to wait; returns whether the
+/// request was answered there.
 fn wait_for_holder(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
@@ -205,8 +206,8 @@
     refuse_busy(cx, held, sink, 500 + wait_ms / 4);
 }
 
-/// Tries the best engines of other homes; returns whether the caller has got its answer or an
-/// error.
+/// Tries the best engines of other homes; returns whether the caller has received its
+/// answer or an error.
 fn serve_on_remote_engine(
     cx: &ServeContext,
     placement: &PlacementRequest<'_>,
--- a/lib/src/transport/router_serve.rs
+++ b/lib/src/transport/router_serve.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// Serves a request from a caller, or forwards it to a peer if this router may not serve.
 fn serve_caller(
     shared: &Arc<RouterShared>,
     call: HttpCall,
--- a/lib/src/transport/worker_pool.rs
+++ b/lib/src/transport/worker_pool.rs
@@ -59,7 +59,7 @@
             .stack_size(STACK_BYTES)
             .spawn(move || {
                 let _count = WorkerCount(workers);
-                if let Some(job) = take(&first) {
+                if let Some(job) = take_job(&first) {
                     job();
                 }
                 while let Ok(job) = receiver.recv_timeout(IDLE) {
@@ -70,13 +70,13 @@
             Ok(_) => Ok(()),
             Err(_) => {
                 self.workers.fetch_sub(1, Ordering::Relaxed);
-                Err(take(&slot).unwrap_or_else(|| Box::new(|| {})))
+                Err(take_job(&slot).unwrap_or_else(|| Box::new(|| {})))
             }
         }
     }
 }
 
-fn take(slot: &std::sync::Mutex<Option<Job>>) -> Option<Job> {
+fn take_job(slot: &std::sync::Mutex<Option<Job>>) -> Option<Job> {
     slot.lock().unwrap_or_else(|poison| poison.into_inner()).take()
 }
 
