--- a/lib/src/coordination/rollout_watch.rs
+++ b/lib/src/coordination/rollout_watch.rs
@@ -87,9 +87,7 @@
     pub fn text(self) -> &'static str {
         match self {
             SendReason::Usual => "it isn't part of the trial",
-            SendReason::Share => {
-                "the target is below its share of this route's requests at this VM"
-            }
+            SendReason::Share => "the trial's share of this route isn't used up at this VM",
             SendReason::HeadStart => "it is part of the trial's head start",
             SendReason::Moved => "the traffic is being moved there",
         }
