--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -1,4 +1,4 @@
-//! The pure decisions, as tables.
+//! Tests of the decisions that are pure functions, mostly as tables of cases.
 
 use std::collections::BTreeMap;
 
@@ -57,10 +57,14 @@
     let ancient = FleetLoad { age_ms: 1_000_000, ..load(4000, 4) };
 
     assert_eq!(fresh, 1250.0);
-    assert_eq!(admission_bound(&load(0, 4), 1.25, 400), 125.0, "an idle fleet takes a first one");
+    assert_eq!(
+        admission_bound(&load(0, 4), 1.25, 400),
+        125.0,
+        "an idle fleet admits its first request"
+    );
     assert!(admission_bound(&old, 1.25, 0) < fresh);
     assert_eq!(admission_bound(&large, 1.25, 0), 1125.0);
-    assert_eq!(admission_bound(&ancient, 1.25, 0), 625.0, "however old, half is counted on");
+    assert_eq!(admission_bound(&ancient, 1.25, 0), 625.0, "however old, half of the mean is used");
 }
 
 #[test]
@@ -79,10 +83,11 @@
         homes.settle(1);
     }
 
-    // The routers learn of the new roster one by one; the keepers tell what all have seen.
-    for learned in 0..=7 {
-        if learned > 0 {
-            assign(&mut routers[learned - 1], learned as u32 - 1, &after);
+    // The routers receive the new roster one by one; the keepers publish the epoch that all have
+    // received.
+    for updated in 0..=7 {
+        if updated > 0 {
+            assign(&mut routers[updated - 1], updated as u32 - 1, &after);
         }
         for engine in &engines {
             let admit = |homes: &mut HomeTable| {
@@ -91,14 +96,14 @@
                     .map(|()| homes.release(*engine, 0, 1))
             };
             let admitting = routers.iter_mut().filter_map(|homes| admit(homes).ok()).count();
-            assert!(admitting <= 1, "{admitting} routers admit after {learned} have learned");
+            assert!(admitting <= 1, "{admitting} routers admit after {updated} were updated");
         }
     }
     routers.iter_mut().for_each(|homes| homes.settle(2));
 
     for engine in &engines {
         let admitting = routers.iter().filter(|homes| homes.is_home(*engine)).count();
-        assert_eq!(admitting, 1, "once all have seen it, each engine has its home");
+        assert_eq!(admitting, 1, "once all have received it, each engine has its home");
     }
 }
 
@@ -203,7 +208,7 @@
             ClaimAnswer::Taken(ClaimState::Unknown),
         ),
         (
-            "after it surely was not dispatched",
+            "after it certainly was not dispatched",
             |table, key| {
                 let end = ClaimEnd::NotDispatched;
                 table.report(ClaimReport { key, attempt: 1, holder: RouterId(1), end });
@@ -219,7 +224,7 @@
             ClaimAnswer::Taken(ClaimState::Running),
         ),
         (
-            "after the claim was forgotten",
+            "after the claim was dropped",
             |table, _| table.expire(100_000_000 + CLAIM_KEEP_MS + 120_000),
             ClaimAnswer::TooOld,
         ),
@@ -239,14 +244,14 @@
     let early = claim_request(1, 1, now + 2 * ISSUE_AHEAD_MS);
     assert_eq!(table.claim(early, now), ClaimAnswer::TooNew);
     report(&mut table, key, ClaimEnd::Done);
-    assert!(table.is_empty(), "a report of nothing makes nothing");
+    assert!(table.is_empty(), "a report of an unknown claim creates none");
 }
 
 // ---- retries, outliers, leaving, leases, limits ----
 
 #[test]
 fn retries_are_tried_only_where_safe_and_within_the_budget() {
-    // bytes sent, repeatable, caller saw bytes => may retry
+    // bytes sent, repeatable, caller received bytes => may retry
     let rows = [
         (false, false, false, true),
         (true, false, false, false),
@@ -275,17 +280,20 @@
             table.note_failure(*upstream, fleet.iter().copied(), 0.3, 1000);
         }
     }
-    let aside = |table: &OutlierTable, now_ms| {
+    let ejected = |table: &OutlierTable, now_ms| {
         fleet.iter().filter(|upstream| table.is_ejected(**upstream, now_ms)).count()
     };
 
-    assert_eq!(aside(&table, 1001), 3);
+    assert_eq!(ejected(&table, 1001), 3);
     let later = 1000 + FIRST_EJECTION_MS;
-    assert_eq!(aside(&table, later), 0, "after its time it is tried again");
+    assert_eq!(ejected(&table, later), 0, "after the ejection it is tried again");
     table.begin_trial(fleet[0], later);
-    assert!(table.is_ejected(fleet[0], later), "by one request only");
+    assert!(table.is_ejected(fleet[0], later), "by one trial request only");
     table.end_trial(fleet[0]);
-    assert!(!table.is_ejected(fleet[0], later), "the next may try it where that one said nothing");
+    assert!(
+        !table.is_ejected(fleet[0], later),
+        "another trial may follow if that one had no outcome"
+    );
     table.begin_trial(fleet[0], later);
     table.note_success(fleet[0]);
     assert!(!table.is_ejected(fleet[0], later));
@@ -294,18 +302,21 @@
 #[test]
 fn leaving_is_sticky_for_a_life_and_ends_with_a_new_one() {
     let upstream = UpstreamKey(1);
-    let mark = |life| LeavingMark { upstream, incarnation: Incarnation(life) };
+    let mark = |incarnation| LeavingMark { upstream, incarnation: Incarnation(incarnation) };
     let mut table = LeavingTable::default();
     table.note_life(upstream, Incarnation(3));
 
-    assert!(table.note_leaving(mark(3)), "news");
-    assert!(!table.note_leaving(mark(3)), "told twice");
+    assert!(table.note_leaving(mark(3)), "a new notice");
+    assert!(!table.note_leaving(mark(3)), "reported twice");
     assert!(!table.note_leaving(mark(2)), "an old list");
     table.note_life(upstream, Incarnation(2));
-    assert!(table.is_leaving(upstream), "a late report of an earlier life opens nothing");
+    assert!(table.is_leaving(upstream), "a late report of an earlier incarnation reopens nothing");
     table.note_life(upstream, Incarnation(4));
     assert!(!table.is_leaving(upstream));
-    assert!(!table.note_leaving(mark(3)), "a late mark of the earlier life closes nothing");
+    assert!(
+        !table.note_leaving(mark(3)),
+        "a late notice of the earlier incarnation closes nothing"
+    );
     assert!(!table.is_leaving(upstream));
 }
 
@@ -313,15 +324,15 @@
 fn a_router_serves_only_with_a_lease_and_the_version_in_force() {
     let mut lease = RouterLease::default();
     lease.grant(1000, 7);
-    assert!(!lease.may_serve(1001), "nothing is applied yet");
+    assert!(!lease.may_serve(1001), "no version is applied yet");
     assert!(lease.apply(7));
     assert!(lease.may_serve(1001));
-    assert!(!lease.apply(6), "versions never fall");
+    assert!(!lease.apply(6), "versions never decrease");
     lease.grant(1200, 8);
     assert!(!lease.may_serve(1201), "a newer version is in force");
     lease.apply(8);
     lease.grant(900, 3);
-    assert_eq!(lease.version_in_force, 8, "a late grant takes nothing back");
+    assert_eq!(lease.version_in_force, 8, "a late grant revokes nothing");
     assert!(lease.may_serve(1200 + LEASE_MS - 1));
     assert!(!lease.may_serve(1200 + LEASE_MS));
 }
@@ -330,27 +341,27 @@
 fn a_router_whose_leader_is_silent_renews_with_every_keeper() {
     let keepers = || [1, 2, 3].into_iter();
 
-    let heard = renew_with(2, keepers(), 1000, 1000 + LEADER_SILENT_MS);
+    let in_contact = renew_with(2, keepers(), 1000, 1000 + LEADER_SILENT_MS);
     let silent = renew_with(2, keepers(), 1000, 1001 + LEADER_SILENT_MS);
 
-    assert_eq!(heard, [2]);
+    assert_eq!(in_contact, [2]);
     assert_eq!(silent, [1, 2, 3]);
-    const { assert!(LEADER_SILENT_MS < LEASE_MS / 4, "several leaders may die within one lease") };
+    const { assert!(LEADER_SILENT_MS < LEASE_MS / 4, "several leaders may fail within one lease") };
 }
 
 #[test]
 fn an_epoch_is_settled_once_every_lease_holder_has_seen_it() {
     let roster = roster(5, 1..=2);
     let mut watch = SessionWatch::new(1000);
-    let hear = |watch: &mut SessionWatch, router, epoch, now_ms| {
+    let renew = |watch: &mut SessionWatch, router, epoch, now_ms| {
         watch.note_renewal(RouterId(router), Incarnation(1), epoch, 0, now_ms);
     };
-    assert_eq!(watch.settled_epoch(&roster, 1000), 0, "a new leader knows nothing");
-    hear(&mut watch, 1, 5, 1100);
-    assert_eq!(watch.settled_epoch(&roster, 1100), 0, "the second may hold a lease yet");
-    hear(&mut watch, 2, 4, 1200);
+    assert_eq!(watch.settled_epoch(&roster, 1000), 0, "a new leader has no renewals yet");
+    renew(&mut watch, 1, 5, 1100);
+    assert_eq!(watch.settled_epoch(&roster, 1100), 0, "the second may still hold a lease");
+    renew(&mut watch, 2, 4, 1200);
     assert_eq!(watch.settled_epoch(&roster, 1200), 4);
-    hear(&mut watch, 1, 5, 1200 + LAPSE_MS);
+    renew(&mut watch, 1, 5, 1200 + LAPSE_MS);
     assert_eq!(watch.settled_epoch(&roster, 1200 + LAPSE_MS), 5, "its lease is over by now");
     let lapsed = watch.lapsed(&roster, 1200 + LAPSE_MS);
     assert_eq!(lapsed, [(RouterId(2), Incarnation(1))]);
@@ -419,7 +430,7 @@
     memory.note(ChatKey(2), engine, Incarnation(2), 1);
     memory.note(ChatKey(3), engine, Incarnation(2), 1);
     assert_eq!(memory.len(), 2, "the memory is bounded");
-    assert!(memory.holders(chat).is_empty(), "and forgets the oldest first");
+    assert!(memory.holders(chat).is_empty(), "and drops the oldest first");
 }
 
 #[test]
@@ -511,8 +522,8 @@
             assert_eq!(error.line, line, "{source}: {error}");
         }
         let compiles = text == "compile";
-        let said = error.to_string().to_lowercase();
-        assert!(compiles || said.contains(&text.to_lowercase()), "{source}: {error}");
+        let message = error.to_string().to_lowercase();
+        assert!(compiles || message.contains(&text.to_lowercase()), "{source}: {error}");
     }
 }
 
@@ -535,14 +546,18 @@
     let other = SealMaker::new("another fleet key!", 2).header("/a", b"body", now);
     assert_eq!(check(&other, "/a", b"body", now), Err(SealRefusal::Mismatch));
 
-    // Out of order is good once, within the window.
+    // Out-of-order datagrams are accepted once, within the window.
     let datagrams: Vec<Vec<u8>> = (0..6000).map(|_| maker.datagram(b"x", now)).collect();
     let mut open = |at: usize| checker.open_datagram(&datagrams[at], now).map(<[u8]>::to_vec);
     assert!(open(10).is_ok());
     assert!(open(5).is_ok());
     assert_eq!(open(5), Err(SealRefusal::Replayed));
     assert!(open(5999).is_ok());
-    assert_eq!(open(6), Err(SealRefusal::Replayed), "too far behind to be told from a replay");
+    assert_eq!(
+        open(6),
+        Err(SealRefusal::Replayed),
+        "too far behind to be distinguished from a replay"
+    );
 }
 
 #[test]
@@ -557,12 +572,12 @@
         table.note_begun(fleet[1]);
         table.note_cut(fleet[1], keys(), 0.5, 1000);
     }
-    let aside = [table.is_ejected(fleet[0], 1000), table.is_ejected(fleet[1], 1000)];
+    let ejected = [table.is_ejected(fleet[0], 1000), table.is_ejected(fleet[1], 1000)];
     table.note_begun(fleet[1]);
-    let aside_after_a_head = table.is_ejected(fleet[1], 1000);
+    let ejected_after_a_head = table.is_ejected(fleet[1], 1000);
     table.note_success(fleet[1]);
 
-    assert_eq!(aside, [false, true]);
-    assert!(aside_after_a_head);
+    assert_eq!(ejected, [false, true]);
+    assert!(ejected_after_a_head);
     assert!(!table.is_ejected(fleet[1], 1000));
 }
--- a/lib/tests/test_event_ends.rs
+++ b/lib/tests/test_event_ends.rs
@@ -1,4 +1,4 @@
-//! Where the events of a stream end, however its bytes are split and its lines end.
+//! The ends of the events of a stream, however its bytes are split and its lines end.
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::body_tracker::BodyTracker;
@@ -27,7 +27,7 @@
     })
 }
 
-/// The bytes in pieces of these lengths, again and again.
+/// Splits the bytes into pieces of these lengths, which are repeated as often as needed.
 fn split<'a>(mut bytes: &'a [u8], lengths: &'a [usize]) -> Vec<&'a [u8]> {
     let mut pieces = Vec::new();
     let mut lengths = lengths.iter().cycle();
@@ -81,7 +81,8 @@
     }
 }
 
-/// Whether a stream that is delimited by its connection is whole, and how many events it had.
+/// Whether a stream that is delimited by the end of its connection is complete, and how many events
+/// it has.
 fn read_unframed(stream: &str) -> (bool, u64) {
     let mut tracker = BodyTracker::new(BodyFraming::Connection, true);
     let events = stream.as_bytes().iter().map(|byte| tracker.note_bytes(&[*byte])).sum();
--- a/lib/tests/test_fair_queue.rs
+++ b/lib/tests/test_fair_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for an engine: who goes next.
+//! The order in which requests that wait for an engine are served.
 
 use wingshed_lib::coordination::fair_queue::*;
 use wingshed_lib::coordination::workspace_share::{ShareTable, PRESENCE_MS};
@@ -31,7 +31,7 @@
     queue.push(waiting(3, 1, RequestClass::Live, 0), 100);
     assert_eq!(drain_queue(&mut queue, 10), [3, 2, 1]);
 
-    // A digest beside an endless stream of teasers.
+    // A batch request beside an endless stream of live ones.
     let mut queue = FairQueue::default();
     queue.push(waiting(1, 1, RequestClass::Batch, 0), 10_000);
     let mut served_ms = None;
@@ -44,8 +44,8 @@
             break;
         }
     }
-    let served_ms = served_ms.expect("the digest is served");
-    assert!(served_ms >= 2 * AGE_STEP_MS, "it waited for the live ones first");
+    let served_ms = served_ms.expect("the batch request is served");
+    assert!(served_ms >= 2 * AGE_STEP_MS, "it waited for the live requests first");
     assert!(served_ms <= 2 * AGE_STEP_MS + 1000, "and no longer than two steps of ageing");
 }
 
@@ -59,8 +59,8 @@
 
     let order = drain_queue(&mut queue, 1);
 
-    let place = order.iter().position(|ticket| *ticket == 5000).unwrap();
-    assert!(place <= 2, "served as number {place}");
+    let position = order.iter().position(|ticket| *ticket == 5000).unwrap();
+    assert!(position <= 2, "served at position {position}");
 }
 
 #[test]
@@ -104,9 +104,9 @@
 
     shares.note_request(FLEET, quiet, 2000);
     assert!(shares.is_heavy(FLEET, surging, 16, 2001));
-    assert!(!shares.is_heavy(FLEET, quiet, 16, 2001), "the quiet one is not held back");
+    assert!(!shares.is_heavy(FLEET, quiet, 16, 2001), "the quiet workspace is not limited");
     shares.leave(FLEET, surging);
-    assert!(!shares.is_heavy(FLEET, surging, 16, 2001), "below half of the places");
+    assert!(!shares.is_heavy(FLEET, surging, 16, 2001), "below half of the slots");
     shares.enter(FLEET, surging);
     shares.expire(2000 + PRESENCE_MS);
     assert!(!shares.is_heavy(FLEET, surging, 16, 2000 + PRESENCE_MS), "alone again");
--- a/lib/tests/test_fleet_health.rs
+++ b/lib/tests/test_fleet_health.rs
@@ -1,4 +1,4 @@
-//! Upstreams that fail everybody, as the leader of a fleet hears of them.
+//! Upstreams that fail for all VMs, as the leader of a fleet detects them.
 
 use wingshed_lib::coordination::fleet_health::{
     flags_failing, HealthOutbox, HealthReport, HealthTable, FIRST_FLAG_MS, MAX_FLAGGED_SHARE,
@@ -17,8 +17,8 @@
     HealthReport { upstream, well, failed }
 }
 
-/// A table that was told these sends at one upstream, one a VM, 10 ms apart.
-fn told(outcomes: &[bool]) -> HealthTable {
+/// A table that received these outcomes of sends to one upstream, one from each VM, 10 ms apart.
+fn reported(outcomes: &[bool]) -> HealthTable {
     let mut table = HealthTable::default();
     for (at, well) in outcomes.iter().enumerate() {
         let notes = [note(BAD, u16::from(*well), u16::from(!*well))];
@@ -34,16 +34,16 @@
     let mostly: Vec<bool> = (0..100).map(|at| at % 5 == 0).collect();
     let cases = [
         ("all fail", vec![false; 6], true),
-        ("too few to say", vec![false; 3], false),
-        ("four in five fail: it keeps and serves", mostly, false),
-        ("half", half, false),
-        ("now and then", now_and_then, false),
-        ("well", vec![true; 50], false),
+        ("too few failures", vec![false; 3], false),
+        ("four in five fail, one is served", mostly, false),
+        ("half fail", half, false),
+        ("a failure now and then", now_and_then, false),
+        ("all succeed", vec![true; 50], false),
     ];
-    for (case, outcomes, named) in cases {
-        let table = told(&outcomes);
+    for (case, outcomes, flagged) in cases {
+        let table = reported(&outcomes);
 
-        assert_eq!(table.flagged(2200) == [BAD], named, "{case}");
+        assert_eq!(table.flagged(2200) == [BAD], flagged, "{case}");
     }
 }
 
@@ -58,14 +58,14 @@
 
 #[test]
 fn a_name_holds_twice_as_long_each_time_until_it_serves_again() {
-    let mut table = told(&[false; 6]);
-    // The fourth named it.
+    let mut table = reported(&[false; 6]);
+    // The fourth failure flagged it.
     let mut now_ms = 1030;
     for times in 0..3 {
         let until_ms = now_ms + (FIRST_FLAG_MS << times);
         table.take(TERM, &[note(BAD, 0, 9)], fleet, now_ms + 100);
-        assert_eq!(table.flagged(until_ms - 1), [BAD], "named {times} times before");
-        assert!(table.flagged(until_ms).is_empty(), "and tried again after it");
+        assert_eq!(table.flagged(until_ms - 1), [BAD], "flagged {times} times before");
+        assert!(table.flagged(until_ms).is_empty(), "tried again after the flag ends");
         now_ms = until_ms + 10;
         table.take(TERM, &[note(BAD, 0, 2)], fleet, now_ms);
     }
@@ -74,7 +74,10 @@
     table.take(TERM, &[note(BAD, 9, 0)], fleet, tried_ms);
     table.take(TERM, &[note(BAD, 0, 5)], fleet, tried_ms + 20_000);
 
-    assert!(table.flagged(tried_ms + 20_000 + FIRST_FLAG_MS).is_empty(), "as at first");
+    assert!(
+        table.flagged(tried_ms + 20_000 + FIRST_FLAG_MS).is_empty(),
+        "the time is as short as at first"
+    );
 }
 
 #[test]
@@ -93,7 +96,7 @@
 
 #[test]
 fn another_term_knows_nothing_of_earlier_ones() {
-    let mut table = told(&[false; 6]);
+    let mut table = reported(&[false; 6]);
     table.take(TERM + 1, &[], fleet, 1100);
     assert!(table.flagged(1100).is_empty());
 }
--- a/lib/tests/test_holder_news.rs
+++ b/lib/tests/test_holder_news.rs
@@ -1,4 +1,5 @@
-//! Where parts are kept against the order: told once, heard by all, and used as a source.
+//! Parts that are held by another engine than the order gives: reported once, received by all VMs,
+//! and used as a source.
 
 mod testutils;
 
@@ -42,10 +43,10 @@
 #[test]
 fn a_part_that_was_read_elsewhere_is_fetched_from_there_by_a_vm_that_never_sent_it() {
     let calm: Vec<UpstreamCandidate> = (1..=8).map(|key| candidate(key, 2)).collect();
-    let (home, _, told) = pick(&calm, &PrefixMemory::default());
-    assert_eq!(told, None, "every VM guesses the first of the order");
+    let (home, _, reported) = pick(&calm, &PrefixMemory::default());
+    assert_eq!(reported, None, "every VM expects the first of the order");
 
-    // One VM finds the first two of the order dead, and sends the part to the third.
+    // One VM finds the first two of the order ejected, and sends the part to the third.
     let mut broken = calm.clone();
     let eject = |all: &mut Vec<UpstreamCandidate>, key| {
         all.iter_mut().filter(|c| c.key == key).for_each(|c| c.ejected = true);
@@ -53,14 +54,19 @@
     eject(&mut broken, home);
     let second = pick(&broken, &PrefixMemory::default()).0;
     eject(&mut broken, second);
-    let (third, _, told) = pick(&broken, &PrefixMemory::default());
-    assert_eq!(told, Some(2));
+    let (third, _, reported) = pick(&broken, &PrefixMemory::default());
+    assert_eq!(reported, Some(2));
 
-    // Another VM, that has never seen this prompt, serves it once the first has come back empty.
+    // Another VM, which never received this prompt, serves it once the first engine has restarted
+    // empty.
     let mut back = calm.clone();
     back.iter_mut().filter(|c| c.key == home).for_each(|c| c.first_seen_ms = LATE - 1000);
     let mut other = PrefixMemory::default();
-    assert_eq!(pick(&back, &other).1, Some(second), "without news it names one that lacks it");
+    assert_eq!(
+        pick(&back, &other).1,
+        Some(second),
+        "without a report it names an engine that lacks the part"
+    );
     other.note_reported(2, third, LATE);
     assert_eq!(pick(&back, &other), (home, Some(third), None));
 }
@@ -89,9 +95,9 @@
     let fresh = log.take(4, &[note(5, 9)]);
 
     assert_eq!(fresh, [note(5, 9)]);
-    let (told, mark) = log.notes_after(heard);
-    assert_eq!((told, mark), (vec![note(5, 9)], HolderPosition { term: 4, heard: 1 }));
-    assert_eq!(log.notes_after(mark).0, []);
+    let (reported, position) = log.notes_after(heard);
+    assert_eq!((reported, position), (vec![note(5, 9)], HolderPosition { term: 4, heard: 1 }));
+    assert_eq!(log.notes_after(position).0, []);
 }
 
 proptest! {
@@ -102,33 +108,33 @@
         let mut log = HolderLog::default();
         let mut last = std::collections::HashMap::new();
         let mut heard = std::collections::HashMap::new();
-        let mut mark = HolderPosition::default();
-        for (part, engine, listens) in steps {
+        let mut position = HolderPosition::default();
+        for (part, engine, receives) in steps {
             log.take(1, &[note(part, engine)]);
             last.insert(part, UpstreamKey(engine));
-            if listens {
-                let (told, next) = log.notes_after(mark);
-                prop_assert!(told.len() <= NOTES_PER_MESSAGE && next.heard >= mark.heard);
-                heard.extend(told.iter().map(|note| (note.part, note.engine)));
-                mark = next;
+            if receives {
+                let (reported, next) = log.notes_after(position);
+                prop_assert!(reported.len() <= NOTES_PER_MESSAGE && next.heard >= position.heard);
+                heard.extend(reported.iter().map(|note| (note.part, note.engine)));
+                position = next;
             }
         }
         loop {
-            let (told, next) = log.notes_after(mark);
-            if told.is_empty() {
+            let (reported, next) = log.notes_after(position);
+            if reported.is_empty() {
                 break;
             }
-            heard.extend(told.iter().map(|note| (note.part, note.engine)));
-            mark = next;
+            heard.extend(reported.iter().map(|note| (note.part, note.engine)));
+            position = next;
         }
-        let (all, _) = log.notes_after(HolderPosition { term: 1, heard: mark.heard });
-        prop_assert!(all.is_empty(), "nothing is told twice");
+        let (all, _) = log.notes_after(HolderPosition { term: 1, heard: position.heard });
+        prop_assert!(all.is_empty(), "no note is sent twice");
         let wrong = heard.iter().filter(|(part, engine)| last[part] != **engine).count();
         prop_assert_eq!(wrong, 0);
     }
 }
 
-/// Six engines, the keys of which are 1 to 6.
+/// Six engines with the keys 1 to 6.
 fn six_engines() -> Vec<UpstreamCandidate> {
     (1..=6).map(|key| candidate(key, 0)).collect()
 }
@@ -138,36 +144,37 @@
     let (engines, now_ms) = (six_engines(), 100_000);
     let mut memory = PrefixMemory::default();
     let unknown = choose_engine(&engines, &prompt(), &memory, &RULES, now_ms).unwrap();
-    assert_eq!(unknown.new_root, Some(1), "nobody is known to keep it");
-    let keepers: Vec<UpstreamKey> =
+    assert_eq!(unknown.new_root, Some(1), "no engine is known to hold it");
+    let holders: Vec<UpstreamKey> =
         engines.iter().map(|c| c.key).filter(|key| *key != unknown.upstream).take(3).collect();
 
-    keepers.iter().for_each(|key| memory.note_reported(1, *key, now_ms));
+    holders.iter().for_each(|key| memory.note_reported(1, *key, now_ms));
     let sources: BTreeSet<UpstreamKey> = (0..4096u64)
         .filter_map(|draw| {
             let rules = EngineRules { draw: draw.wrapping_mul(0x9e37_79b9), ..RULES };
             choose_engine(&engines, &prompt(), &memory, &rules, now_ms).unwrap().fetch_from
         })
         .collect();
-    assert_eq!(sources, keepers.iter().copied().collect());
+    assert_eq!(sources, holders.iter().copied().collect());
 
     memory.note_reported(1, unknown.upstream, now_ms);
     let known = choose_engine(&engines, &prompt(), &memory, &RULES, now_ms).unwrap();
     assert_eq!((known.new_root, known.fetch_from), (None, None));
 }
 
-/// How often a root is read anew while 600 prompts, one each 7 ms, come to 83 VMs before 90 engines
-/// that keep nothing: each VM knows what it sent and, if `tells`, half a second later what all did.
-fn root_readings(tells: bool) -> usize {
+/// Counts how often a root is read again while 600 prompts, one each 7 ms, come to 83 VMs in front
+/// of 90 empty engines. Each VM has a record of what it sent and, if `reports`, half a second later
+/// of what all VMs sent.
+fn root_readings(reports: bool) -> usize {
     let engines: Vec<UpstreamCandidate> = (1..=90).map(|key| candidate(key, 0)).collect();
     let mut memories = vec![PrefixMemory::default(); 83];
     let mut kept: BTreeSet<(u64, UpstreamKey)> = BTreeSet::new();
-    let mut told: Vec<(u64, u64, UpstreamKey)> = Vec::new();
+    let mut reported: Vec<(u64, u64, UpstreamKey)> = Vec::new();
     let mut readings = 0;
     for number in 0..600u64 {
         let now_ms = 100_000 + 7 * number;
-        let (due, later) = told.into_iter().partition(|(at_ms, _, _)| *at_ms + 450 <= now_ms);
-        told = later;
+        let (due, later) = reported.into_iter().partition(|(at_ms, _, _)| *at_ms + 450 <= now_ms);
+        reported = later;
         for (_, root, engine) in due as Vec<(u64, u64, UpstreamKey)> {
             memories.iter_mut().for_each(|memory| memory.note_reported(root, engine, now_ms));
         }
@@ -181,8 +188,8 @@
         readings += usize::from(!has(pick.upstream) && !pick.fetch_from.is_some_and(has));
         kept.insert((root, pick.upstream));
         memory.note_sent(&asked, pick.upstream, now_ms);
-        if tells && pick.new_root.is_some() {
-            told.push((now_ms, root, pick.upstream));
+        if reports && pick.new_root.is_some() {
+            reported.push((now_ms, root, pick.upstream));
         }
     }
     readings
@@ -190,8 +197,8 @@
 
 #[test]
 fn a_fleet_that_starts_reads_far_fewer_roots_anew_when_vms_tell_who_keeps_them() {
-    let (alone, told) = (root_readings(false), root_readings(true));
+    let (alone, reported) = (root_readings(false), root_readings(true));
 
-    // 58 and 164 by this seedless play; a tenth more is borne.
-    assert!(5 * told <= 2 * alone, "{told} readings, {alone} when nobody tells");
+    // This simulation without randomness gives 58 and 164; the bound allows a tenth more.
+    assert!(5 * reported <= 2 * alone, "{reported} readings, {alone} when nobody reports");
 }
--- a/lib/tests/test_hot_part.rs
+++ b/lib/tests/test_hot_part.rs
@@ -1,4 +1,5 @@
-//! A prompt part that many ask for at once, behind VMs that know each other's loads as they were.
+//! A prompt part with many simultaneous requests, behind VMs that have outdated loads of each
+//! other.
 
 mod testutils;
 
@@ -12,7 +13,7 @@
 use wingshed_lib::coordination::vm_roster::RENEW_MS;
 use wingshed_lib::state::prompt_part::PromptPart;
 
-/// One engine carries at most this multiple of the mean, and three requests.
+/// The multiple of the mean that one engine carries at most, in addition to three requests.
 const LIMIT: f64 = 2.0;
 /// How long each request holds its engine, in milliseconds.
 const HOLD_MS: u64 = 600;
@@ -23,12 +24,12 @@
     usual_per_s: f64,
     hot_per_s: f64,
     parts: u64,
-    /// How often each VM tells its loads and is told all, in milliseconds.
+    /// How often each VM reports its loads and receives all loads, in milliseconds.
     renew_ms: u64,
-    /// So many of the engines, the last ones, are sent nothing; they count in the mean.
+    /// How many of the engines, the last ones, are sent nothing; they count in the mean.
     withheld: usize,
-    /// So many of the others, the last ones, have no seat.
-    unseated: usize,
+    /// How many of the others, the last ones, have no ring slot.
+    without_slot: usize,
 }
 
 fn prompt(part: u64) -> Vec<PromptPart> {
@@ -37,25 +38,26 @@
         .to_vec()
 }
 
-/// Plays 4 s; returns the part of the requests that came to an engine over the limit, and the part of
-/// the others' that did not go to the first of their order, after a second.
-fn play(case: &HotCase, seed: u64) -> (f64, f64) {
+/// Simulates 4 s. Returns, for the time after the first second, the fraction of all requests that
+/// came to an engine over the limit, and the fraction of requests with other parts that did not go
+/// to the first engine of their order.
+fn simulate(case: &HotCase, seed: u64) -> (f64, f64) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut own = vec![vec![0u32; case.engines]; case.vms];
-    let (mut heard, mut told, mut told_own) = (own.clone(), own.clone(), own.clone());
+    let (mut reported, mut sums, mut reported_own) = (own.clone(), own.clone(), own.clone());
     let mut memories = vec![PrefixMemory::default(); case.vms];
     let mut held = vec![0u32; case.engines];
     let mut ends: VecDeque<(u64, usize, usize)> = VecDeque::new();
-    let (mut asked, mut over, mut others, mut moved) = (0.0, 0.0, 0.0, 0.0);
+    let (mut requests, mut over, mut others, mut moved) = (0.0, 0.0, 0.0, 0.0);
     for now_ms in 100_000..104_000u64 {
         while ends.front().is_some_and(|(end_ms, ..)| *end_ms <= now_ms) {
             let (_, vm, at) = ends.pop_front().unwrap();
             (own[vm][at], held[at]) = (own[vm][at] - 1, held[at] - 1);
         }
-        let pace_ms = case.renew_ms;
-        for vm in (0..case.vms).filter(|vm| now_ms % pace_ms == (*vm as u64 * 7) % pace_ms) {
-            (heard[vm], told_own[vm]) = (own[vm].clone(), own[vm].clone());
-            told[vm] = (0..case.engines).map(|at| heard.iter().map(|h| h[at]).sum()).collect();
+        let renew_ms = case.renew_ms;
+        for vm in (0..case.vms).filter(|vm| now_ms % renew_ms == (*vm as u64 * 7) % renew_ms) {
+            (reported[vm], reported_own[vm]) = (own[vm].clone(), own[vm].clone());
+            sums[vm] = (0..case.engines).map(|at| reported.iter().map(|h| h[at]).sum()).collect();
         }
         for hot in [false, true] {
             let rate = if hot { case.hot_per_s } else { case.usual_per_s };
@@ -66,12 +68,12 @@
                 let prompt = prompt(if hot { 0 } else { random.gen_range(1..case.parts) });
                 let candidates: Vec<UpstreamCandidate> = (0..case.engines)
                     .map(|at| {
-                        let load = own[vm][at] + told[vm][at].saturating_sub(told_own[vm][at]);
+                        let load = own[vm][at] + sums[vm][at].saturating_sub(reported_own[vm][at]);
                         let used = case.engines - case.withheld;
-                        let seated = at + case.unseated < used;
+                        let has_slot = at + case.without_slot < used;
                         UpstreamCandidate {
                             withheld: at >= used,
-                            ring_slot: (seated || at >= used).then_some(at as u64 + 1),
+                            ring_slot: (has_slot || at >= used).then_some(at as u64 + 1),
                             ..candidate(at as u64 + 1, load)
                         }
                     })
@@ -90,7 +92,7 @@
                 let at = pick.upstream.0 as usize - 1;
                 let mean = held.iter().sum::<u32>() as f64 / case.engines as f64;
                 if now_ms >= 101_000 {
-                    asked += 1.0;
+                    requests += 1.0;
                     over += f64::from(u8::from(f64::from(held[at]) > LIMIT * mean + 3.0));
                     others += f64::from(u8::from(!hot));
                     moved += f64::from(u8::from(!hot && pick.off_order_part.is_some()));
@@ -100,7 +102,7 @@
             }
         }
     }
-    (over / asked, moved / others)
+    (over / requests, moved / others)
 }
 
 #[test]
@@ -113,22 +115,23 @@
         parts: 1500,
         renew_ms: RENEW_MS,
         withheld: 0,
-        unseated: 0,
+        without_slot: 0,
     };
     let few =
         HotCase { vms: 10, engines: 12, usual_per_s: 60.0, hot_per_s: 20.0, parts: 300, ..many };
     for seed in 0..2 {
-        // With one engine for each part: 10.3 to 10.9% over the limit; now 4.7 to 6.2%.
-        let (over, _) = play(&many, seed);
+        // With one engine for each part, 10.3 to 10.9% are over the limit; with spreading, 4.7 to
+        // 6.2%.
+        let (over, _) = simulate(&many, seed);
         assert!(over < 0.07, "300 VMs: {over}");
-        // 8.0 to 9.9%; now 3.1 to 4.0%.
-        let (over, _) = play(&few, seed);
+        // Without spreading 8.0 to 9.9%, with it 3.1 to 4.0%.
+        let (over, _) = simulate(&few, seed);
         assert!(over < 0.05, "10 VMs: {over}");
-        // Parts that are not hot stay where they are: 1.1 to 2.5% went elsewhere, now 1.4 to 2.5%;
-        // 0 to 1.1%, as before.
-        let (_, moved) = play(&HotCase { hot_per_s: 0.0, ..many }, seed);
+        // Parts that are not hot stay where they are. Of 300 VMs' requests 1.1 to 2.5% go elsewhere
+        // without spreading, and 1.4 to 2.5% with it; of 10 VMs' requests 0 to 1.1% in both cases.
+        let (_, moved) = simulate(&HotCase { hot_per_s: 0.0, ..many }, seed);
         assert!(moved < 0.03, "300 VMs, calm: {moved}");
-        let (_, moved) = play(&HotCase { hot_per_s: 0.0, ..few }, seed);
+        let (_, moved) = simulate(&HotCase { hot_per_s: 0.0, ..few }, seed);
         assert!(moved < 0.015, "10 VMs, calm: {moved}");
     }
 }
@@ -143,17 +146,17 @@
         parts: 1000,
         renew_ms: 138,
         withheld: 30,
-        unseated: 0,
+        without_slot: 0,
     };
     let grown = HotCase { engines: 113, ..emptied };
     for seed in 0..3 {
-        // With news each 300 ms 3.2 to 3.6%; 3% are allowed.
-        let (over, _) = play(&emptied, seed);
+        // With loads each 300 ms, 3.2 to 3.6%; 3% are allowed.
+        let (over, _) = simulate(&emptied, seed);
         assert!(over < 0.02, "seed {seed}: {over}");
-        // 1.2 to 2.0%; 8.6 to 9.6% while the 23 new ones waited for seats.
-        let (over, _) = play(&grown, seed);
+        // 1.2 to 2.0%; 8.6 to 9.6% while the 23 new engines wait for ring slots.
+        let (over, _) = simulate(&grown, seed);
         assert!(over < 0.01, "seed {seed}, with new engines: {over}");
-        let (waiting, _) = play(&HotCase { unseated: 23, ..grown }, seed);
-        assert!(waiting > 2.0 * over, "seed {seed}: {waiting} while new ones wait");
+        let (waiting, _) = simulate(&HotCase { without_slot: 23, ..grown }, seed);
+        assert!(waiting > 2.0 * over, "seed {seed}: {waiting} while new engines wait");
     }
 }
--- a/lib/tests/test_notices.rs
+++ b/lib/tests/test_notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, and what follows for choices, fetches and connections.
+//! Notices that upstreams give, and their effect on choices, fetches and connections.
 
 mod testutils;
 
@@ -27,10 +27,10 @@
 const KEY: UpstreamKey = UpstreamKey(7);
 const HOUR_MS: u64 = 3_600_000;
 const DRAIN_MS: u64 = 3000;
-/// What the node's clock tells apart, in milliseconds.
+/// The resolution of the node's clock, in milliseconds.
 const STEP_MS: u64 = 1;
 
-fn at_rest(key: u64, backoff_ms: u64) -> UpstreamCandidate {
+fn backing_off(key: u64, backoff_ms: u64) -> UpstreamCandidate {
     UpstreamCandidate { backoff_ms, ..candidate(key, 0) }
 }
 
@@ -57,8 +57,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(27), ..ProptestConfig::default() })]
 
-    /// Whoever comes back when told isn't refused again, finds the upstream's rest over, and was told no more
-    /// than what is left of it and what two readings of a clock of whole milliseconds leave open.
+    /// A caller that retries after the time it was given isn't refused again and finds the
+    /// upstream's back-off over, and that time is no longer than what is left of the back-off plus
+    /// the uncertainty of two readings of a clock of whole milliseconds.
     #[test]
     fn a_return_as_told_is_never_too_soon(
         asked_us in 0..20_000_u64, refused_after_us in 0..8_000_000_u64, backoff_ms in 1..8_000_u64,
@@ -68,14 +69,14 @@
         let mut notices = NoticeTable::default();
         notices.note_backoff(KEY, backoff_ms, asked_us / 1000 + STEP_MS);
 
-        let told_ms = notices.backoff_ms(KEY, refused_us / 1000);
-        let back_us = refused_us + told_ms * 1000;
+        let retry_ms = notices.backoff_ms(KEY, refused_us / 1000);
+        let back_us = refused_us + retry_ms * 1000;
 
-        prop_assert!(told_ms == 0 || notices.may_approach(KEY, Request, back_us / 1000));
+        prop_assert!(retry_ms == 0 || notices.may_approach(KEY, Request, back_us / 1000));
         prop_assert!(back_us >= over_us, "{} us too soon", over_us - back_us);
         let left_us = over_us.saturating_sub(refused_us);
-        prop_assert!(told_ms * 1000 < left_us + 2 * STEP_MS * 1000, "{told_ms} ms of {left_us} us");
-        prop_assert!(told_ms <= backoff_ms + STEP_MS);
+        prop_assert!(retry_ms * 1000 < left_us + 2 * STEP_MS * 1000, "{retry_ms} ms of {left_us} us");
+        prop_assert!(retry_ms <= backoff_ms + STEP_MS);
     }
 }
 
@@ -92,16 +93,20 @@
 fn after_a_rest_one_request_goes_first() {
     let mut notices = NoticeTable::default();
     notices.note_backoff(KEY, 1000, 0);
-    assert!(!notices.is_avoided(KEY, 1000), "nobody has gone yet");
+    assert!(!notices.is_avoided(KEY, 1000), "no request was sent yet");
 
     notices.note_sent(KEY, 1000);
     let during = (notices.is_avoided(KEY, 1001), notices.is_avoided(KEY, 1000 + BACKOFF_TRIAL_MS));
     notices.note_accepted(KEY, 1010);
-    let taken = notices.is_avoided(KEY, 1011);
+    let accepted = notices.is_avoided(KEY, 1011);
     notices.note_sent(KEY, 1020);
 
-    assert_eq!((during, taken), ((true, false), false), "an answer or the time ends it");
-    assert!(!notices.is_avoided(KEY, 1021), "it is like any other");
+    assert_eq!(
+        (during, accepted),
+        ((true, false), false),
+        "an accepted request or the time ends the trial"
+    );
+    assert!(!notices.is_avoided(KEY, 1021), "it is treated like any other");
 }
 
 #[test]
@@ -111,11 +116,15 @@
     notices.note_sent(KEY, 1000);
 
     notices.note_backoff(KEY, 1000, 1005);
-    let rests = notices.backoff_ms(KEY, 1005);
+    let again_ms = notices.backoff_ms(KEY, 1005);
     notices.note_accepted(KEY, 1100);
 
-    assert_eq!(rests, 1000);
-    assert_eq!(notices.backoff_ms(KEY, 1100), 905, "an earlier request's answer ends no rest");
+    assert_eq!(again_ms, 1000);
+    assert_eq!(
+        notices.backoff_ms(KEY, 1100),
+        905,
+        "the answer to an earlier request ends no back-off"
+    );
     notices.note_sent(KEY, 2005);
     assert!(notices.is_avoided(KEY, 2006));
 }
@@ -123,33 +132,33 @@
 #[test]
 fn who_turns_requests_away_in_a_row_is_left_to_others_for_longer_each_time() {
     let mut notices = NoticeTable::default();
-    let mut spared_ms = Vec::new();
+    let mut avoided_ms = Vec::new();
 
     for at in 0..5 {
         let now_ms = 10_000 * (at + 1);
         notices.note_rejected(KEY, now_ms);
-        spared_ms.push((0..9000).find(|ms| !notices.is_avoided(KEY, now_ms + ms)).unwrap());
+        avoided_ms.push((0..9000).find(|ms| !notices.is_avoided(KEY, now_ms + ms)).unwrap());
     }
     notices.note_accepted(KEY, 70_000);
     notices.note_rejected(KEY, 70_001);
 
-    assert_eq!(spared_ms, [0, 1000, 2000, 4000, 4000].map(|part| part * FIRST_AVOIDED_MS / 1000));
-    assert!(!notices.is_avoided(KEY, 70_001), "one alone is chance");
-    assert!(notices.may_approach(KEY, Request, 50_001), "it asked for nothing");
+    assert_eq!(avoided_ms, [0, 1000, 2000, 4000, 4000].map(|part| part * FIRST_AVOIDED_MS / 1000));
+    assert!(!notices.is_avoided(KEY, 70_001), "a single rejection has no effect");
+    assert!(notices.may_approach(KEY, Request, 50_001), "it asked for no back-off");
 }
 
 #[test]
 fn who_leaves_is_a_last_resort_for_a_while_from_when_it_first_said_so() {
     let mut notices = NoticeTable::default();
 
-    let news = [0, 900].map(|now_ms| notices.note_leaving(KEY, DRAIN_MS, now_ms));
+    let is_new = [0, 900].map(|now_ms| notices.note_leaving(KEY, DRAIN_MS, now_ms));
 
-    assert_eq!(news, [true, false]);
+    assert_eq!(is_new, [true, false]);
     let last = [999, 1000].map(|now_ms| notices.is_last_resort(KEY, now_ms));
     let sent = [999, 1000].map(|now_ms| notices.may_approach(KEY, Request, now_ms));
     assert_eq!((last, sent), ([true, false], [true, false]));
     notices.note_backoff(KEY, 500, 0);
-    assert!(!notices.may_approach(KEY, Request, 400), "it rests, too");
+    assert!(!notices.may_approach(KEY, Request, 400), "it asked for back-off, too");
 }
 
 #[test]
@@ -168,8 +177,8 @@
     let last = (notices.backing_off(0), notices.is_leaving(UpstreamKey(9)));
 
     assert_eq!(before, (HOUR_MS, true));
-    assert_eq!(after, (HOUR_MS, false), "a rest that isn't over, and long after, nothing else");
-    assert_eq!(last, (0, true), "what was said just now stays, listed or not");
+    assert_eq!(after, (HOUR_MS, false), "only a back-off that isn't over is kept that long");
+    assert_eq!(last, (0, true), "a recent notice stays, whether listed or not");
 }
 
 #[test]
@@ -177,8 +186,8 @@
     let leaving = UpstreamCandidate { leaving: true, ..candidate(3, 0) };
     let withheld = UpstreamCandidate { withheld: true, ..candidate(4, 0) };
     let cases = [
-        (vec![at_rest(1, 900), at_rest(2, 300), leaving, withheld], Some(300)),
-        (vec![at_rest(1, 900), candidate(2, 50)], None),
+        (vec![backing_off(1, 900), backing_off(2, 300), leaving, withheld], Some(300)),
+        (vec![backing_off(1, 900), candidate(2, 50)], None),
         (vec![leaving, withheld], None),
         (vec![], None),
     ];
@@ -189,9 +198,9 @@
 
 #[test]
 fn nobody_that_rests_is_chosen_whatever_its_load() {
-    let mixed = [at_rest(1, 1), candidate(2, 40), at_rest(3, 5000)];
-    let all = [at_rest(1, 40), at_rest(2, 30)];
-    let tried = [at_rest(1, 40), UpstreamCandidate { tried: true, ..candidate(2, 0) }];
+    let mixed = [backing_off(1, 1), candidate(2, 40), backing_off(3, 5000)];
+    let all = [backing_off(1, 40), backing_off(2, 30)];
+    let tried = [backing_off(1, 40), UpstreamCandidate { tried: true, ..candidate(2, 0) }];
     let memory = PrefixMemory::default();
 
     for draw in 0..20 {
@@ -204,29 +213,29 @@
     assert_eq!(engine(&mixed), Ok(UpstreamKey(2)));
     let refusals = [engine(&all), choose_plain(&all, usize::MAX, 1), choose_by_own_load(&all, 1)];
     assert_eq!(refusals, [Err(ChoiceError::BackingOff(30)); 3]);
-    assert_eq!(engine(&tried), Err(ChoiceError::NoUpstream), "another attempt may go there");
+    assert_eq!(engine(&tried), Err(ChoiceError::NoUpstream), "another attempt may go to it");
 }
 
 #[test]
 fn nothing_is_fetched_from_an_engine_that_rests() {
     let mut memory = PrefixMemory::default();
     let prompt = shared_prompt();
-    let awake: Vec<UpstreamCandidate> = (1..=6).map(|key| candidate(key, 0)).collect();
-    let best = choose_engine(&awake, &prompt, &memory, &RULES, 1).unwrap().upstream;
+    let available: Vec<UpstreamCandidate> = (1..=6).map(|key| candidate(key, 0)).collect();
+    let best = choose_engine(&available, &prompt, &memory, &RULES, 1).unwrap().upstream;
     memory.note_sent(&prompt, best, 1);
-    let rests = |backoff_ms: u64| -> Vec<UpstreamCandidate> {
-        let rest = |c: &UpstreamCandidate| if c.key == best { backoff_ms } else { 0 };
-        awake.iter().map(|c| UpstreamCandidate { backoff_ms: rest(c), ..*c }).collect()
+    let with_backoff = |backoff_ms: u64| -> Vec<UpstreamCandidate> {
+        let backoff = |c: &UpstreamCandidate| if c.key == best { backoff_ms } else { 0 };
+        available.iter().map(|c| UpstreamCandidate { backoff_ms: backoff(c), ..*c }).collect()
     };
     let busy: Vec<UpstreamCandidate> =
-        rests(0).iter().map(|c| UpstreamCandidate { full: c.key == best, ..*c }).collect();
+        with_backoff(0).iter().map(|c| UpstreamCandidate { full: c.key == best, ..*c }).collect();
 
-    let beside_busy = choose_engine(&busy, &prompt, &memory, &RULES, 2).unwrap();
-    let beside_rest = choose_engine(&rests(500), &prompt, &memory, &RULES, 2).unwrap();
+    let with_full = choose_engine(&busy, &prompt, &memory, &RULES, 2).unwrap();
+    let with_backing_off = choose_engine(&with_backoff(500), &prompt, &memory, &RULES, 2).unwrap();
 
-    assert_eq!(beside_busy.fetch_from, Some(best));
-    assert_ne!(beside_rest.upstream, best);
-    assert_ne!(beside_rest.fetch_from, Some(best), "a fetch is work for it, too");
+    assert_eq!(with_full.fetch_from, Some(best));
+    assert_ne!(with_backing_off.upstream, best);
+    assert_ne!(with_backing_off.fetch_from, Some(best), "a fetch is work for it, too");
 }
 
 #[test]
@@ -240,8 +249,8 @@
     let early = table.dark();
     table.left_alone(KEY, 5000);
 
-    assert_eq!(early, [KEY], "two VMs doubt it");
-    assert_eq!(table.dark(), [], "nobody doubts it any more");
+    assert_eq!(early, [KEY], "two VMs suspect it");
+    assert_eq!(table.dark(), [], "no VM suspects it any more");
 }
 
 fn run_local(test: impl std::future::Future<Output = ()>) {
@@ -265,7 +274,7 @@
         let (listener, address) = listening().await;
         let pool = ConnectionPool::default();
         let Ok(kept) = pool.connect(approach(address, Request, 0)).await else {
-            panic!("nobody rests yet")
+            panic!("no back-off was asked for yet")
         };
         let accepted = listener.accept().await.unwrap();
         kept.finish(false, None, 0).await;
@@ -278,8 +287,8 @@
         let more = tokio::time::timeout(Duration::from_millis(50), listener.accept()).await;
 
         assert_eq!(refused, [Some(ConnectFault::Unwanted); 2]);
-        assert!(more.is_err(), "nothing comes");
-        assert!(pool.take(approach(address, Request, 1000)).await.is_ok(), "the rest is over");
+        assert!(more.is_err(), "no connection is opened");
+        assert!(pool.take(approach(address, Request, 1000)).await.is_ok(), "the back-off is over");
         drop(accepted);
     });
 }
@@ -305,7 +314,7 @@
         let pool = ConnectionPool::default();
         let asks = async { pool.notices().borrow_mut().note_backoff(KEY, 1000, 5) };
 
-        // The connection isn't up when it is first polled.
+        // The connection isn't open when it is first polled.
         let (connected, ()) = tokio::join!(pool.connect(approach(address, Request, 0)), asks);
 
         assert_eq!(connected.err(), Some(ConnectFault::Unwanted));
--- a/lib/tests/test_plain_spread.rs
+++ b/lib/tests/test_plain_spread.rs
@@ -1,4 +1,5 @@
-//! Plain upstreams behind many VMs that know each other's loads as they were a moment ago.
+//! The spread of requests over plain upstreams, from many VMs that have outdated loads of each
+//! other.
 
 mod testutils;
 
@@ -14,42 +15,42 @@
 use wingshed_lib::coordination::vm_roster::RENEW_MS;
 use wingshed_lib::state::ids::UpstreamKey;
 
-/// A fleet of VMs before plain upstreams; a request holds a place for `work_ms`.
+/// A fleet of VMs in front of plain upstreams; a request holds a slot for `work_ms`.
 struct SpreadCase {
     vms: usize,
-    /// Zones, among which VMs and upstreams are spread.
+    /// The number of zones, over which VMs and upstreams are spread.
     zones: usize,
     upstreams: usize,
-    places: usize,
+    slots: usize,
     queue: usize,
     work_ms: u64,
     requests_per_s: f64,
 }
 
-/// How an upstream is chosen.
+/// The rule by which an upstream is chosen: by reported loads or by the VM's own load.
 #[derive(Clone, Copy, Debug)]
-enum SpreadWay {
-    Told,
-    Own,
+enum SpreadRule {
+    Reported,
+    OwnLoad,
 }
 
-/// What came of it, in parts of all requests.
+/// The outcome, as fractions of all requests.
 #[derive(Debug)]
 struct SpreadOutcome {
     rejected: f64,
     late: f64,
 }
 
-/// Plays 20 s by steps of a millisecond. Each VM tells its requests in flight and is told the sums
-/// once in [`RENEW_MS`], as the leader does it.
-fn play(case: &SpreadCase, seed: u64, way: SpreadWay) -> SpreadOutcome {
+/// Simulates 20 s in steps of a millisecond. Each VM reports its requests in flight and receives
+/// the sums once in [`RENEW_MS`], as from a leader.
+fn simulate(case: &SpreadCase, seed: u64, rule: SpreadRule) -> SpreadOutcome {
     let mut random = StdRng::seed_from_u64(seed);
     let mut own = vec![vec![0u32; case.upstreams]; case.vms];
-    let (mut heard, mut told) = (own.clone(), own.clone());
-    let mut told_own = own.clone();
-    // When each request at an upstream ends, and whose it is; the first `places` run.
+    let (mut reported, mut told) = (own.clone(), own.clone());
+    let mut reported_own = own.clone();
+    // When each request at an upstream ends, and the VM that sent it; the first `slots` run.
     let mut work: Vec<VecDeque<(u64, usize)>> = vec![VecDeque::new(); case.upstreams];
-    let (mut asked, mut rejected, mut late) = (0.0, 0.0, 0.0);
+    let (mut requests, mut rejected, mut late) = (0.0, 0.0, 0.0);
     for now_ms in 0..20_000u64 {
         for (at, queue) in work.iter_mut().enumerate() {
             while queue.front().is_some_and(|(end_ms, _)| *end_ms <= now_ms) {
@@ -58,9 +59,9 @@
             }
         }
         for vm in (0..case.vms).filter(|vm| now_ms % RENEW_MS == (*vm as u64 * 7) % RENEW_MS) {
-            heard[vm] = own[vm].clone();
-            told_own[vm] = own[vm].clone();
-            told[vm] = (0..case.upstreams).map(|at| heard.iter().map(|h| h[at]).sum()).collect();
+            reported[vm] = own[vm].clone();
+            reported_own[vm] = own[vm].clone();
+            told[vm] = (0..case.upstreams).map(|at| reported.iter().map(|h| h[at]).sum()).collect();
         }
         let mut due = case.requests_per_s / 1000.0;
         while random.gen_bool(due.min(1.0)) {
@@ -68,25 +69,25 @@
             let vm = random.gen_range(0..case.vms);
             let candidates: Vec<UpstreamCandidate> = (0..case.upstreams)
                 .map(|at| UpstreamCandidate {
-                    load: own[vm][at] + told[vm][at].saturating_sub(told_own[vm][at]),
+                    load: own[vm][at] + told[vm][at].saturating_sub(reported_own[vm][at]),
                     own_load: own[vm][at],
                     same_zone: at % case.zones == vm % case.zones,
                     ..UpstreamCandidate::idle(UpstreamKey(at as u64 + 1))
                 })
                 .collect();
             let draw = random.gen();
-            let picked = match way {
-                SpreadWay::Told => choose_plain(&candidates, drawn_upstreams(case.vms), draw),
-                SpreadWay::Own => choose_with_affinity(&candidates, vm as u32, draw),
+            let picked = match rule {
+                SpreadRule::Reported => choose_plain(&candidates, drawn_upstreams(case.vms), draw),
+                SpreadRule::OwnLoad => choose_with_affinity(&candidates, vm as u32, draw),
             };
             let picked = picked.unwrap();
             let (at, queue) = (picked.0 as usize - 1, &mut work[picked.0 as usize - 1]);
-            asked += 1.0;
-            if queue.len() >= case.places + case.queue {
+            requests += 1.0;
+            if queue.len() >= case.slots + case.queue {
                 rejected += 1.0;
                 continue;
             }
-            let begins_ms = match queue.len().checked_sub(case.places) {
+            let begins_ms = match queue.len().checked_sub(case.slots) {
                 Some(before) => queue[before].0,
                 None => now_ms,
             };
@@ -98,7 +99,7 @@
             }
         }
     }
-    SpreadOutcome { rejected: rejected / asked, late: late / asked }
+    SpreadOutcome { rejected: rejected / requests, late: late / requests }
 }
 
 #[test]
@@ -107,23 +108,24 @@
         vms: 300,
         zones: 5,
         upstreams: 10,
-        places: 6,
+        slots: 6,
         queue: 24,
         work_ms: 60,
         requests_per_s: 410.0,
     };
     let few = SpreadCase { vms: 10, upstreams: 3, requests_per_s: 25.0, ..many };
-    for (seed, way) in [0, 1, 2].into_iter().flat_map(|seed| BOTH.map(|way| (seed, way))) {
-        // The least loaded of all, as told: 1.0 to 2.3% late, up to 0.24% rejected; two drawn: none.
-        let outcome = play(&many, seed, way);
-        assert!(outcome.rejected == 0.0 && outcome.late < 0.005, "{way:?}: {outcome:?}");
-
-        let outcome = play(&few, seed, way);
-        assert!(outcome.rejected == 0.0 && outcome.late < 0.001, "{way:?}: {outcome:?}");
+    for (seed, rule) in [0, 1, 2].into_iter().flat_map(|seed| BOTH.map(|rule| (seed, rule))) {
+        // With the least loaded of all, as reported, 1.0 to 2.3% are late and up to 0.24% rejected;
+        // with the less loaded of two drawn upstreams, none.
+        let outcome = simulate(&many, seed, rule);
+        assert!(outcome.rejected == 0.0 && outcome.late < 0.005, "{rule:?}: {outcome:?}");
+
+        let outcome = simulate(&few, seed, rule);
+        assert!(outcome.rejected == 0.0 && outcome.late < 0.001, "{rule:?}: {outcome:?}");
     }
 }
 
-const BOTH: [SpreadWay; 2] = [SpreadWay::Told, SpreadWay::Own];
+const BOTH: [SpreadRule; 2] = [SpreadRule::Reported, SpreadRule::OwnLoad];
 
 #[test]
 fn calls_that_are_over_before_they_are_told_are_spread_by_what_a_vm_sent_itself() {
@@ -131,16 +133,16 @@
         vms: 83,
         zones: 3,
         upstreams: 3,
-        places: 6,
+        slots: 6,
         queue: 24,
         work_ms: 30,
         requests_per_s: 420.0,
     };
     for seed in 0..3 {
-        let told = play(&short, seed, SpreadWay::Told);
-        let own = play(&short, seed, SpreadWay::Own);
+        let told = simulate(&short, seed, SpreadRule::Reported);
+        let own = simulate(&short, seed, SpreadRule::OwnLoad);
 
-        // By the less loaded of two as told: 0.6 to 0.9% rejected, 21 to 26% late.
+        // With the less loaded of two, as reported, 0.6 to 0.9% are rejected and 21 to 26% late.
         assert!(told.rejected > 0.005 && told.late > 0.2, "{told:?}");
         assert!(own.rejected == 0.0 && own.late < 0.005, "{own:?}");
     }
@@ -149,7 +151,7 @@
 #[test]
 fn a_vm_finds_out_whether_loads_that_are_told_are_news() {
     let mut hold = HoldTime::default();
-    assert!(!hold.exceeds_report_interval(), "nothing is known yet");
+    assert!(!hold.exceeds_report_interval(), "no request has ended yet");
     (0..50).for_each(|_| hold.note(30));
     assert!(!hold.exceeds_report_interval());
     (0..200).for_each(|_| hold.note(900));
@@ -169,16 +171,16 @@
     assert_ne!(choose_by_own_load(&[busy, far[0], far[1]], 1), Ok(UpstreamKey(1)));
 }
 
-/// The part of the requests of 20 s for which a VM opens a connection, where one rests for 4 s, and the
-/// most requests that one upstream has at once.
+/// The fraction of the requests of 20 s for which a VM opens a connection, if an idle one is kept
+/// for 4 s, and the most requests that one upstream has at once.
 fn connections_opened(vms: u64) -> (f64, u32) {
-    const REST_MS: u64 = 4000;
+    const IDLE_MS: u64 = 4000;
     const WORK_MS: u64 = 60;
     let mut random = StdRng::seed_from_u64(vms);
     let upstreams = vms * 2 / 5;
     let mut used_ms = vec![vec![None; upstreams as usize]; vms as usize];
     let mut held = vec![VecDeque::new(); upstreams as usize];
-    let (mut asked, mut opened, mut most) = (0.0, 0.0, 0);
+    let (mut requests, mut opened, mut most) = (0.0, 0.0, 0);
     for now_ms in 0..20_000u64 {
         for vm in 0..vms {
             if !random.gen_bool(0.00085) {
@@ -196,16 +198,16 @@
                 .collect();
             let picked = choose_with_affinity(&candidates, vm as u32, random.gen()).unwrap();
             let at = picked.0 as usize - 1;
-            let kept = |end_ms: u64| end_ms <= now_ms && end_ms + REST_MS > now_ms;
-            asked += 1.0;
-            opened += f64::from(u8::from(!used_ms[vm as usize][at].is_some_and(kept)));
+            let reusable = |end_ms: u64| end_ms <= now_ms && end_ms + IDLE_MS > now_ms;
+            requests += 1.0;
+            opened += f64::from(u8::from(!used_ms[vm as usize][at].is_some_and(reusable)));
             used_ms[vm as usize][at] = Some(now_ms + WORK_MS);
             held[at].retain(|end_ms| *end_ms > now_ms);
             held[at].push_back(now_ms + WORK_MS);
             most = most.max(held[at].len() as u32);
         }
     }
-    (opened / asked, most)
+    (opened / requests, most)
 }
 
 #[test]
@@ -228,5 +230,5 @@
 
     assert_eq!([2, 8].map(|upstreams| taken(upstreams, 0)), [2, 8]);
     assert_eq!([9, 400].map(|upstreams| taken(upstreams, 0)), [1, 1]);
-    assert!(taken(400, 1) > 100, "under load they are drawn");
+    assert!(taken(400, 1) > 100, "under load upstreams are drawn at random");
 }
--- a/lib/tests/test_rest_spread.rs
+++ b/lib/tests/test_rest_spread.rs
@@ -1,7 +1,9 @@
-//! How many requests are refused in vain while some upstreams turn everything away and ask for rest.
+//! Counts the requests that are refused while some upstreams reject everything and ask for
+//! back-off.
 //!
-//! Before: what upstreams ask for isn't heeded; they refuse at once, look idle, and get more than their
-//! share. After: each VM leaves them alone, and sends one request first when their rest is over.
+//! If VMs ignore the back-off, the upstreams refuse at once, look idle, and get more than their
+//! share. If VMs obey it, they send these upstreams nothing, and one request first when the
+//! back-off is over.
 
 use std::collections::VecDeque;
 
@@ -18,18 +20,19 @@
 
 const VMS: usize = 12;
 const UPSTREAMS: usize = 12;
-const TIRED: usize = 4;
-/// They turn everything away for so long, and ask for so much rest each time, in milliseconds.
-const TIRED_MS: u64 = 9000;
-const REST_MS: u64 = 3000;
-/// A request is refused after this long, and served after that, in milliseconds.
+const REJECTING: usize = 4;
+/// How long they reject everything, and how long a back-off they ask for each time, in
+/// milliseconds.
+const REJECT_MS: u64 = 9000;
+const BACKOFF_MS: u64 = 3000;
+/// After how many milliseconds a request is refused, and after how many it is served.
 const REFUSED_MS: u64 = 6;
 const SERVED_MS: u64 = 200;
 
 #[derive(Clone, Copy, PartialEq)]
-enum RestWay {
-    Unheeded,
-    Heeded,
+enum BackoffRule {
+    Ignored,
+    Obeyed,
     OneFirst,
 }
 
@@ -39,76 +42,78 @@
     refused: bool,
 }
 
-/// One VM's requests, one each `gap_ms` in the mean; how many were refused, and how many were sent to one
-/// upstream within a rest from half a second after it was asked for, at the most.
-fn play_vm(way: RestWay, gap_ms: f64, seed: u64) -> (usize, usize) {
+/// Simulates the requests of one VM, one each `gap_ms` on average. Returns how many were refused,
+/// and the maximum number that was sent to one upstream within a back-off, from half a second after
+/// it was backoffs for.
+fn simulate_vm(rule: BackoffRule, gap_ms: f64, seed: u64) -> (usize, usize) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut notices = NoticeTable::default();
-    let mut flying: VecDeque<SentRequest> = VecDeque::new();
+    let mut in_flight: VecDeque<SentRequest> = VecDeque::new();
     let (mut refused, mut worst) = (0, 0);
-    let mut asked: [Vec<(u64, usize)>; TIRED] = Default::default();
-    for now_ms in 0..TIRED_MS + 3000 {
-        for sent in flying.iter().filter(|sent| sent.ends_ms == now_ms) {
+    let mut backoffs: [Vec<(u64, usize)>; REJECTING] = Default::default();
+    for now_ms in 0..REJECT_MS + 3000 {
+        for sent in in_flight.iter().filter(|sent| sent.ends_ms == now_ms) {
             let key = UpstreamKey(sent.upstream as u64 + 1);
             match sent.refused {
                 true => {
                     refused += 1;
-                    notices.note_backoff(key, REST_MS, now_ms);
-                    asked[sent.upstream].push((now_ms, 0));
+                    notices.note_backoff(key, BACKOFF_MS, now_ms);
+                    backoffs[sent.upstream].push((now_ms, 0));
                 }
                 false => notices.note_accepted(key, now_ms),
             }
         }
-        flying.retain(|sent| sent.ends_ms > now_ms);
+        in_flight.retain(|sent| sent.ends_ms > now_ms);
         if !random.gen_bool(1.0 / gap_ms) {
             continue;
         }
         let candidates: Vec<UpstreamCandidate> = (0..UPSTREAMS)
             .map(|at| {
                 let key = UpstreamKey(at as u64 + 1);
-                let own = flying.iter().filter(|sent| sent.upstream == at).count() as u32;
+                let own = in_flight.iter().filter(|sent| sent.upstream == at).count() as u32;
                 let backoff_ms = notices.backoff_ms(key, now_ms);
                 UpstreamCandidate {
                     own_load: own,
-                    backoff_ms: if way == RestWay::Unheeded { 0 } else { backoff_ms },
-                    ejected: way == RestWay::OneFirst && notices.is_avoided(key, now_ms),
+                    backoff_ms: if rule == BackoffRule::Ignored { 0 } else { backoff_ms },
+                    ejected: rule == BackoffRule::OneFirst && notices.is_avoided(key, now_ms),
                     ..candidate(key.0, own)
                 }
             })
             .collect();
         let key = choose_by_own_load(&candidates, random.gen()).unwrap();
         let upstream = key.0 as usize - 1;
-        let tired = upstream < TIRED && now_ms < TIRED_MS;
+        let rejects = upstream < REJECTING && now_ms < REJECT_MS;
         notices.note_sent(key, now_ms);
-        if upstream < TIRED {
-            let inside = |at_ms: u64| at_ms + 500 < now_ms && now_ms < at_ms + REST_MS;
-            asked[upstream].iter_mut().filter(|(at_ms, _)| inside(*at_ms)).for_each(
+        if upstream < REJECTING {
+            let inside = |at_ms: u64| at_ms + 500 < now_ms && now_ms < at_ms + BACKOFF_MS;
+            backoffs[upstream].iter_mut().filter(|(at_ms, _)| inside(*at_ms)).for_each(
                 |(_, count)| {
                     *count += 1;
                     worst = worst.max(*count);
                 },
             );
         }
-        let ends_ms = now_ms + if tired { REFUSED_MS } else { SERVED_MS };
-        flying.push_back(SentRequest { upstream, ends_ms, refused: tired });
+        let ends_ms = now_ms + if rejects { REFUSED_MS } else { SERVED_MS };
+        in_flight.push_back(SentRequest { upstream, ends_ms, refused: rejects });
     }
     (refused, worst)
 }
 
-/// The same of all VMs.
-fn play(way: RestWay, gap_ms: f64) -> (usize, usize) {
-    let vms = (0..VMS as u64).map(|seed| play_vm(way, gap_ms, seed));
+/// The refused requests of all VMs, and the maximum of the second value over all VMs.
+fn simulate(rule: BackoffRule, gap_ms: f64) -> (usize, usize) {
+    let vms = (0..VMS as u64).map(|seed| simulate_vm(rule, gap_ms, seed));
     vms.fold((0, 0), |all, vm| (all.0 + vm.0, all.1.max(vm.1)))
 }
 
 #[test]
 fn heeding_rest_saves_refusals_and_sending_one_first_saves_more() {
     for gap_ms in [200.0, 20.0, 4.0] {
-        let [unheeded, heeded, one_first] =
-            [RestWay::Unheeded, RestWay::Heeded, RestWay::OneFirst].map(|way| play(way, gap_ms));
+        let [ignored, obeyed, one_first] =
+            [BackoffRule::Ignored, BackoffRule::Obeyed, BackoffRule::OneFirst]
+                .map(|rule| simulate(rule, gap_ms));
 
-        assert!(unheeded.1 > 2, "two are allowed: {unheeded:?}");
-        assert_eq!((heeded.1, one_first.1), (0, 0), "within a rest");
-        assert!(heeded.0 < unheeded.0 && one_first.0 <= heeded.0);
+        assert!(ignored.1 > 2, "two are allowed: {ignored:?}");
+        assert_eq!((obeyed.1, one_first.1), (0, 0), "within a back-off");
+        assert!(obeyed.0 < ignored.0 && one_first.0 <= obeyed.0);
     }
 }
--- a/lib/tests/test_vm_decisions.rs
+++ b/lib/tests/test_vm_decisions.rs
@@ -1,4 +1,4 @@
-//! The pure decisions of a VM of the fleet, as tables.
+//! Tests of a VM's decisions that are pure functions, mostly as tables of cases.
 
 mod testutils;
 
@@ -38,7 +38,7 @@
 use wingshed_lib::state::upstream_list::{EntryDoubt, UpstreamEntry, UpstreamList};
 
 const LATE: u64 = 10 * NEW_ENGINE_MS;
-/// A spread that leaves no engine out.
+/// A limit on engines that leaves none out.
 const ALL: usize = usize::MAX;
 
 #[test]
@@ -70,7 +70,7 @@
     count.note(Broken);
     count.note(NotRun);
     let next = count.next(NotRun, Kind::Repeatable, 2);
-    assert_eq!(next, Fail, "an earlier send may have run, so this is no refusal");
+    assert_eq!(next, Fail, "an earlier attempt may have run, so the request isn't refused");
 
     let mut count = AttemptCount::default();
     for _ in 0..MAX_UNREACHED {
@@ -158,9 +158,9 @@
     assert!(!contact.may_serve_keys(5000, 1000 + 5000 - REVOKE_MARGIN_MS));
 
     contact.note_grant(2000, 4);
-    assert_eq!(contact.confirmed_ms(), 1000, "a newer version is known, so 3 is old");
+    assert_eq!(contact.confirmed_ms(), 1000, "a newer version is known, so version 3 is outdated");
     contact.note_applied(2);
-    assert_eq!(contact.applied(), 3, "nothing goes back");
+    assert_eq!(contact.applied(), 3, "the applied version never decreases");
 }
 
 #[test]
@@ -170,14 +170,17 @@
     let mut contact = LeaderContact::default();
     contact.note_applied(3);
     contact.note_grant(1000, 3);
-    assert!(!contact.is_behind(APPLY_MS, 60_000), "no newer one is known");
+    assert!(!contact.is_behind(APPLY_MS, 60_000), "no newer version is known");
 
     contact.note_grant(1500, 4);
 
-    assert!(!contact.is_behind(APPLY_MS, LAST_MS - 1), "all may still lack it");
-    assert!(contact.is_behind(APPLY_MS, LAST_MS), "3 was the newest at 1,000 for sure, not later");
+    assert!(!contact.is_behind(APPLY_MS, LAST_MS - 1), "all VMs may still lack version 4");
+    assert!(
+        contact.is_behind(APPLY_MS, LAST_MS),
+        "version 3 was certainly the newest at 1000 ms only"
+    );
     contact.note_applied(4);
-    assert!(!contact.is_behind(APPLY_MS, LAST_MS), "it has it");
+    assert!(!contact.is_behind(APPLY_MS, LAST_MS), "version 4 is applied");
     assert_eq!(contact.confirmed_ms(), 1500);
 }
 
@@ -203,7 +206,7 @@
     assert_eq!(spill.fetch_from, Some(first.upstream));
     let fixed = EngineRules { kv_transfer: false, ..RULES };
     let alone = choose_engine(&busy, &prompt(), &memory, &fixed, LATE).unwrap();
-    assert_eq!(alone.fetch_from, None, "no fetch where engines can't move memory");
+    assert_eq!(alone.fetch_from, None, "no fetch if engines can't import from each other");
 }
 
 #[test]
@@ -226,7 +229,7 @@
     let spill = choose(&all);
 
     assert_ne!(spill.upstream, home);
-    assert_eq!(spill.fetch_from, Some(home), "the first of the order keeps it");
+    assert_eq!(spill.fetch_from, Some(home), "the first of the order holds it");
 }
 
 #[test]
@@ -248,8 +251,8 @@
         }
     }
 
-    assert_eq!(choose(&busy, 3), Err(ChoiceError::Full), "three of its order are full");
-    assert!(!taken.contains(&choose(&busy, ALL).unwrap()), "a fourth has room");
+    assert_eq!(choose(&busy, 3), Err(ChoiceError::Full), "the first three of its order are full");
+    assert!(!taken.contains(&choose(&busy, ALL).unwrap()), "the fourth has capacity");
     for candidate in &mut busy {
         candidate.full = true;
     }
@@ -289,17 +292,17 @@
     for candidate in &mut release {
         candidate.leaving = candidate.key == first;
     }
-    let heir = UpstreamCandidate {
+    let successor = UpstreamCandidate {
         key: UpstreamKey(99),
         ring_slot: Some(first.0),
         first_seen_ms: LATE - 1000,
         ..candidate(99, 0)
     };
-    release.push(heir);
+    release.push(successor);
 
     let pick = choose_engine(&release, &prompt(), &memory, &RULES, LATE).unwrap();
 
-    assert_eq!(pick.upstream, heir.key);
+    assert_eq!(pick.upstream, successor.key);
     assert_eq!(pick.fetch_from, Some(first));
 }
 
@@ -310,12 +313,16 @@
     assert_eq!(choose_plain(&all, usize::MAX, 5), Ok(UpstreamKey(3)));
     all[0].tried = true;
     all[2].tried = true;
-    assert_eq!(choose_plain(&all, usize::MAX, 5), Ok(UpstreamKey(2)), "better than none");
+    assert_eq!(
+        choose_plain(&all, usize::MAX, 5),
+        Ok(UpstreamKey(2)),
+        "an ejected upstream is better than none"
+    );
     all[1].leaving = true;
     assert_eq!(
         choose_plain(&all, usize::MAX, 5),
         Err(ChoiceError::NoUpstream),
-        "one that leaves takes nothing"
+        "a leaving upstream takes no request"
     );
 }
 
@@ -326,8 +333,8 @@
     for dead in 1..=4 {
         outliers.note_dead(UpstreamKey(dead), fleet(), 0.5, 1000);
     }
-    let aside = fleet().filter(|key| outliers.is_ejected(*key, 1001)).count();
-    assert_eq!(aside, 2);
+    let ejected = fleet().filter(|key| outliers.is_ejected(*key, 1001)).count();
+    assert_eq!(ejected, 2);
 }
 
 fn entry(life: &str, address: &str, leaving: bool) -> UpstreamEntry {
@@ -345,7 +352,7 @@
     }
 }
 
-fn seat_of(list: &UpstreamList, life: &str) -> Option<u64> {
+fn slot_of(list: &UpstreamList, life: &str) -> Option<u64> {
     list.entries.get(&UpstreamKey::of(life)).and_then(|entry| entry.seat)
 }
 
@@ -360,36 +367,36 @@
     let (mut table, mut list) = (RingSlotTable::default(), UpstreamList::default());
     let (a, b) = (entry("a", "10.0.0.1:1", false), entry("b", "10.0.0.2:1", false));
     take(&mut table, &mut list, &[a.clone(), b.clone()], 1000);
-    let (seat_a, seat_b) = (seat_of(&list, "a").unwrap(), seat_of(&list, "b").unwrap());
+    let (slot_a, slot_b) = (slot_of(&list, "a").unwrap(), slot_of(&list, "b").unwrap());
 
-    // A release: the new one starts first, then the old one leaves.
+    // In a release the new upstream starts first, and then the old one leaves.
     let c = entry("c", "10.0.0.3:1", false);
     take(&mut table, &mut list, &[a.clone(), b.clone(), c.clone()], 2000);
-    assert_eq!(seat_of(&list, "c"), None, "it waits for whom it may replace");
+    assert_eq!(slot_of(&list, "c"), None, "it waits for an upstream that it may replace");
     let leaving = UpstreamEntry { leaving: true, ..a };
     take(&mut table, &mut list, &[leaving, b.clone(), c.clone()], 2600);
-    assert_eq!(seat_of(&list, "c"), Some(seat_a));
-    assert_eq!(seat_of(&list, "a"), Some(seat_a), "the one that leaves still tells whose it was");
+    assert_eq!(slot_of(&list, "c"), Some(slot_a));
+    assert_eq!(slot_of(&list, "a"), Some(slot_a), "the leaving upstream keeps its slot too");
 
-    // A restart at the same address, while another seat is vacant too.
+    // A restart at the same address, while another ring slot is vacant too.
     take(&mut table, &mut list, std::slice::from_ref(&c), 4000);
     let again = entry("b2", "10.0.0.2:1", false);
     take(&mut table, &mut list, &[c.clone(), again], 5000);
-    assert_eq!(seat_of(&list, "b2"), Some(seat_b));
+    assert_eq!(slot_of(&list, "b2"), Some(slot_b));
 
-    // More upstreams: a seat of its own, after a wait.
+    // A further upstream gets a ring slot of its own after a wait.
     let more = entry("d", "10.0.0.4:1", false);
     let rows = [c, entry("b2", "10.0.0.2:1", false), more];
     take(&mut table, &mut list, &rows, 6000);
     take(&mut table, &mut list, &rows, 6000 + VACANCY_WAIT_MS);
-    let seat_d = seat_of(&list, "d").unwrap();
-    assert!(seat_d != seat_a && seat_d != seat_b);
+    let slot_d = slot_of(&list, "d").unwrap();
+    assert!(slot_d != slot_a && slot_d != slot_b);
 
-    // Another leader that was given the rows knows the same seats.
-    let mut heir = RingSlotTable::of(&table.rows());
+    // Another leader that received the rows has the same ring slots.
+    let mut successor = RingSlotTable::of(&table.rows());
     let mut fresh = UpstreamList::default();
-    take(&mut heir, &mut fresh, &rows, 9000);
-    assert_eq!(seat_of(&fresh, "c"), Some(seat_a));
+    take(&mut successor, &mut fresh, &rows, 9000);
+    assert_eq!(slot_of(&fresh, "c"), Some(slot_a));
 }
 
 #[test]
@@ -398,24 +405,24 @@
     let (a, b) = (entry("a", "10.0.0.1:1", false), entry("b", "10.0.0.2:1", false));
     let c = entry("c", "10.0.0.3:1", false);
     take(&mut table, &mut list, &[a.clone(), b.clone()], 1000);
-    let seat_a = seat_of(&list, "a").unwrap();
-    let patient = BTreeSet::from(["s".to_string()]);
-    let mut take_patiently = |list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64| {
+    let slot_a = slot_of(&list, "a").unwrap();
+    let waiting = BTreeSet::from(["s".to_string()]);
+    let mut take_while_waiting = |list: &mut UpstreamList, rows: &[UpstreamEntry], now_ms: u64| {
         let mut rows = rows.to_vec();
-        table.assign(&mut rows, list, &patient, now_ms);
+        table.assign(&mut rows, list, &waiting, now_ms);
         list.read(rows, None, 9, now_ms);
     };
 
-    take_patiently(&mut list, &[a.clone(), b.clone(), c.clone()], 2000);
-    take_patiently(&mut list, &[a.clone(), b.clone(), c.clone()], 2000 + 10 * VACANCY_WAIT_MS);
-    assert_eq!(seat_of(&list, "c"), None, "what is kept stays where it is");
-    take_patiently(&mut list, &[b.clone(), c.clone()], 2000 + 11 * VACANCY_WAIT_MS);
-    assert_eq!(seat_of(&list, "c"), Some(seat_a), "it replaces one that is gone at once");
+    take_while_waiting(&mut list, &[a.clone(), b.clone(), c.clone()], 2000);
+    take_while_waiting(&mut list, &[a.clone(), b.clone(), c.clone()], 2000 + 10 * VACANCY_WAIT_MS);
+    assert_eq!(slot_of(&list, "c"), None, "cached prompts stay where they are");
+    take_while_waiting(&mut list, &[b.clone(), c.clone()], 2000 + 11 * VACANCY_WAIT_MS);
+    assert_eq!(slot_of(&list, "c"), Some(slot_a), "it replaces a removed engine at once");
 
     let d = entry("d", "10.0.0.4:1", false);
     take(&mut table, &mut list, &[b.clone(), c.clone(), d.clone()], 40_000);
     take(&mut table, &mut list, &[b, c, d], 40_000 + VACANCY_WAIT_MS);
-    assert!(seat_of(&list, "d").is_some(), "where places are in use it gets its own");
+    assert!(slot_of(&list, "d").is_some(), "once slots are in use it gets its own");
 }
 
 #[test]
@@ -424,10 +431,10 @@
     let rows = [entry("a", "10.0.0.1:1", false), entry("b", "10.0.0.2:1", false)];
     take(&mut table, &mut list, &rows, 1000);
     let load = |life: &str, requests| UpstreamLoad { upstream: UpstreamKey::of(life), requests };
-    // Requests at both, places of one, whether new engines wait.
+    // Requests at both engines, slots of one engine, and whether new engines wait.
     let cases = [
-        ("nothing is kept yet", (0, 0), Some(8), false),
-        ("three of sixteen places", (3, 0), Some(8), true),
+        ("nothing is cached yet", (0, 0), Some(8), false),
+        ("three of sixteen slots", (3, 0), Some(8), true),
         ("four of sixteen", (3, 1), Some(8), false),
         ("all of one", (8, 0), Some(8), false),
         ("no engines", (1, 0), None, false),
@@ -435,9 +442,9 @@
     for (case, (at_a, at_b), places, waits) in cases {
         let loads = [load("a", at_a), load("b", at_b)];
 
-        let patient = waiting_services(&list, &loads, |_| places);
+        let waiting = waiting_services(&list, &loads, |_| places);
 
-        assert_eq!(patient.contains("s"), waits, "{case}");
+        assert_eq!(waiting.contains("s"), waits, "{case}");
     }
 }
 
@@ -455,11 +462,11 @@
     take(&mut table, &mut list, &lives("b"), 2000);
     let after = table.rows();
 
-    assert_eq!(before.len(), usize::from(MANY), "each has one, none has two");
+    assert_eq!(before.len(), usize::from(MANY), "each has one slot, none has two");
     let places = |rows: &[SeatRow]| -> Vec<(u64, SocketAddr)> {
         rows.iter().map(|row| (row.seat, row.address)).collect()
     };
-    assert_eq!(places(&after), places(&before), "each restart keeps its seat");
+    assert_eq!(places(&after), places(&before), "each restart keeps its slot");
     assert!(after.iter().zip(&before).all(|(new, old)| new.holder != old.holder));
 }
 
@@ -509,9 +516,9 @@
     assert_eq!(roster.loads(), load(5));
     assert_eq!(roster.keepers().into_keys().collect::<Vec<_>>(), [KeeperId(1)]);
 
-    let mut told = LoadReports::default();
-    told.note(&roster.loads(), &load(2));
-    assert_eq!(told.others(UpstreamKey(7)), 3);
+    let mut reports = LoadReports::default();
+    reports.note(&roster.loads(), &load(2));
+    assert_eq!(reports.others(UpstreamKey(7)), 3);
 
     roster.expire(2400);
     assert_eq!(roster.rows(), [row(2)]);
--- a/lib/tests/testutils/engines.rs
+++ b/lib/tests/testutils/engines.rs
@@ -1,4 +1,4 @@
-//! Engines as a choice sees them.
+//! Engines as candidates of a choice.
 
 use wingshed_lib::coordination::upstream_candidate::UpstreamCandidate;
 use wingshed_lib::coordination::upstream_choice::EngineRules;
@@ -10,7 +10,7 @@
     [(1, 2000), (2, 6000), (3, 500)].map(|(id, tokens)| PromptPart { id, tokens }).to_vec()
 }
 
-/// Rules that leave no engine out, with twice the mean and three for a limit.
+/// Rules that leave no engine out, with a limit of twice the mean plus three requests.
 pub const RULES: EngineRules = EngineRules {
     kv_transfer: true,
     max_engines: usize::MAX,
@@ -19,7 +19,7 @@
     draw: 0,
 };
 
-/// An engine that takes work, with so many requests in flight, seen long ago.
+/// An engine that takes work, was first seen long ago, and has `load` requests in flight.
 pub fn candidate(key: u64, load: u32) -> UpstreamCandidate {
     let ring_slot = Some(key);
     UpstreamCandidate {
