--- a/lib/src/coordination/engine_room.rs
+++ b/lib/src/coordination/engine_room.rs
@@ -237,9 +237,9 @@
     }
 
     /// Records whether the first event of an answer was late. It came from an engine with `load`
-    /// requests in flight and `places` slots.
-    pub fn note_first_event(&mut self, late: bool, load: u32, places: u32) {
-        if f64::from(load) < BUSY_FRACTION * f64::from(places) {
+    /// requests in flight, of the `slots` that it runs at once.
+    pub fn note_first_event(&mut self, late: bool, load: u32, slots: u32) {
+        if f64::from(load) < BUSY_FRACTION * f64::from(slots) {
             return;
         }
         self.late_fraction += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late_fraction);
@@ -251,17 +251,17 @@
         self.used_fraction = (self.used_fraction + step).clamp(MIN_USED_FRACTION, 1.0);
     }
 
-    /// The load below which an engine with `places` slots takes a request.
-    pub fn bound(&self, places: u32, request: &CapacityRequest) -> f64 {
-        let places = f64::from(places) * self.used_fraction;
-        let waiting = places * WAIT_FRACTION * self.goal_ms / self.hold_ms.max(1.0)
-            + VARIANCE_FACTOR * places.sqrt();
+    /// The load below which an engine that runs `slots` requests at once takes another one.
+    pub fn bound(&self, slots: u32, request: &CapacityRequest) -> f64 {
+        let slots = f64::from(slots) * self.used_fraction;
+        let waiting = slots * WAIT_FRACTION * self.goal_ms / self.hold_ms.max(1.0)
+            + VARIANCE_FACTOR * slots.sqrt();
         let yields = self.rank_is_ahead(request.rank)
             || self.is_heavy(request.workspace)
             || self.is_late(request);
-        let kept = if yields { RESERVED_FRACTION * places } else { 0.0 };
+        let kept = if yields { RESERVED_FRACTION * slots } else { 0.0 };
         // An idle engine takes one request, whatever was learned.
-        (places + waiting - kept).max(1.0)
+        (slots + waiting - kept).max(1.0)
     }
 
     /// Whether requests of this rank were lately admitted more often than more urgent ones.
--- a/lib/src/coordination/fair_queue.rs
+++ b/lib/src/coordination/fair_queue.rs
@@ -49,7 +49,7 @@
 
     /// How many of an engine's `all` slots this class may fill. The batch class leaves a quarter
     /// free, so that a live request gets a slot at once.
-    pub fn places(self, all: u32) -> u32 {
+    pub fn slots(self, all: u32) -> u32 {
         match self {
             RequestClass::Live | RequestClass::Normal => all,
             RequestClass::Batch => (all - all / 4).max(1),
--- a/lib/src/coordination/fleet_health.rs
+++ b/lib/src/coordination/fleet_health.rs
@@ -32,7 +32,7 @@
 /// How long the first flag lasts, in milliseconds; the time doubles with each further one.
 pub const FIRST_FLAG_MS: u64 = 2000;
 /// The maximum number of times that the duration of a flag doubles.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 /// The maximum fraction of a service's upstreams that is flagged at once.
 pub const MAX_FLAGGED_SHARE: f64 = 0.34;
 
@@ -155,7 +155,7 @@
             return false;
         }
         let row = self.rows.entry(upstream).or_default();
-        row.flagged_until_ms = now_ms + (FIRST_FLAG_MS << row.flags.min(MOST_DOUBLINGS));
+        row.flagged_until_ms = now_ms + (FIRST_FLAG_MS << row.flags.min(MAX_DOUBLINGS));
         row.flags += 1;
         (row.well, row.failed) = (0.0, 0.0);
         true
--- a/lib/src/coordination/home.rs
+++ b/lib/src/coordination/home.rs
@@ -21,7 +21,7 @@
 
 /// The state of one engine at its home.
 #[derive(Clone, Debug, Default)]
-pub struct HomeSlot {
+pub struct HomedEngine {
     /// The fleet of the engine.
     pub fleet: FleetKey,
     /// The engine's incarnation, once reported.
@@ -44,7 +44,7 @@
     released_work: u64,
 }
 
-impl HomeSlot {
+impl HomedEngine {
     /// Averages over spans of at least [`DRAIN_SPAN_MS`], because the work that ends in a shorter
     /// span is either nothing or a whole request.
     fn note_release(&mut self, work: u64, now_ms: u64) {
@@ -86,7 +86,7 @@
 /// The engines of one router.
 #[derive(Clone, Debug, Default)]
 pub struct HomeTable {
-    slots: HashMap<UpstreamKey, HomeSlot>,
+    engines: HashMap<UpstreamKey, HomedEngine>,
     settled_epoch: u64,
     sizes: BTreeMap<(FleetKey, u64), u32>,
 }
@@ -99,26 +99,26 @@
 
     /// Sets whether this router is home to an engine in the roster of `epoch`.
     pub fn assign(&mut self, engine: UpstreamKey, fleet: FleetKey, home: bool, epoch: u64) {
-        if !home && !self.slots.contains_key(&engine) {
+        if !home && !self.engines.contains_key(&engine) {
             return;
         }
-        let slot = self.slots.entry(engine).or_default();
-        slot.fleet = fleet;
+        let state = self.engines.entry(engine).or_default();
+        state.fleet = fleet;
         if !home {
-            slot.home_since_epoch = None;
-            slot.taken_over_ms = None;
-        } else if slot.home_since_epoch.is_none() {
-            slot.home_since_epoch = Some(epoch);
+            state.home_since_epoch = None;
+            state.taken_over_ms = None;
+        } else if state.home_since_epoch.is_none() {
+            state.home_since_epoch = Some(epoch);
         }
-        if slot.home_since_epoch.is_none() && slot.requests == 0 {
-            self.slots.remove(&engine);
+        if state.home_since_epoch.is_none() && state.requests == 0 {
+            self.engines.remove(&engine);
         }
     }
 
     /// Whether this router may admit to the engine now.
     pub fn is_home(&self, engine: UpstreamKey) -> bool {
-        let slot = self.slots.get(&engine);
-        slot.and_then(|slot| slot.home_since_epoch).is_some_and(|e| e <= self.settled_epoch)
+        let state = self.engines.get(&engine);
+        state.and_then(|state| state.home_since_epoch).is_some_and(|e| e <= self.settled_epoch)
     }
 
     /// Admits a request of `work` tokens to the engine, or returns why not.
@@ -132,41 +132,41 @@
         if !self.is_home(engine) {
             return Err(AdmitRefusal::NotHome);
         }
-        let slot = self.slots.get_mut(&engine).ok_or(AdmitRefusal::NotHome)?;
-        if slot.closed {
+        let state = self.engines.get_mut(&engine).ok_or(AdmitRefusal::NotHome)?;
+        if state.closed {
             return Err(AdmitRefusal::Closed);
         }
-        let full = slot.requests >= rule.max_requests;
-        if full || !may_admit(slot.load(), load, rule.multiple, work) {
+        let full = state.requests >= rule.max_requests;
+        if full || !may_admit(state.load(), load, rule.multiple, work) {
             return Err(AdmitRefusal::AtBound);
         }
-        slot.requests += 1;
-        slot.work += work;
-        *self.sizes.entry((slot.fleet, work)).or_default() += 1;
+        state.requests += 1;
+        state.work += work;
+        *self.sizes.entry((state.fleet, work)).or_default() += 1;
         Ok(())
     }
 
     /// Records that a request of `work` tokens ended at the engine.
     pub fn release(&mut self, engine: UpstreamKey, work: u64, now_ms: u64) {
-        let Some(slot) = self.slots.get_mut(&engine) else { return };
-        slot.note_release(work, now_ms);
-        if let Some(count) = self.sizes.get_mut(&(slot.fleet, work)) {
+        let Some(state) = self.engines.get_mut(&engine) else { return };
+        state.note_release(work, now_ms);
+        if let Some(count) = self.sizes.get_mut(&(state.fleet, work)) {
             *count -= 1;
             if *count == 0 {
-                self.sizes.remove(&(slot.fleet, work));
+                self.sizes.remove(&(state.fleet, work));
             }
         }
-        slot.requests = slot.requests.saturating_sub(1);
-        slot.work = slot.work.saturating_sub(work);
-        if slot.requests == 0 && slot.home_since_epoch.is_none() {
-            self.slots.remove(&engine);
+        state.requests = state.requests.saturating_sub(1);
+        state.work = state.work.saturating_sub(work);
+        if state.requests == 0 && state.home_since_epoch.is_none() {
+            self.engines.remove(&engine);
         }
     }
 
     /// Records the work that the engine reported. The first report after a take-over includes what
     /// an earlier home left in flight. From then on that work only falls, and it counts as ended
-    /// after [`FOREIGN_WORK_TTL_MS`]. A report lags, so it is never compared with the router's present
-    /// work.
+    /// after [`FOREIGN_WORK_TTL_MS`]. A report lags, so it is never compared with the router's
+    /// present work.
     pub fn report(
         &mut self,
         engine: UpstreamKey,
@@ -174,38 +174,40 @@
         reported_work: u64,
         now_ms: u64,
     ) {
-        let Some(slot) = self.slots.get_mut(&engine) else { return };
-        let same_incarnation = slot.incarnation == incarnation;
-        slot.incarnation = incarnation;
-        match slot.taken_over_ms {
+        let Some(state) = self.engines.get_mut(&engine) else { return };
+        let same_incarnation = state.incarnation == incarnation;
+        state.incarnation = incarnation;
+        match state.taken_over_ms {
             None => {
-                slot.taken_over_ms = Some(now_ms);
-                let inherited = slot.home_since_epoch.is_some_and(|epoch| epoch > FIRST_EPOCH);
-                slot.foreign_work = if inherited { reported_work } else { 0 };
+                state.taken_over_ms = Some(now_ms);
+                let inherited = state.home_since_epoch.is_some_and(|epoch| epoch > FIRST_EPOCH);
+                state.foreign_work = if inherited { reported_work } else { 0 };
             }
             Some(since) if same_incarnation && now_ms < since + FOREIGN_WORK_TTL_MS => {
-                slot.foreign_work = slot.foreign_work.min(reported_work);
+                state.foreign_work = state.foreign_work.min(reported_work);
             }
-            Some(_) => slot.foreign_work = 0,
+            Some(_) => state.foreign_work = 0,
         }
     }
 
     /// Opens an engine to new work or closes it.
     pub fn close(&mut self, engine: UpstreamKey, closed: bool) {
-        if let Some(slot) = self.slots.get_mut(&engine) {
-            slot.closed = closed;
+        if let Some(state) = self.engines.get_mut(&engine) {
+            state.closed = closed;
         }
     }
 
     /// The state of one engine.
-    pub fn slot(&self, engine: UpstreamKey) -> Option<&HomeSlot> {
-        self.slots.get(&engine)
+    pub fn engine_state(&self, engine: UpstreamKey) -> Option<&HomedEngine> {
+        self.engines.get(&engine)
     }
 
     /// The engines that this router is home to, whether or not their epoch is settled.
-    pub fn homed(&self) -> impl Iterator<Item = (UpstreamKey, &HomeSlot)> {
-        let slots = self.slots.iter();
-        slots.filter(|(_, slot)| slot.home_since_epoch.is_some()).map(|(key, slot)| (*key, slot))
+    pub fn homed(&self) -> impl Iterator<Item = (UpstreamKey, &HomedEngine)> {
+        let engines = self.engines.iter();
+        engines
+            .filter(|(_, state)| state.home_since_epoch.is_some())
+            .map(|(key, state)| (*key, state))
     }
 
     /// The work that this router has in flight at the engines of a fleet that take new work.
@@ -215,8 +217,8 @@
     pub fn fleet_work(&self, fleet: FleetKey) -> u64 {
         // Foreign work is counted by the router that admitted it. Counting it here too would raise
         // the mean, and with it the bound.
-        let slots = self.slots.values().filter(|slot| slot.fleet == fleet && !slot.closed);
-        slots.map(|slot| slot.work).sum()
+        let engines = self.engines.values().filter(|state| state.fleet == fleet && !state.closed);
+        engines.map(|state| state.work).sum()
     }
 
     fn largest_of(&self, fleet: FleetKey) -> u64 {
@@ -234,11 +236,11 @@
         max_requests: u32,
         waiting: bool,
     ) -> LoadRow {
-        let open = self.homed().filter(|(_, slot)| {
-            slot.fleet == fleet && !slot.closed && slot.requests < max_requests && !waiting
+        let open = self.homed().filter(|(_, state)| {
+            state.fleet == fleet && !state.closed && state.requests < max_requests && !waiting
         });
         let mut lightest: Vec<EngineHint> =
-            open.map(|(engine, slot)| EngineHint { engine, work: slot.load() }).collect();
+            open.map(|(engine, state)| EngineHint { engine, work: state.load() }).collect();
         lightest.sort_unstable_by_key(|hint| (hint.work, hint.engine));
         lightest.truncate(HINTS_REPORTED);
         let largest = self.largest_of(fleet);
@@ -247,6 +249,6 @@
 
     /// The number of requests that this router has in flight in all fleets.
     pub fn requests(&self) -> u32 {
-        self.slots.values().map(|slot| slot.requests).sum()
+        self.engines.values().map(|state| state.requests).sum()
     }
 }
--- a/lib/src/coordination/kv_move.rs
+++ b/lib/src/coordination/kv_move.rs
@@ -38,8 +38,8 @@
     let wait = holder_wait_ms.unwrap_or(f64::INFINITY);
     if wait <= import && wait <= recompute && wait <= MAX_HOLDER_WAIT_MS {
         // The estimate is rough. A wait beyond the cost of the next best option would be a loss.
-        let patience = import.min(recompute).min(MAX_HOLDER_WAIT_MS);
-        MoveChoice::Wait(patience.ceil() as u64)
+        let longest = import.min(recompute).min(MAX_HOLDER_WAIT_MS);
+        MoveChoice::Wait(longest.ceil() as u64)
     } else if import < recompute {
         MoveChoice::Import
     } else {
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -189,7 +189,8 @@
 }
 
 /// Adds the router's own engines that stay below the bound with this request, then hinted engines
-/// that do, then all others below the bound, the least loaded first.
+/// that do, then its other own engines and the other hinted engines below the bound, the least
+/// loaded first.
 ///
 /// An engine that a new chat fills to its bound would have no capacity for the chats that it holds
 /// until a request ends there.
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -361,7 +361,7 @@
     /// How long an engine of this router is expected to stay at its bound.
     fn holder_wait(&self, entry: u32, place: &PlaceCandidate, work: u64) -> Option<f64> {
         let known = self.known(entry, work);
-        let slot = known.homes.slot(place.engine).filter(|_| place.home.0 == entry)?;
+        let slot = known.homes.engine_state(place.engine).filter(|_| place.home.0 == entry)?;
         slot.wait_ms(admission_bound(&known.load, known.multiple, work))
     }
 
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -26,7 +26,8 @@
         for engine in 0..self.setup.engines {
             let key = engine_key(engine);
             let home = view.roster.home(key) == Some(RouterId(router));
-            let before = view.homes.slot(key).is_some_and(|slot| slot.home_since_epoch.is_some());
+            let before =
+                view.homes.engine_state(key).is_some_and(|slot| slot.home_since_epoch.is_some());
             view.homes.assign(key, FLEET, home, epoch);
             let closed = view.standings[engine as usize] != TraceStanding::Live;
             view.homes.close(key, closed);
@@ -125,7 +126,7 @@
         let key = engine_key(engine);
         let truth = &self.engines[engine as usize];
         let view = &mut self.routers[router as usize];
-        if view.homes.slot(key).is_none() {
+        if view.homes.engine_state(key).is_none() {
             return;
         }
         view.memory.set_life(key, Incarnation(truth.life));
--- a/lib/src/coordination/retry.rs
+++ b/lib/src/coordination/retry.rs
@@ -2,7 +2,9 @@
 
 /// What one first attempt adds to the budget, in thousandths of a retry.
 const EARNED_PER_REQUEST: u64 = 100;
+/// The cost of one retry, in thousandths.
 const COST_OF_RETRY: u64 = 1000;
+/// The most that the budget holds: twenty retries.
 const MAX_SAVED: u64 = 20 * COST_OF_RETRY;
 
 /// A budget that allows one retry for every ten requests, and five at the start.
--- a/lib/src/coordination/upstream_load.rs
+++ b/lib/src/coordination/upstream_load.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LoadReports {
     sums: HashMap<UpstreamKey, u32>,
-    own_part: HashMap<UpstreamKey, u32>,
+    own_reported: HashMap<UpstreamKey, u32>,
 }
 
 impl LoadReports {
@@ -167,7 +167,7 @@
             rows.iter().map(|row| (row.upstream, row.requests)).collect()
         };
         self.sums = by_key(sums);
-        self.own_part = by_key(own_reported);
+        self.own_reported = by_key(own_reported);
     }
 
     /// Records sums of one byte for each upstream, in the order of `keys`.
@@ -190,7 +190,7 @@
     /// The number of requests that the other VMs have in flight at an upstream.
     pub fn others(&self, upstream: UpstreamKey) -> u32 {
         let sum = self.sums.get(&upstream).copied().unwrap_or(0);
-        sum.saturating_sub(self.own_part(upstream))
+        sum.saturating_sub(self.own_reported(upstream))
     }
 
     /// The upstreams at which any requests are reported to be in flight.
@@ -200,12 +200,12 @@
 
     /// The requests that this VM had in flight at its last report, by upstream.
     pub fn own_loads(&self) -> impl Iterator<Item = UpstreamLoad> + '_ {
-        let rows = self.own_part.iter();
+        let rows = self.own_reported.iter();
         rows.map(|(upstream, requests)| UpstreamLoad { upstream: *upstream, requests: *requests })
     }
 
     /// The number of requests that this VM had in flight at an upstream at its last report.
-    pub fn own_part(&self, upstream: UpstreamKey) -> u32 {
-        self.own_part.get(&upstream).copied().unwrap_or(0)
+    pub fn own_reported(&self, upstream: UpstreamKey) -> u32 {
+        self.own_reported.get(&upstream).copied().unwrap_or(0)
     }
 }
--- a/lib/src/coordination/upstream_notice.rs
+++ b/lib/src/coordination/upstream_notice.rs
@@ -32,7 +32,8 @@
 /// rejection, and once more. Where a third of a service rejects all requests for nine seconds
 /// twice, the two constants gain 0.07 to 0.10 of worth on each of four days of two sites.
 pub const FIRST_AVOIDED_MS: u64 = 1000;
-const MOST_DOUBLINGS: u32 = 2;
+/// The maximum number of times that this duration doubles.
+const MAX_DOUBLINGS: u32 = 2;
 /// The fraction of the time for which a leaving upstream still serves (a bound of the deployment)
 /// in which it gets requests that no other upstream would serve. Its replacement appears on the
 /// list seconds later.
@@ -122,7 +123,7 @@
         let row = self.row(upstream, now_ms);
         row.rejections = row.rejections.saturating_add(1);
         if let Some(more) = row.rejections.checked_sub(CONSECUTIVE_REJECTIONS) {
-            row.avoided_until_ms = now_ms + (FIRST_AVOIDED_MS << more.min(MOST_DOUBLINGS));
+            row.avoided_until_ms = now_ms + (FIRST_AVOIDED_MS << more.min(MAX_DOUBLINGS));
         }
     }
 
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -28,24 +28,24 @@
 const NEW_SLOT_USED_FRACTION: f64 = 0.25;
 
 /// The services whose new engines may wait for a vacant ring slot, because the engines that have
-/// one have capacity. `places` gives how many requests one engine of a service runs at once, and
+/// one have capacity. `slots` gives how many requests one engine of a service runs at once, and
 /// `loads` what all VMs have in flight. A service without requests in flight has nothing cached, so
 /// its engines don't wait.
 pub fn waiting_services(
     list: &UpstreamList,
     loads: &[UpstreamLoad],
-    places: impl Fn(&str) -> Option<u32>,
+    slots: impl Fn(&str) -> Option<u32>,
 ) -> BTreeSet<String> {
     let mut used: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
     let loads: BTreeMap<UpstreamKey, u32> =
         loads.iter().map(|load| (load.upstream, load.requests)).collect();
     for (key, row) in list.entries.iter().filter(|(_, row)| row.seat.is_some() && !row.leaving) {
-        let (slots, requests) = used.entry(&row.service).or_default();
-        *slots += 1;
+        let (engines, requests) = used.entry(&row.service).or_default();
+        *engines += 1;
         *requests += loads.get(key).copied().unwrap_or(0);
     }
-    let waiting = |(service, (slots, requests)): &(&str, (u32, u32))| {
-        let all = f64::from(*slots) * f64::from(places(service).unwrap_or(0));
+    let waiting = |(service, (engines, requests)): &(&str, (u32, u32))| {
+        let all = f64::from(*engines) * f64::from(slots(service).unwrap_or(0));
         *requests > 0 && f64::from(*requests) < NEW_SLOT_USED_FRACTION * all
     };
     used.into_iter().filter(waiting).map(|(service, _)| service.to_string()).collect()
--- a/lib/src/coordination/workspace_share.rs
+++ b/lib/src/coordination/workspace_share.rs
@@ -47,16 +47,16 @@
         self.present.retain(|_, p| p.in_flight > 0 || now_ms < p.asked_ms + PRESENCE_MS);
     }
 
-    /// Whether a workspace holds at least half of the home's `places` while others are present.
+    /// Whether a workspace holds at least half of the home's `slots` while others are present.
     pub fn is_heavy(
         &self,
         fleet: FleetKey,
         workspace: WorkspaceKey,
-        places: u32,
+        slots: u32,
         now_ms: u64,
     ) -> bool {
         let held = self.present.get(&(fleet, workspace)).map_or(0, |p| p.in_flight);
-        if held * 2 < places {
+        if held * 2 < slots {
             return false;
         }
         self.present.iter().any(|((other_fleet, other), presence)| {
--- a/lib/src/transport/router_home.rs
+++ b/lib/src/transport/router_home.rs
@@ -123,7 +123,7 @@
     let heavy = desk.shares.is_heavy(fleet, workspace, places, now_ms);
     // A heavy workspace is held to what the batch class may fill.
     let class = if heavy { RequestClass::Batch } else { class };
-    let max_requests = class.places(entry.requests_per_engine);
+    let max_requests = class.slots(entry.requests_per_engine);
     AdmissionRule { multiple: entry.multiple, max_requests }
 }
 
@@ -219,7 +219,7 @@
         desk.queues.get(&ask.fleet).is_some_and(|queue| queue.has_waiting(ask.decision.class));
     let known = shared.known(&desk, ask.fleet, sight, work);
     let bound = admission_bound(&known.load, known.multiple, work);
-    let own = known.homes.slot(holder.engine);
+    let own = known.homes.engine_state(holder.engine);
     let own = own.filter(|_| holder.home == shared.id() && !ahead);
     let wait = own.and_then(|slot| slot.wait_ms(bound));
     let cached = holder.cached_tokens.min(ask.prompt_tokens());
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -130,7 +130,7 @@
     let mut loads = Vec::new();
     for (reported, now_ms) in [(500, 1000), (900, 2000), (200, 3000), (700, 4000), (700, 90_000)] {
         homes.report(engine, Incarnation(1), reported, now_ms);
-        loads.push(homes.slot(engine).unwrap().load());
+        loads.push(homes.engine_state(engine).unwrap().load());
     }
 
     assert_eq!(loads, [500, 500, 200, 200, 0]);
