--- a/lib/src/coordination/engine_room.rs
+++ b/lib/src/coordination/engine_room.rs
@@ -108,6 +108,7 @@
         self.reported_mean() + self.growth()
     }
 
+    /// The mean load of an engine, without the growth since the report.
     fn reported_mean(&self) -> f64 {
         f64::from(self.reported) / self.engines.max(1) as f64
     }
--- a/lib/src/coordination/event_splice.rs
+++ b/lib/src/coordination/event_splice.rs
@@ -102,6 +102,8 @@
         std::mem::take(&mut self.partial)
     }
 
+    /// Whether an event has yet to be passed on. If its id and the last id are numbers, it is new
+    /// when its id is higher; otherwise it counts as new.
     fn is_new(&self, id: Option<&str>) -> bool {
         let number = |text: &str| text.parse::<u64>().ok();
         match (self.last_id.as_deref().and_then(number), id.and_then(number)) {
@@ -111,6 +113,7 @@
     }
 }
 
+/// The last `id` field of an event, unless it is empty or isn't UTF-8.
 fn event_id(event: &[u8]) -> Option<String> {
     let lines = event.split(|byte| matches!(byte, b'\n' | b'\r'));
     let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next_back()?;
--- a/lib/src/coordination/fair_queue.rs
+++ b/lib/src/coordination/fair_queue.rs
@@ -188,6 +188,8 @@
         turn
     }
 
+    /// Removes and returns the next admitted request of the lanes in `turn`. Each lane that can't
+    /// afford its head adds a quantum times its weight to its deficit, in turn, until one can.
     fn pop_among(
         &mut self,
         rank: u64,
@@ -223,6 +225,7 @@
         None
     }
 
+    /// Removes empty lanes, which loses their deficit, and counts the waiting requests.
     fn drop_empty(&mut self) {
         self.lanes.retain(|_, lane| !lane.waiting.is_empty());
         self.length = self.lanes.values().map(|lane| lane.waiting.len()).sum();
@@ -245,6 +248,7 @@
     None
 }
 
+/// The rank of a request's class after ageing; 0 is the most urgent.
 fn aged_rank(request: &WaitingRequest, now_ms: u64) -> u64 {
     let steps = now_ms.saturating_sub(request.since_ms) / AGE_STEP_MS;
     (request.class as u64).saturating_sub(steps)
--- a/lib/src/coordination/holder_news.rs
+++ b/lib/src/coordination/holder_news.rs
@@ -31,7 +31,7 @@
 /// Reports that a part was sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderNote {
-    /// The last shared part of a prompt.
+    /// A shared part of a prompt: the last one, or the first one (the root).
     pub part: u64,
     /// The engine that the part was sent to.
     pub engine: UpstreamKey,
@@ -85,7 +85,7 @@
     notes: VecDeque<HolderNote>,
     newest: HashMap<u64, UpstreamKey>,
     /// The number of notes of this term that were dropped.
-    forgotten: u64,
+    dropped: u64,
 }
 
 impl HolderLog {
@@ -100,7 +100,7 @@
                 continue;
             }
             if self.notes.len() == MAX_KEPT_NOTES {
-                self.forget_oldest();
+                self.drop_oldest();
             }
             self.notes.push_back(*note);
             fresh.push(*note);
@@ -108,21 +108,21 @@
         fresh
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some(oldest) = self.notes.pop_front() else { return };
-        self.forgotten += 1;
+        self.dropped += 1;
         if self.newest.get(&oldest.part) == Some(&oldest.engine) {
             self.newest.remove(&oldest.part);
         }
     }
 
-    /// The next notes for a VM that has received those up to `mark`, and its position after them.
-    pub fn notes_after(&self, mark: HolderPosition) -> (Vec<HolderNote>, HolderPosition) {
-        let heard = if mark.term == self.term { mark.heard } else { 0 };
-        let from = heard.saturating_sub(self.forgotten).min(self.notes.len() as u64) as usize;
+    /// The next notes for a VM that has received those up to `position`, and its position after them.
+    pub fn notes_after(&self, position: HolderPosition) -> (Vec<HolderNote>, HolderPosition) {
+        let received = if position.term == self.term { position.heard } else { 0 };
+        let from = received.saturating_sub(self.dropped).min(self.notes.len() as u64) as usize;
         let sent: Vec<HolderNote> =
             self.notes.iter().skip(from).take(NOTES_PER_MESSAGE).copied().collect();
-        let heard = self.forgotten + (from + sent.len()) as u64;
+        let heard = self.dropped + (from + sent.len()) as u64;
         (sent, HolderPosition { term: self.term, heard })
     }
 }
--- a/lib/src/coordination/home.rs
+++ b/lib/src/coordination/home.rs
@@ -221,6 +221,7 @@
         engines.map(|state| state.work).sum()
     }
 
+    /// The work of the largest request that this router has in flight in a fleet.
     fn largest_of(&self, fleet: FleetKey) -> u64 {
         let sizes = self.sizes.range((fleet, 0)..=(fleet, u64::MAX));
         sizes.last().map_or(0, |((_, work), _)| *work)
--- a/lib/src/coordination/placement.rs
+++ b/lib/src/coordination/placement.rs
@@ -25,11 +25,15 @@
 pub const ORDER_LENGTH: usize = 4;
 
 /// Where to place chats that no engine is known to hold, and chats whose holders have no capacity.
+///
+/// The engines along the order come last for every rule, but for `LightestOfFleet` only while no
+/// hints were received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreshRule {
-    /// The first engine of the order, then the next ones along the order.
+    /// Only the engines along the order, the first one first.
     OrderOnly,
-    /// The first engine of the order, then the least loaded engines of the home.
+    /// The first engine of the order if no engine holds the chat, then the least loaded engines of
+    /// the home.
     FirstPlace,
     /// The least loaded engines of the home.
     LightestOfHome,
@@ -169,6 +173,7 @@
     })
 }
 
+/// The engines that are known to hold the chat, the most certain and longest prefix first.
 fn holder_candidates(
     chat: ChatKey,
     known: &PlacementContext<'_>,
@@ -220,6 +225,7 @@
     push_all(candidates, rest.into_iter().map(|(_, key)| key), known.view);
 }
 
+/// The router's own open engines with their loads, the least loaded first.
 fn own_lightest(known: &PlacementContext<'_>) -> impl Iterator<Item = (u64, UpstreamKey)> {
     let ours = known.homes.homed().filter(|(engine, slot)| {
         slot.fleet == known.fleet
@@ -232,6 +238,7 @@
     ours.into_iter()
 }
 
+/// Appends the engines that have a home and aren't among the candidates yet.
 fn push_all(
     candidates: &mut Vec<PlaceCandidate>,
     engines: impl Iterator<Item = UpstreamKey>,
--- a/lib/src/coordination/session_watch.rs
+++ b/lib/src/coordination/session_watch.rs
@@ -75,6 +75,7 @@
         roster.routers.keys().map(|id| (*id, version(id))).collect()
     }
 
+    /// When a session last renewed; the start of the term if it hasn't renewed since.
     fn last_renewal_ms(&self, id: RouterId, incarnation: Incarnation) -> u64 {
         let renewal = self.renewals.get(&id).filter(|renewal| renewal.incarnation == incarnation);
         renewal.map_or(self.since_ms, |renewal| renewal.last_renewal_ms)
--- a/lib/src/coordination/upstream_choice.rs
+++ b/lib/src/coordination/upstream_choice.rs
@@ -109,6 +109,7 @@
 }
 
 impl PartHolder {
+    /// Whether the last send is recent enough for the part to be assumed cached.
     fn is_recent(&self, now_ms: u64) -> bool {
         self.sent_ms + HOLDER_TTL_MS > now_ms
     }
@@ -161,6 +162,7 @@
         earlier * vms as f64 * 1000.0 / COUNT_DECAY_MS
     }
 
+    /// The count of requests for a part, decayed to the present.
     fn decayed_count(&self, part: u64, now_ms: u64) -> f64 {
         let (count, at_ms) = self.request_counts.get(&part).copied().unwrap_or_default();
         count * (-(now_ms.saturating_sub(at_ms) as f64) / COUNT_DECAY_MS).exp()
--- a/lib/src/coordination/upstream_notice.rs
+++ b/lib/src/coordination/upstream_notice.rs
@@ -145,6 +145,7 @@
         is_new
     }
 
+    /// The row of an upstream, marked as seen now.
     fn row(&mut self, upstream: UpstreamKey, now_ms: u64) -> &mut NoticeRow {
         let row = self.rows.entry(upstream).or_default();
         row.last_seen_ms = now_ms;
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -103,6 +103,7 @@
         }
     }
 
+    /// Records the row's upstream as the holder of its ring slot.
     fn hold(&mut self, row: &UpstreamEntry) {
         if let Some(seat) = row.seat {
             let (service, address) = (row.service.clone(), row.address);
