--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -370,7 +370,7 @@
     /// Returns how long an engine of this router is expected to stay at its bound, in milliseconds.
     fn holder_wait(&self, entry: u32, place: &PlaceCandidate, work: u64) -> Option<f64> {
         let knowledge = self.placement_knowledge(entry, work);
-        let slot = knowledge.homes.slot(place.engine).filter(|_| place.home.0 == entry)?;
+        let slot = knowledge.homes.engine_state(place.engine).filter(|_| place.home.0 == entry)?;
         slot.wait_ms(admission_bound(&knowledge.load, knowledge.multiple, work))
     }
 
