--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -74,9 +74,9 @@
 
 impl CrashOutbox {
     /// Queues a crash of an upstream.
-    pub fn note_crash(&mut self, seen: ObservedCrash, now_ms: u64) {
+    pub fn note_crash(&mut self, observed: ObservedCrash, now_ms: u64) {
         self.last_number += 1;
-        let ObservedCrash { mark, upstream, watched, ran_ms } = seen;
+        let ObservedCrash { mark, upstream, watched, ran_ms } = observed;
         let note = CrashNote { number: self.last_number, mark, upstream, watched, ran_ms };
         self.notes.push_back((now_ms, note));
         if self.notes.len() > MAX_KEPT {
--- a/lib/src/coordination/directory.rs
+++ b/lib/src/coordination/directory.rs
@@ -45,31 +45,31 @@
 pub fn addresses(
     roster: &RouterRoster,
     view: Option<&FleetView>,
-    question: &AddressRequest<'_>,
+    request: &AddressRequest<'_>,
 ) -> AddressAnswer {
-    let home = match (view, question.chat) {
+    let home = match (view, request.chat) {
         (Some(view), Some(chat)) => view.chat_home(chat),
-        (Some(view), None) => light_home(view, question),
+        (Some(view), None) => light_home(view, request),
         (None, _) => None,
     };
     let mut routers: Vec<_> =
         roster.routers.iter().filter(|(_, session)| !session.leaving).collect();
     routers.sort_by_key(|(id, session)| {
-        let order = rendezvous_score(question.spread, id.0 as u64);
-        (Some(**id) != home, session.zone != question.zone, order)
+        let order = rendezvous_score(request.spread, id.0 as u64);
+        (Some(**id) != home, session.zone != request.zone, order)
     });
     let first = routers.into_iter().take(MAX_ADDRESSES);
     AddressAnswer {
         addresses: first.map(|(_, session)| session.address).collect(),
-        keep_seconds: if question.chat.is_some() { CACHE_S } else { CACHE_NEW_CHAT_S },
+        keep_seconds: if request.chat.is_some() { CACHE_S } else { CACHE_NEW_CHAT_S },
     }
 }
 
-/// Returns the home of one of the lightly loaded engines, chosen by `question.spread`.
-pub fn light_home(view: &FleetView, question: &AddressRequest<'_>) -> Option<RouterId> {
-    let mut homes = question.hints.iter().filter_map(|hint| view.engines.get(&hint.engine));
-    let count = question.hints.len().max(1) as u64;
-    homes.nth((question.spread % count) as usize).copied()
+/// Returns the home of one of the lightly loaded engines, chosen by `request.spread`.
+pub fn light_home(view: &FleetView, request: &AddressRequest<'_>) -> Option<RouterId> {
+    let mut homes = request.hints.iter().filter_map(|hint| view.engines.get(&hint.engine));
+    let count = request.hints.len().max(1) as u64;
+    homes.nth((request.spread % count) as usize).copied()
 }
 
 /// Returns the other routers that are not leaving, to which a request may be passed, those of the
--- a/lib/src/coordination/durable_core.rs
+++ b/lib/src/coordination/durable_core.rs
@@ -30,7 +30,7 @@
 /// A consensus core with its pending disk jobs and the messages that depend on them.
 pub struct DurableCore {
     /// The consensus core. The output of direct calls must be passed to
-    /// [`DurableCore::settle`].
+    /// [`DurableCore::process_output`].
     pub core: RaftCore,
     running: Option<RunningJob>,
     last_job_ms: u64,
@@ -38,7 +38,7 @@
     /// When a job failed, if the log has not been rewritten since.
     failed_ms: Option<u64>,
     /// Messages that may be sent after the last waiting job.
-    held_back: Vec<(KeeperId, RaftMessage)>,
+    deferred: Vec<(KeeperId, RaftMessage)>,
 }
 
 /// The job that the disk thread is running.
@@ -49,7 +49,7 @@
     /// it began, or if a later job replaces the log.
     last_index: Option<u64>,
     /// Messages that may be sent once this job ends.
-    held_back: Vec<(KeeperId, RaftMessage)>,
+    deferred: Vec<(KeeperId, RaftMessage)>,
 }
 
 /// What the caller has to do after a step, in the order of the fields.
@@ -75,7 +75,7 @@
             last_job_ms: 0,
             waiting: Vec::new(),
             failed_ms: None,
-            held_back: Vec::new(),
+            deferred: Vec::new(),
         }
     }
 
@@ -107,12 +107,12 @@
     ) -> DurableOutcome {
         let mut output = RaftOutput::default();
         act(&mut self.core, &mut output);
-        self.settle(output, now_ms)
+        self.process_output(output, now_ms)
     }
 
     /// Processes the output of one or more calls of the core: queues the writes, and holds back
     /// the messages that must follow them.
-    pub fn settle(&mut self, mut output: RaftOutput, now_ms: u64) -> DurableOutcome {
+    pub fn process_output(&mut self, mut output: RaftOutput, now_ms: u64) -> DurableOutcome {
         let mut outcome = DurableOutcome::default();
         if let Some(snapshot) = output.install.take() {
             outcome.installed = Some(snapshot.clone());
@@ -122,8 +122,8 @@
             self.queue(DiskJob::Append(output.batch));
         }
         for (to, message) in output.messages {
-            match self.must_wait(&message) {
-                true => self.held_back.push((to, message)),
+            match self.must_follow_write(&message) {
+                true => self.deferred.push((to, message)),
                 false => outcome.messages.push((to, message)),
             }
         }
@@ -136,7 +136,7 @@
     pub fn note_written(&mut self, now_ms: u64) -> DurableOutcome {
         let Some(ended) = self.running.take() else { return DurableOutcome::default() };
         self.last_job_ms = now_ms.saturating_sub(ended.since_ms);
-        let mut messages = ended.held_back;
+        let mut messages = ended.deferred;
         let mut outcome = self.step(now_ms, |core, output| {
             if let Some(index) = ended.last_index {
                 core.note_synced_to(index, output);
@@ -149,9 +149,9 @@
 
     /// Notes that the running job failed. Nothing is written until [`DurableCore::rewrite`].
     pub fn note_failed(&mut self, now_ms: u64) {
-        let mut held_back = self.running.take().unwrap_or_default().held_back;
-        held_back.append(&mut self.held_back);
-        self.held_back = held_back;
+        let mut deferred = self.running.take().unwrap_or_default().deferred;
+        deferred.append(&mut self.deferred);
+        self.deferred = deferred;
         self.failed_ms = Some(now_ms);
         self.waiting.clear();
     }
@@ -196,7 +196,7 @@
             // `rewrite` will write the whole state.
             return;
         }
-        self.forget_replaced(&job);
+        self.exclude_replaced(&job);
         match (self.waiting.last_mut(), job) {
             (Some(DiskJob::Append(before)), DiskJob::Append(batch)) => merge_batch(before, batch),
             (_, job) => self.waiting.push(job),
@@ -212,7 +212,7 @@
         let mut running = RunningJob { since_ms: now_ms, ..RunningJob::default() };
         if self.waiting.is_empty() {
             running.last_index = Some(self.core.last_index());
-            running.held_back = std::mem::take(&mut self.held_back);
+            running.deferred = std::mem::take(&mut self.deferred);
         }
         self.running = Some(running);
         Some(job)
@@ -220,7 +220,7 @@
 
     /// Excludes the entries that a new job truncates or replaces from those that the end of the
     /// running job marks as synced.
-    fn forget_replaced(&mut self, job: &DiskJob) {
+    fn exclude_replaced(&mut self, job: &DiskJob) {
         let Some(running) = &mut self.running else { return };
         running.last_index = match job {
             DiskJob::Append(batch) => match (running.last_index, batch.truncate_from) {
@@ -239,7 +239,7 @@
 
     /// Returns whether a message must wait for the disk: a granted vote, a vote request (which
     /// implies the candidate's vote for itself), or an acknowledgement of unsynced entries.
-    fn must_wait(&self, message: &RaftMessage) -> bool {
+    fn must_follow_write(&self, message: &RaftMessage) -> bool {
         let claims = match &message.body {
             RaftBody::VoteReply { pre, granted } => !pre && *granted,
             RaftBody::Vote { pre, .. } => !pre,
--- a/lib/src/coordination/list_reader.rs
+++ b/lib/src/coordination/list_reader.rs
@@ -78,11 +78,11 @@
     /// leaving upstream must get no requests after `drain_ms`. For a long list the age is at least what
     /// the leader can keep.
     pub fn stale_ms(&self, drain_ms: u64) -> u64 {
-        let kept_to = 2 * self.min_pause_ms() + EXCHANGE_MS;
+        let achievable_ms = 2 * self.min_pause_ms() + EXCHANGE_MS;
         let bound_ms = stale_bound_ms(drain_ms);
         match self.pages <= PAGES_AT_ONCE {
             true => bound_ms,
-            false => bound_ms.max(kept_to),
+            false => bound_ms.max(achievable_ms),
         }
     }
 
@@ -130,9 +130,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListStatus {
     /// When a leader answered for the first time, if one did.
-    pub first_heard_ms: Option<u64>,
+    pub first_contact_ms: Option<u64>,
     /// The latest time at which the VM's list is known to have been the platform's; 0 if that is unknown.
-    pub news_ms: u64,
+    pub confirmed_ms: u64,
     /// The age at which the list is too old, in milliseconds; see [`ListCost::stale_ms`].
     pub stale_ms: u64,
     /// Whether the VM has a list.
@@ -158,17 +158,17 @@
 /// reassigned to another upstream meanwhile, that one refuses requests for the earlier one.
 ///
 /// `rank` returns the VM's position in [`reader_order`]. It is called only when the result depends on it.
-pub fn list_action(standing: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
-    let Some(first_heard_ms) = standing.first_heard_ms else {
-        return if standing.has_list { ListAction::Rest } else { ListAction::Ask };
+pub fn list_action(status: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
+    let Some(first_contact_ms) = status.first_contact_ms else {
+        return if status.has_list { ListAction::Rest } else { ListAction::Ask };
     };
-    let (since_ms, stale_ms) = match standing.has_list {
+    let (since_ms, stale_ms) = match status.has_list {
         // A list that just arrived is confirmed with the next answer of the leader.
-        true => (standing.news_ms.max(first_heard_ms), standing.stale_ms),
-        false => (first_heard_ms, NO_LIST_MS),
+        true => (status.confirmed_ms.max(first_contact_ms), status.stale_ms),
+        false => (first_contact_ms, NO_LIST_MS),
     };
     if since_ms + stale_ms >= now_ms {
-        return if standing.has_list { ListAction::Rest } else { ListAction::Ask };
+        return if status.has_list { ListAction::Rest } else { ListAction::Ask };
     }
     match since_ms + stale_ms + reader_delay_ms(rank()) < now_ms {
         true => ListAction::Read,
@@ -186,8 +186,8 @@
 /// list: it varies the order of the others, and VMs with the same list compute the same order.
 pub fn reader_order(keepers: &[u32], vms: impl Iterator<Item = u32>, term: u64) -> Vec<u32> {
     let mut order: Vec<u32> = vms.chain(keepers.iter().copied()).collect();
-    let place = |id: &u32| (!keepers.contains(id), rendezvous_score(term, u64::from(*id)), *id);
-    order.sort_by_cached_key(place);
+    let sort_key = |id: &u32| (!keepers.contains(id), rendezvous_score(term, u64::from(*id)), *id);
+    order.sort_by_cached_key(sort_key);
     order.dedup();
     order
 }
--- a/lib/src/coordination/news_source.rs
+++ b/lib/src/coordination/news_source.rs
@@ -21,16 +21,16 @@
 pub fn choose_source(
     keepers: &[u32],
     rows: &[RosterRow],
-    asker: UpdateRequester,
+    requester: UpdateRequester,
     attempt: u32,
     draw: u64,
 ) -> Option<u32> {
-    let others = || keepers.iter().copied().filter(|id| *id != asker.id);
+    let others = || keepers.iter().copied().filter(|id| *id != requester.id);
     let zone_of = |id: &u32| {
         let at = rows.binary_search_by_key(id, |row| row.id).ok()?;
         Some(rows[at].zone)
     };
-    let near: Vec<u32> = others().filter(|id| zone_of(id) == Some(asker.zone)).collect();
+    let near: Vec<u32> = others().filter(|id| zone_of(id) == Some(requester.zone)).collect();
     let asked = match near.is_empty() || attempt % 2 == 1 {
         true => others().collect(),
         false => near,
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -47,8 +47,13 @@
     /// Notes that an upstream crashed while it ran a request. Returns after how many milliseconds to send
     /// the leader a renewal, so that at most one is sent early per `pause_ms`, or `None` if one is planned
     /// already.
-    pub fn note_crash(&mut self, seen: ObservedCrash, pause_ms: u64, now_ms: u64) -> Option<u64> {
-        self.outbox.note_crash(seen, now_ms);
+    pub fn note_crash(
+        &mut self,
+        observed: ObservedCrash,
+        pause_ms: u64,
+        now_ms: u64,
+    ) -> Option<u64> {
+        self.outbox.note_crash(observed, now_ms);
         self.plan_renewal(pause_ms, now_ms)
     }
 
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -220,7 +220,7 @@
     }
 
     /// Returns the update that the leader of `term` should send to a VM with revision `have`.
-    pub fn news(&self, term: u64, have: RosterRevision) -> RosterUpdate {
+    pub fn update_since(&self, term: u64, have: RosterRevision) -> RosterUpdate {
         let mark = RosterRevision { term, change: self.change };
         if have == mark {
             return RosterUpdate { mark, ..RosterUpdate::default() };
@@ -253,27 +253,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct RosterCopy {
     /// The revision of this copy.
-    pub mark: RosterRevision,
+    pub revision: RosterRevision,
     /// The VMs, by address.
     pub rows: Vec<RosterRow>,
 }
 
 impl RosterCopy {
     /// Applies an update if it is newer and either whole or of the same term.
-    pub fn take(&mut self, news: RosterUpdate) {
-        let (own, mark) = (self.mark, news.mark);
+    pub fn take(&mut self, update: RosterUpdate) {
+        let (own, mark) = (self.revision, update.mark);
         let newer = (mark.term, mark.change) > (own.term, own.change);
-        if !newer || !(news.whole || mark.term == own.term) {
+        if !newer || !(update.whole || mark.term == own.term) {
             return;
         }
-        if news.whole {
-            self.rows = news.rows;
+        if update.whole {
+            self.rows = update.rows;
         } else {
-            let listed: Vec<u32> = news.rows.iter().map(|row| row.id).collect();
-            self.rows.retain(|row| !news.gone.contains(&row.id) && !listed.contains(&row.id));
-            self.rows.extend(news.rows);
+            let listed: Vec<u32> = update.rows.iter().map(|row| row.id).collect();
+            self.rows.retain(|row| !update.gone.contains(&row.id) && !listed.contains(&row.id));
+            self.rows.extend(update.rows);
             self.rows.sort_unstable_by_key(|row| row.id);
         }
-        self.mark = news.mark;
+        self.revision = update.mark;
     }
 }
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -60,6 +60,6 @@
     /// cold. The VM's list is known to have been the platform's at `confirmed_ms`, and may have been outdated
     /// by `lag_ms` then.
     pub fn may_be_cold(&self, zone: &str, confirmed_ms: u64, lag_ms: u64) -> bool {
-        self.returned_ms.get(zone).is_some_and(|back_ms| confirmed_ms < back_ms + lag_ms)
+        self.returned_ms.get(zone).is_some_and(|returned_ms| confirmed_ms < returned_ms + lag_ms)
     }
 }
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -222,7 +222,7 @@
             self.tick(now_ms, &mut output);
             self.lead(now_ms, &mut output);
             self.durable.core.flush(now_ms, &mut output);
-            let outcome = self.durable.settle(output, now_ms);
+            let outcome = self.durable.process_output(output, now_ms);
             self.carry_out(outcome)?;
             self.compact(now_ms)?;
         }
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -105,7 +105,7 @@
         let keeper = self.keeper.borrow().as_ref().map(|keeper| keeper.incarnation);
         let row = self.own_row();
         let mut view = self.view.borrow_mut();
-        let (roster, list) = (view.roster.mark, self.upstreams.borrow().mark);
+        let (roster, list) = (view.roster.revision, self.upstreams.borrow().mark);
         let mut desk = self.holders.borrow_mut();
         let (holders, holders_heard) = (desk.outbox.take(), desk.heard);
         let (doubts, dark) = {
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -24,7 +24,7 @@
 /// enough to have heard every VM.
 fn roster_news(keeper: &KeeperDriver, have: RosterRevision, now_ms: u64) -> RosterUpdate {
     match keeper.led_ms(now_ms) >= SETTLE_MS || have.term == 0 {
-        true => keeper.roster.news(keeper.term(), have),
+        true => keeper.roster.update_since(keeper.term(), have),
         false => RosterUpdate::default(),
     }
 }
@@ -275,7 +275,7 @@
         view.heard_ms = now_ms;
         view.first_heard_ms.get_or_insert(now_ms);
         view.keepers = keeper.members().iter().map(|id| id.0).collect();
-        let news = roster_news(keeper, view.roster.mark, now_ms);
+        let news = roster_news(keeper, view.roster.revision, now_ms);
         view.roster.take(news);
         view.vms = view.roster.rows.len();
         view.reports.note(&keeper.roster.loads(), &loads);
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -163,8 +163,8 @@
         let standing = {
             let upstreams = self.upstreams.borrow();
             ListStatus {
-                first_heard_ms,
-                news_ms: upstreams.news_ms,
+                first_contact_ms: first_heard_ms,
+                confirmed_ms: upstreams.news_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
                 has_list: upstreams.is_held(),
             }
--- a/lib/tests/test_durable_core.rs
+++ b/lib/tests/test_durable_core.rs
@@ -137,7 +137,7 @@
                 keeper.durable.core.propose(payload, &mut output).unwrap();
             }
             keeper.durable.core.flush(now_ms, &mut output);
-            let outcome = keeper.durable.settle(output, now_ms);
+            let outcome = keeper.durable.process_output(output, now_ms);
             self.take(id, outcome);
             self.check(id);
         }
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -162,21 +162,21 @@
     roster.note(row(1, true), None, Vec::new(), 0);
     roster.note(row(2, false), None, Vec::new(), 0);
     let mut copy = RosterCopy::default();
-    let first = roster.news(5, copy.mark);
+    let first = roster.update_since(5, copy.revision);
     copy.take(first.clone());
 
     roster.note(row(1, true), None, Vec::new(), ROW_KEEP_MS);
     roster.note(row(3, true), None, Vec::new(), ROW_KEEP_MS);
     roster.expire(ROW_KEEP_MS);
-    let second = roster.news(5, copy.mark);
+    let second = roster.update_since(5, copy.revision);
     copy.take(second.clone());
     copy.take(first);
 
     assert_eq!((second.rows, second.gone, second.whole), (vec![row(3, true)], vec![2], false));
     assert_eq!(copy.rows, [row(1, true), row(3, true)], "late news take nothing back");
-    let none = roster.news(5, copy.mark);
+    let none = roster.update_since(5, copy.revision);
     assert!(none.rows.is_empty() && none.gone.is_empty(), "{none:?}");
-    assert!(roster.news(6, copy.mark).whole, "another term has other marks");
+    assert!(roster.update_since(6, copy.revision).whole, "another term has other marks");
 }
 
 #[test]
@@ -184,14 +184,14 @@
     let mut roster = VmRoster::default();
     roster.note(row(1, true), None, Vec::new(), 0);
     let mut copy = RosterCopy::default();
-    copy.take(roster.news(5, copy.mark));
+    copy.take(roster.update_since(5, copy.revision));
     for id in 100..300 {
         let now_ms = u64::from(id) * ROW_KEEP_MS;
         roster.expire(now_ms);
         roster.note(row(id, true), None, Vec::new(), now_ms);
     }
 
-    let news = roster.news(5, copy.mark);
+    let news = roster.update_since(5, copy.revision);
 
     assert!(news.whole);
     copy.take(news);
@@ -228,34 +228,34 @@
 #[test]
 fn a_vm_asks_and_reads_only_when_no_leader_gives_it_a_list() {
     const STALE_MS: u64 = 1500;
-    let standing = |first_heard_ms, news_ms, has_list| ListStatus {
-        first_heard_ms,
-        news_ms,
+    let status = |first_contact_ms, confirmed_ms, has_list| ListStatus {
+        first_contact_ms,
+        confirmed_ms,
         stale_ms: STALE_MS,
         has_list,
     };
     let (rest, asks, reads) = (ListAction::Rest, ListAction::Ask, ListAction::Read);
     let step_ms = reader_delay_ms(1);
     let cases = [
-        ("it has just started, as all others may have", standing(None, 0, false), 0, 60_000, asks),
-        ("so it has, with a list from its disk", standing(None, 0, true), 0, 60_000, rest),
-        ("a leader will tell it", standing(Some(100), 300, false), 0, 100 + NO_LIST_MS, asks),
-        ("its leader can't tell it", standing(Some(100), 300, false), 0, 101 + NO_LIST_MS, reads),
-        ("its leader tells it", standing(Some(100), 9000, true), 0, 9000 + STALE_MS, rest),
-        ("nobody tells it", standing(Some(100), 9000, true), 0, 9001 + STALE_MS, reads),
-        ("nor another, who is first", standing(Some(100), 9000, true), 1, 9001 + STALE_MS, asks),
+        ("it has just started, as all others may have", status(None, 0, false), 0, 60_000, asks),
+        ("so it has, with a list from its disk", status(None, 0, true), 0, 60_000, rest),
+        ("a leader will tell it", status(Some(100), 300, false), 0, 100 + NO_LIST_MS, asks),
+        ("its leader can't tell it", status(Some(100), 300, false), 0, 101 + NO_LIST_MS, reads),
+        ("its leader tells it", status(Some(100), 9000, true), 0, 9000 + STALE_MS, rest),
+        ("nobody tells it", status(Some(100), 9000, true), 0, 9001 + STALE_MS, reads),
+        ("nor another, who is first", status(Some(100), 9000, true), 1, 9001 + STALE_MS, asks),
         (
             "for so long that it reads",
-            standing(Some(100), 9000, true),
+            status(Some(100), 9000, true),
             1,
             9001 + STALE_MS + step_ms,
             reads,
         ),
-        ("it was told a moment ago", standing(Some(100), 0, true), 0, 100 + STALE_MS, rest),
-        ("and nothing since", standing(Some(100), 0, true), 0, 101 + STALE_MS, reads),
+        ("it was told a moment ago", status(Some(100), 0, true), 0, 100 + STALE_MS, rest),
+        ("and nothing since", status(Some(100), 0, true), 0, 101 + STALE_MS, reads),
     ];
-    for (case, standing, rank, now_ms, action) in cases {
-        assert_eq!(list_action(&standing, now_ms, || rank), action, "{case}");
+    for (case, status, rank, now_ms, action) in cases {
+        assert_eq!(list_action(&status, now_ms, || rank), action, "{case}");
     }
 }
 
@@ -266,34 +266,34 @@
     const STALE_MS: u64 = 2000;
     let ids: Vec<u32> = (1..=vms).collect();
     let order = reader_order(&ids[..5], ids.iter().copied(), 9);
-    let mut news_ms = vec![1000; vms as usize];
+    let mut confirmed_ms = vec![1000; vms as usize];
     let (mut readings, mut all_ms) = (0, None);
     for now_ms in (1000 + STALE_MS..=1000 + STALE_MS + until_ms).step_by(50) {
         for (rank, id) in order.iter().enumerate() {
             let at = (*id - 1) as usize;
-            let standing = ListStatus {
-                first_heard_ms: Some(500),
-                news_ms: news_ms[at],
+            let status = ListStatus {
+                first_contact_ms: Some(500),
+                confirmed_ms: confirmed_ms[at],
                 stale_ms: STALE_MS,
                 has_list: true,
             };
-            match list_action(&standing, now_ms, || rank) {
+            match list_action(&status, now_ms, || rank) {
                 ListAction::Rest => {}
                 ListAction::Read => {
                     readings += 1;
-                    news_ms[at] = now_ms;
+                    confirmed_ms[at] = now_ms;
                 }
                 ListAction::Ask => {
                     let round = ((now_ms - 3000) / 250) as usize;
                     let asked =
                         request_targets(&order, *id, round, (now_ms / 50) as usize * 31 + at);
                     let reached = asked.iter().filter(|other| **other % sides == id % sides);
-                    let best = reached.map(|other| news_ms[(*other - 1) as usize]).max();
-                    news_ms[at] = news_ms[at].max(best.unwrap_or(0));
+                    let best = reached.map(|other| confirmed_ms[(*other - 1) as usize]).max();
+                    confirmed_ms[at] = confirmed_ms[at].max(best.unwrap_or(0));
                 }
             }
         }
-        if all_ms.is_none() && news_ms.iter().all(|news| *news > 1000) {
+        if all_ms.is_none() && confirmed_ms.iter().all(|news| *news > 1000) {
             all_ms = Some(now_ms - 1000 - STALE_MS);
         }
     }
@@ -578,7 +578,7 @@
             let now_ms = at as u64 * ROW_KEEP_MS / 4;
             roster.note(row(id, ready), None, Vec::new(), now_ms);
             roster.expire(now_ms);
-            let news = roster.news(3, copy.mark);
+            let news = roster.update_since(3, copy.revision);
             match fate {
                 0 => copy.take(news),
                 1 => late = Some(news),
@@ -586,9 +586,9 @@
                 _ => {}
             }
         }
-        copy.take(roster.news(3, copy.mark));
+        copy.take(roster.update_since(3, copy.revision));
         prop_assert_eq!(copy.rows, roster.rows());
-        prop_assert!(copy.mark != RosterRevision::default() || roster.rows().is_empty());
+        prop_assert!(copy.revision != RosterRevision::default() || roster.rows().is_empty());
     }
 
     #[test]
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -204,12 +204,12 @@
 fn told_after_a_loss(vms: u32) -> (usize, usize) {
     let mut roster = roster_of(vms, 0);
     let mut copy = RosterCopy::default();
-    copy.take(roster.news(1, RosterRevision::default()));
+    copy.take(roster.update_since(1, RosterRevision::default()));
     let living = |id: &u32| id % 3 != 0;
     (0..vms).filter(living).for_each(|id| roster.note(vm(id), None, Vec::new(), ROW_KEEP_MS));
 
     roster.expire(ROW_KEEP_MS);
-    let news = roster.news(1, copy.mark);
+    let news = roster.update_since(1, copy.revision);
 
     let told = (news.rows.len(), news.gone.len());
     copy.take(news);
@@ -226,13 +226,13 @@
 #[test]
 fn a_vm_that_missed_a_loss_is_told_all() {
     let mut roster = roster_of(10, 0);
-    let missed = roster.news(1, RosterRevision::default()).mark;
+    let missed = roster.update_since(1, RosterRevision::default()).mark;
     roster.note(vm(1), None, Vec::new(), ROW_KEEP_MS);
     roster.expire(ROW_KEEP_MS);
     roster.note(vm(1), None, Vec::new(), 10 * ROW_KEEP_MS);
 
     roster.expire(10 * ROW_KEEP_MS);
-    let news = roster.news(1, missed);
+    let news = roster.update_since(1, missed);
 
     assert!(news.whole);
     assert_eq!(news.rows, [vm(1)]);
