--- a/lib/tests/test_document_news.rs
+++ b/lib/tests/test_document_news.rs
@@ -1,4 +1,4 @@
-//! How a configuration travels: packed, and asked for only by who was not told it.
+//! The transfer of a configuration: compressed, and requested only by VMs that were not sent it.
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::leader_contact::{
@@ -6,7 +6,7 @@
 };
 use wingshed_lib::state::packed_text::PackedText;
 
-/// A configuration with so many routes, its names drawn as a platform might draw them.
+/// Returns a configuration with `routes` routes whose names are random, like those of a platform.
 fn document(routes: u64) -> Vec<u8> {
     let route = |number: u64| {
         let draw = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -55,18 +55,15 @@
     let mut serving = LeaderContact::default();
     serving.note_applied(3);
 
-    assert!(fresh.should_request_document(4, 1000), "it can't serve without one");
+    assert!(fresh.should_request_document(4, 1000), "it cannot serve without a document");
     assert!(
         !fresh.should_request_document(4, 1000 + REQUEST_FIRST_MS - 1),
-        "the answer is on its way"
-    );
-    assert!(
-        fresh.should_request_document(4, 1000 + REQUEST_FIRST_MS),
-        "or lost, or nobody knew it yet"
+        "the answer may be under way"
     );
+    assert!(fresh.should_request_document(4, 1000 + REQUEST_FIRST_MS), "the answer may be lost");
 
-    assert!(!serving.should_request_document(3, 1000), "nothing is newer");
-    assert!(!serving.should_request_document(4, 1000), "it is being told");
+    assert!(!serving.should_request_document(3, 1000), "there is no newer version");
+    assert!(!serving.should_request_document(4, 1000), "the leader sends it");
     assert!(!serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS - 1));
     assert!(serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS));
     assert!(!serving.should_request_document(5, 1000 + DOCUMENT_WAIT_MS + REQUEST_AGAIN_MS - 1));
@@ -75,7 +72,7 @@
     assert!(!serving.should_request_document(5, 1000 + 8 * DOCUMENT_WAIT_MS));
     assert!(
         !serving.should_request_document(6, 1000 + 9 * DOCUMENT_WAIT_MS),
-        "each one is given its time"
+        "the wait starts anew for each version"
     );
 }
 
--- a/lib/tests/test_durable_core.rs
+++ b/lib/tests/test_durable_core.rs
@@ -1,4 +1,4 @@
-//! Keepers over slow disks, with time passed in and messages that take a step.
+//! Keepers with slow disks, on a simulated clock where a message takes one step.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 const STEP_MS: u64 = 10;
 const PROPOSE_EACH_MS: u64 = 500;
 
-/// What the disks of a group of so many keepers hold before its first entry.
+/// The stored state of a group of `keepers` keepers before its first entry.
 fn first_state(keepers: u32) -> StoredState {
     let address = "127.0.0.1:1".parse().unwrap();
     let member =
@@ -26,19 +26,19 @@
 }
 
 fn keeper_of(keepers: u32, id: u32) -> DurableCore {
-    let life = Incarnation(id.into());
+    let incarnation = Incarnation(id.into());
     let seed = 77 * u64::from(id);
-    DurableCore::new(RaftCore::new(KeeperId(id), life, first_state(keepers), seed, 0))
+    DurableCore::new(RaftCore::new(KeeperId(id), incarnation, first_state(keepers), seed, 0))
 }
 
-// The end of a write counted for nothing while another one waited: on a disk slower than the
-// proposals, nothing was ever acknowledged.
+// Guards against ignoring the end of a write while another one waits: on a disk slower than the
+// proposals, no entry would ever be acknowledged.
 #[test]
 fn what_is_written_counts_though_more_waits_for_the_disk() {
     let mut keeper = keeper_of(1, 1);
     let mut acknowledged = 0;
-    let stands = keeper.step(1000, |core, output| core.tick(1000, output));
-    assert!(stands.job.is_some());
+    let election = keeper.step(1000, |core, output| core.tick(1000, output));
+    assert!(election.job.is_some());
 
     for round in 1..=20u64 {
         let now_ms = 1000 + 600 * round;
@@ -52,7 +52,7 @@
         acknowledged += keeper.note_written(now_ms).committed.len();
     }
 
-    // Two a round and the leader's own; what the last job holds is on its way.
+    // Two per round and the leader's empty entry; the entries of the last job are not written yet.
     assert_eq!(acknowledged, 1 + 2 * 19);
 }
 
@@ -64,7 +64,7 @@
     down: bool,
 }
 
-/// Three keepers whose every write takes the same time.
+/// Three keepers whose writes all take `write_ms`.
 struct SlowGroup {
     now_ms: u64,
     write_ms: u64,
@@ -99,7 +99,7 @@
         self.wire.extend(outcome.messages);
     }
 
-    fn write_what_is_due(&mut self, id: KeeperId) {
+    fn write_due_job(&mut self, id: KeeperId) {
         let now_ms = self.now_ms;
         let keeper = self.keepers.get_mut(&id).unwrap();
         let Some((job, _)) = keeper.job.take_if(|(_, until)| now_ms >= *until) else { return };
@@ -122,7 +122,7 @@
             if self.keepers[&id].down {
                 continue;
             }
-            self.write_what_is_due(id);
+            self.write_due_job(id);
             let keeper = self.keepers.get_mut(&id).unwrap();
             let mut output = RaftOutput::default();
             for (_, message) in messages.iter().filter(|(to, _)| *to == id) {
@@ -143,7 +143,8 @@
         }
     }
 
-    /// What a keeper applies is on its disk, and no two apply different entries.
+    /// Checks that applied entries are on the keeper's disk, and that no two keepers apply different
+    /// entries.
     fn check(&self, id: KeeperId) {
         let keeper = &self.keepers[&id];
         for (applied, synced) in keeper.committed.iter().zip(&keeper.synced) {
@@ -171,8 +172,8 @@
 
 const WRITES_MS: [u64; 6] = [0, 100, 300, 600, 1000, 2000];
 
-// Keepers that waited for each sync were silent for as long, and no group with syncs of 0.1 s had a
-// leader.
+// Guards against keepers that block on a sync: they send no heartbeats for its duration, and a group
+// with syncs of 0.1 s would have no leader.
 #[test]
 fn keepers_with_slow_disks_have_a_leader_and_commit() {
     for write_ms in WRITES_MS {
@@ -215,19 +216,19 @@
     let mut group = SlowGroup::new(1000);
     let keeper = group.keepers.get_mut(&KeeperId(1)).unwrap();
 
-    // Both others would vote for it: it enters a term, and writes its own vote first.
-    let asked = keeper.durable.step(2000, |core, output| core.tick(2000, output));
-    let granted = asked.messages.iter().map(|(to, message)| {
+    // Both others grant the pre-vote, so the keeper enters a term and must write its own vote first.
+    let pre_vote = keeper.durable.step(2000, |core, output| core.tick(2000, output));
+    let granted = pre_vote.messages.iter().map(|(to, message)| {
         let body = RaftBody::VoteReply { pre: true, granted: true };
         RaftMessage { from: *to, incarnation: Incarnation(to.0.into()), body, ..message.clone() }
     });
     let granted: Vec<RaftMessage> = granted.collect();
-    let stands = keeper.durable.step(2010, |core, output| {
+    let election = keeper.durable.step(2010, |core, output| {
         granted.into_iter().for_each(|message| core.receive(message, 2010, output));
     });
     let written = keeper.durable.note_written(3010);
 
-    assert!(stands.job.is_some() && stands.messages.is_empty(), "{:?}", stands.messages);
+    assert!(election.job.is_some() && election.messages.is_empty(), "{:?}", election.messages);
     assert_eq!(written.messages.len(), 2, "{:?}", written.messages);
 }
 
@@ -236,8 +237,8 @@
     RaftMessage { from: KeeperId(from), incarnation: Incarnation(from.into()), term, body }
 }
 
-// Forming the group forgot a vote that was given before it, and a second candidate of that term got
-// one, too.
+// Guards against losing a vote when the group is formed: a second candidate of the same term would
+// be granted a vote, too.
 #[test]
 fn a_keeper_votes_once_in_a_term_though_it_joins_its_first_group_in_it() {
     let blank = RaftCore::new(KeeperId(1), Incarnation(1), StoredState::default(), 77, 0);
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -1,5 +1,5 @@
-//! What a leader tells the VMs of a fleet: only what is new, and whatever is lost on the way the
-//! VMs end with what the leader holds.
+//! Updates that a leader sends to the VMs of a fleet: they contain only changes, and whatever is lost
+//! in transit, the VMs end up with the leader's state.
 
 use std::net::SocketAddr;
 
@@ -40,11 +40,11 @@
     numbers.iter().map(|number| entry(*number, false)).collect()
 }
 
-/// The VM that leads in these cases, and one that reads without it.
+/// The VM that leads in these cases, and one that reads the list without a leader.
 const LEADER: u32 = 7;
 const LONE: u32 = 3;
 
-/// What a leader reads.
+/// Makes the leader of `term` read `rows` from the platform.
 fn lead(list: &mut UpstreamList, rows: Vec<UpstreamEntry>, term: u64, ms: u64) -> Option<ListStep> {
     list.read(rows, Some(term), LEADER, ms)
 }
@@ -53,10 +53,10 @@
     RosterRow { id, zone: 0, ready }
 }
 
-/// A VM that holds what a leader of term 1 told first, and that leader.
+/// Returns a leader of term 1 and a VM that has received its first list.
 fn leader_and_follower() -> (UpstreamList, UpstreamList) {
     let (mut leader, mut follower) = (UpstreamList::default(), UpstreamList::default());
-    lead(&mut leader, entries(&[1, 2]), 1, 0).expect("a first list is news");
+    lead(&mut leader, entries(&[1, 2]), 1, 0).expect("a first list is a change");
     follower.take_whole(leader.mark, leader.rows(), 0);
     (leader, follower)
 }
@@ -70,7 +70,7 @@
 
     assert_eq!(step.change.rows, [entry(2, true), entry(3, false)]);
     assert_eq!(step.change.gone, [entry(1, false).key()]);
-    assert!(nothing.is_none(), "an unchanged list is no news");
+    assert!(nothing.is_none(), "an unchanged list is no change");
     assert!(follower.follow(step, 10));
     assert_eq!((follower.mark, follower.rows()), (leader.mark, leader.rows()));
 }
@@ -80,9 +80,9 @@
     let (_, mut heir) = leader_and_follower();
     let mut other = heir.clone();
 
-    let step = lead(&mut heir, entries(&[1, 2]), 2, 10).expect("a new term is news");
+    let step = lead(&mut heir, entries(&[1, 2]), 2, 10).expect("a new term is a change");
 
-    assert!(step.change.is_empty(), "nothing but the term has changed");
+    assert!(step.change.is_empty(), "only the term has changed");
     assert!(other.follow(step, 10));
     assert_eq!(other.mark, heir.mark);
 }
@@ -91,9 +91,9 @@
 fn a_step_from_another_state_is_not_taken() {
     type Act = fn(&mut UpstreamList);
     let cases: [(&str, Act); 3] = [
-        ("it missed a step", |list| drop(lead(list, entries(&[9]), 1, 5))),
+        ("it missed a delta", |list| drop(lead(list, entries(&[9]), 1, 5))),
         ("it read another list itself", |list| drop(list.read(entries(&[1]), None, LONE, 5))),
-        ("it was told nothing yet", |list| *list = UpstreamList::default()),
+        ("it has received nothing yet", |list| *list = UpstreamList::default()),
     ];
     for (case, act) in cases {
         let (mut leader, mut follower) = leader_and_follower();
@@ -114,7 +114,7 @@
         let step = lead(&mut leader, entries(&[1, number]), 1, 10).expect("news");
         assert!(follower.follow(step, 10));
     }
-    // It could not vouch for a moment, while a reading was under way.
+    // It had no lease for a moment while a read was under way, so the read counts as leaderless.
     leader.read(entries(&[1]), None, LEADER, 20);
 
     lead(&mut leader, vec![entry(1, true)], 1, 30).expect("news");
@@ -148,12 +148,12 @@
     roster.expire(500 + ROW_KEEP_MS);
     let later = place_loads(&roster.loads(), keys.iter());
 
-    assert_eq!(placed, [0, 3, 255, 0], "by place; 255 stands for all above");
+    assert_eq!(placed, [0, 3, 255, 0], "by position; 255 stands for all larger numbers");
     assert_eq!(later, [0, 3, 0, 0]);
     assert_eq!(roster.loads(), [load(4, 3)]);
-    let mut told = LoadReports::default();
-    told.note_placed(keys.iter(), &placed, &[load(4, 1)]);
-    assert_eq!(keys.map(|key| told.others(key)), [0, 2, 255, 0]);
+    let mut reported = LoadReports::default();
+    reported.note_placed(keys.iter(), &placed, &[load(4, 1)]);
+    assert_eq!(keys.map(|key| reported.others(key)), [0, 2, 255, 0]);
 }
 
 #[test]
@@ -173,10 +173,10 @@
     copy.take(first);
 
     assert_eq!((second.rows, second.gone, second.whole), (vec![row(3, true)], vec![2], false));
-    assert_eq!(copy.rows, [row(1, true), row(3, true)], "late news take nothing back");
+    assert_eq!(copy.rows, [row(1, true), row(3, true)], "a late update reverts nothing");
     let none = roster.update_since(5, copy.revision);
     assert!(none.rows.is_empty() && none.gone.is_empty(), "{none:?}");
-    assert!(roster.update_since(6, copy.revision).whole, "another term has other marks");
+    assert!(roster.update_since(6, copy.revision).whole, "another term has other revisions");
 }
 
 #[test]
@@ -200,8 +200,8 @@
 
 #[test]
 fn readings_of_the_list_stay_within_what_the_platform_takes() {
-    // Calls a second, pages; the pauses of the leader and of a VM that reads without one, at first
-    // and after many refusals, in milliseconds.
+    // Calls per second and pages; then the pauses of the leader, of a VM without a leader, and of such
+    // a VM after many refusals, in milliseconds.
     let cases = [
         ((47.0, 1), [600, 600, 6784]),
         ((47.0, 21), [638, 2234, 142_976]),
@@ -211,11 +211,11 @@
     for ((calls_per_s, pages), pauses) in cases {
         let cost = ListCost { calls_per_s, pages };
         let leader_ms = cost.leader_pause_ms(3000, 25 * pages as u64);
-        let told = [leader_ms, cost.leaderless_pause_ms(0), cost.leaderless_pause_ms(40)];
-        assert_eq!(told, pauses, "{cost:?}");
-        // Where none of 300 VMs reaches another, they leave each other room in the end.
+        let computed = [leader_ms, cost.leaderless_pause_ms(0), cost.leaderless_pause_ms(40)];
+        assert_eq!(computed, pauses, "{cost:?}");
+        // If none of 300 VMs reaches another, their backoff keeps them within the limit in the end.
         let all_per_s = 300.0 * pages as f64 * 1000.0 / pauses[2] as f64;
-        assert!(all_per_s <= calls_per_s.max(1.0), "{cost:?}: {all_per_s} a second");
+        assert!(all_per_s <= calls_per_s.max(1.0), "{cost:?}: {all_per_s} per second");
     }
     let cost = ListCost { calls_per_s: 50.0, pages: 60 };
     let leader = [PAGES_AT_ONCE - 1, PAGES_AT_ONCE].map(|page| cost.leader_page_ms(page));
@@ -237,31 +237,67 @@
     let (rest, asks, reads) = (ListAction::Rest, ListAction::Ask, ListAction::Read);
     let step_ms = reader_delay_ms(1);
     let cases = [
-        ("it has just started, as all others may have", status(None, 0, false), 0, 60_000, asks),
-        ("so it has, with a list from its disk", status(None, 0, true), 0, 60_000, rest),
-        ("a leader will tell it", status(Some(100), 300, false), 0, 100 + NO_LIST_MS, asks),
-        ("its leader can't tell it", status(Some(100), 300, false), 0, 101 + NO_LIST_MS, reads),
-        ("its leader tells it", status(Some(100), 9000, true), 0, 9000 + STALE_MS, rest),
-        ("nobody tells it", status(Some(100), 9000, true), 0, 9001 + STALE_MS, reads),
-        ("nor another, who is first", status(Some(100), 9000, true), 1, 9001 + STALE_MS, asks),
         (
-            "for so long that it reads",
+            "it has just started, and all others may have, too",
+            status(None, 0, false),
+            0,
+            60_000,
+            asks,
+        ),
+        ("it has just started, with a list from its disk", status(None, 0, true), 0, 60_000, rest),
+        (
+            "its leader may still send a list",
+            status(Some(100), 300, false),
+            0,
+            100 + NO_LIST_MS,
+            asks,
+        ),
+        (
+            "its leader sent no list in time",
+            status(Some(100), 300, false),
+            0,
+            101 + NO_LIST_MS,
+            reads,
+        ),
+        ("its leader confirms the list", status(Some(100), 9000, true), 0, 9000 + STALE_MS, rest),
+        (
+            "its list is too old, and it is the first reader",
+            status(Some(100), 9000, true),
+            0,
+            9001 + STALE_MS,
+            reads,
+        ),
+        (
+            "its list is too old, and another VM is the first reader",
+            status(Some(100), 9000, true),
+            1,
+            9001 + STALE_MS,
+            asks,
+        ),
+        (
+            "the first reader sent nothing in time",
             status(Some(100), 9000, true),
             1,
             9001 + STALE_MS + step_ms,
             reads,
         ),
-        ("it was told a moment ago", status(Some(100), 0, true), 0, 100 + STALE_MS, rest),
-        ("and nothing since", status(Some(100), 0, true), 0, 101 + STALE_MS, reads),
+        (
+            "its list from disk counts from the first contact",
+            status(Some(100), 0, true),
+            0,
+            100 + STALE_MS,
+            rest,
+        ),
+        ("its list from disk is too old", status(Some(100), 0, true), 0, 101 + STALE_MS, reads),
     ];
     for (case, status, rank, now_ms, action) in cases {
         assert_eq!(list_action(&status, now_ms, || rank), action, "{case}");
     }
 }
 
-/// Plays VMs whose leader is silent: each asks and reads by its turn, an answer comes at once, and
-/// only VMs on one side of a cut reach each other. Returns how many readings there were within
-/// `until_ms` of the moment at which lists became too old, and when all had a newer one.
+/// Simulates VMs whose leader does not answer: each requests the list and reads it in its turn, answers
+/// arrive at once, and only VMs on the same side of a partition reach each other. Returns how many reads
+/// there were within `until_ms` after the lists became too old, and when all VMs had a newer one.
 fn play_readers(vms: u32, sides: u32, until_ms: u64) -> (usize, Option<u64>) {
     const STALE_MS: u64 = 2000;
     let ids: Vec<u32> = (1..=vms).collect();
@@ -302,28 +338,29 @@
 
 #[test]
 fn without_a_leader_a_few_read_for_all_however_many_there_are() {
-    // Before, each VM read for itself: 300 readings every 2.3 s.
+    // Guards against every VM reading for itself, which would be 300 reads every 2.3 s.
     for vms in [10, 30, 300, 1000] {
         let (readings, all_ms) = play_readers(vms, 1, 8000);
-        assert!(readings <= 8, "{vms} VMs: {readings} readings in 8 s");
+        assert!(readings <= 8, "{vms} VMs: {readings} reads in 8 s");
         assert!(all_ms.is_some_and(|ms| ms <= 300), "{vms} VMs: all have one after {all_ms:?} ms");
     }
     let (readings, all_ms) = play_readers(300, 2, 8000);
-    assert!(readings <= 16, "cut in two: {readings} readings in 8 s");
-    assert!(all_ms.is_some_and(|ms| ms <= 1500), "cut in two: after {all_ms:?} ms");
+    assert!(readings <= 16, "two partitions: {readings} reads in 8 s");
+    assert!(all_ms.is_some_and(|ms| ms <= 1500), "two partitions: after {all_ms:?} ms");
     let (_, all_ms) = play_readers(300, 300, 8000);
     assert!(all_ms.is_some_and(|ms| ms <= 3300), "each for itself: after {all_ms:?} ms");
 }
 
 #[test]
 fn a_large_fleet_asks_seldomer_and_is_asked_seldomer() {
-    // VMs; how often one looks for a leader, in milliseconds; how long addresses are kept, in seconds.
+    // VMs; the pause between searches for a leader, in milliseconds; how long addresses are cached, in
+    // seconds.
     let cases =
         [(0, 50, 2.0), (10, 50, 2.0), (92, 50, 5.0), (300, 150, 5.0), (1000, RENEW_MS, 5.0)];
-    for (vms, seek_ms, ttl_s) in cases {
+    for (vms, search_ms, ttl_s) in cases {
         assert_eq!(
             (leader_search_pause_ms(vms), addresses_ttl_s(vms)),
-            (seek_ms, ttl_s),
+            (search_ms, ttl_s),
             "{vms} VMs"
         );
     }
@@ -338,7 +375,7 @@
     assert_eq!(order.len(), 5, "each once: {order:?}");
     assert!(order[..2].contains(&4) && order[..2].contains(&9), "{order:?}");
     assert!(request_targets(&order, order[0], 0, 0).iter().all(|id| *id != order[0]));
-    assert!(request_targets(&[4], 4, 0, 0).is_empty(), "nobody else is known");
+    assert!(request_targets(&[4], 4, 0, 0).is_empty(), "no other VM is known");
 }
 
 #[test]
@@ -347,7 +384,7 @@
 
     let step = follower.read(entries(&[1, 2]), None, LONE, 500);
 
-    assert!(step.is_none(), "the list is as it was told: no whole list is needed later");
+    assert!(step.is_none(), "the list is unchanged, so that no whole list is needed later");
     assert_eq!((follower.mark, follower.news_ms), (leader.mark, 500));
     let step = lead(&mut leader, entries(&[1, 3]), 1, 900).expect("news");
     assert!(follower.follow(step, 900));
@@ -356,16 +393,16 @@
 #[test]
 fn a_leaders_older_list_does_not_replace_what_was_read_without_it() {
     let (mut leader, mut follower) = leader_and_follower();
-    let told = (leader.mark, leader.rows());
+    let sent = (leader.mark, leader.rows());
     follower.read(vec![entry(1, true), entry(2, false)], None, LONE, 500);
 
-    assert!(!follower.take_whole(told.0, told.1, 600), "the leader's is older");
+    assert!(!follower.take_whole(sent.0, sent.1, 600), "the leader's list is older");
     ask(&mut leader, &mut follower, 700);
 
     let leaves = leader.rows().iter().any(|row| row.leaving);
-    assert!(leaves, "it takes over what was read without it");
+    assert!(leaves, "the leader takes over the newer list");
     let step = lead(&mut leader, entries(&[2]), 1, 900).expect("news");
-    assert!(follower.follow(step, 900), "and goes on from there");
+    assert!(follower.follow(step, 900), "the leader continues from the newer list");
 }
 
 #[test]
@@ -394,10 +431,10 @@
 
 #[test]
 fn a_leaving_upstream_is_known_in_time_whether_or_not_a_leader_tells() {
-    // Calls a second, pages, the time that is allowed in milliseconds.
+    // Calls per second, pages, and the allowed time in milliseconds.
     let cases =
         [(50.0, 1, 3000), (47.0, 1, 3000), (360.0, 3, 4000), (50.0, 8, 4000), (320.0, 8, 5000)];
-    // What one call takes where nothing is slow, and the way of one exchange between two VMs.
+    // The duration of one call without load, and of one exchange between two VMs.
     let (call_ms, exchange_ms) = (25, RENEW_MS + 25);
     for (calls_per_s, pages, drain_ms) in cases {
         let cost = ListCost { calls_per_s, pages };
@@ -406,20 +443,20 @@
 
         let reading_ms = pages * call_ms;
         let pause_ms = cost.leader_pause_ms(drain_ms, reading_ms);
-        let told_ms = pause_ms + 2 * reading_ms + exchange_ms;
-        // The first reader is gone, the second reads, and another asks it.
+        let sent_ms = pause_ms + 2 * reading_ms + exchange_ms;
+        // The first reader is gone, the second reads, and another VM requests the list from it.
         let alone_ms = stale_ms + reader_delay_ms(1) + reading_ms + exchange_ms;
 
-        assert!(told_ms < stale_ms, "{cost:?}: a list that is told is never taken for old");
+        assert!(sent_ms < stale_ms, "{cost:?}: a list that the leader sends never becomes stale");
         assert!(alone_ms + 500 < drain_ms, "{cost:?}: {alone_ms} ms without a leader");
     }
     let long = ListCost { calls_per_s: 47.0, pages: 60 };
-    assert!(long.stale_ms(3000) > long.leader_pause_ms(3000, 2000), "a leader can keep to it");
+    assert!(long.stale_ms(3000) > long.leader_pause_ms(3000, 2000), "a leader can read as often");
 }
 
 #[test]
 fn a_long_list_is_read_as_seldom_as_the_bound_allows() {
-    // Pages, the time that is allowed and that a reading took, the pause, in milliseconds.
+    // Pages; the allowed time, the duration of a read, and the pause, in milliseconds.
     let cases = [
         (1, 3000, 25, 600),
         (3, 4000, 60, 600),
@@ -452,7 +489,7 @@
 
     let change = DocumentChange::between(&before, &after);
 
-    assert!(change.new_bytes() < 100, "{} bytes of its own", change.new_bytes());
+    assert!(change.new_bytes() < 100, "{} new bytes", change.new_bytes());
     assert!(change.pieces.len() < 10, "{} pieces", change.pieces.len());
     assert_eq!(change.apply(&before), Some(after));
     assert_eq!(change.apply(&document(3, &routes)), None, "another document");
@@ -460,24 +497,24 @@
 
 #[derive(Clone, Debug)]
 enum Happening {
-    /// The leader reads this list; the follower hears of it, or not.
+    /// The leader reads this list; the flag is whether the follower receives the delta.
     Read(Vec<u16>, bool),
-    /// Another VM leads now: the follower itself, when it holds the same.
+    /// A new term begins.
     NewTerm,
-    /// The follower reads a list for itself.
+    /// The follower reads a list without a leader.
     Alone(Vec<u16>),
-    /// The leader does, since it could not vouch for a moment, and then reads as the leader.
+    /// The leader reads a list while it has no lease, and then again as the leader.
     LeaderAlone(Vec<u16>),
-    /// The last step that was lost comes after all.
+    /// The last lost delta arrives late.
     Late,
-    /// The follower asks.
+    /// The two VMs exchange their revisions.
     Ask,
 }
 
 fn happenings() -> impl Strategy<Value = Vec<Happening>> {
     let numbers = || proptest::collection::vec(0u16..12, 0..8);
     let one = prop_oneof![
-        6 => (numbers(), any::<bool>()).prop_map(|(list, heard)| Happening::Read(list, heard)),
+        6 => (numbers(), any::<bool>()).prop_map(|(list, received)| Happening::Read(list, received)),
         1 => Just(Happening::NewTerm),
         1 => numbers().prop_map(Happening::Alone),
         1 => numbers().prop_map(Happening::LeaderAlone),
@@ -487,7 +524,7 @@
     proptest::collection::vec(one, 0..60)
 }
 
-/// Two VMs that hold different states tell each other so; who holds the lower takes the other's.
+/// Exchanges the revisions of two VMs; the one with the lower revision takes the other's list.
 fn ask(one: &mut UpstreamList, other: &mut UpstreamList, now_ms: u64) {
     one.hear(other.mark);
     other.hear(one.mark);
@@ -505,7 +542,7 @@
 
     let told = LoadNews::placed(sums.clone());
 
-    // One byte an upstream before: 3,000.
+    // Guards against one byte per upstream, which would be 3,000 bytes.
     let LoadNews::Runs(runs) = told else { panic!("{told:?}") };
     assert_eq!(runs.len(), 600);
     assert_eq!(unpack_zeros(&runs, 3000), Some(sums));
@@ -537,8 +574,8 @@
         for (at, happening) in happenings.into_iter().enumerate() {
             let now_ms = at as u64;
             match happening {
-                Happening::Read(list, heard) => match lead(&mut leader, entries(&list), term, now_ms) {
-                    Some(step) if heard => {
+                Happening::Read(list, received) => match lead(&mut leader, entries(&list), term, now_ms) {
+                    Some(step) if received => {
                         follower.follow(step, now_ms);
                     }
                     step => lost = step.or(lost),
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,5 +1,5 @@
-//! Which requests are refused since upstreams ended under them, without a network; the story that it is
-//! for stands at the head of `platform/tests/test_quarantine.rs`.
+//! Quarantine of requests that crash their upstreams, without a network. The failure that it guards
+//! against is described in `platform/tests/test_quarantine.rs`.
 
 use wingshed_lib::coordination::crash_outbox::{
     CrashNote, CrashOutbox, CrashReport, ObservedCrash, CRASHES_PER_RENEWAL, CRASH_KEEP_MS,
@@ -18,7 +18,7 @@
 const START_MS: u64 = 1_000_000;
 const VMS: usize = 12;
 
-/// A leader and what is recorded; commands are taken as soon as they are proposed.
+/// A leader and the recorded table; commands are recorded as soon as they are proposed.
 #[derive(Default)]
 struct Leader {
     term: u64,
@@ -32,33 +32,33 @@
         Leader { term, recorded, ..Leader::default() }
     }
 
-    fn hear(&mut self, report: &CrashReport, now_ms: u64) {
+    fn receive(&mut self, report: &CrashReport, now_ms: u64) {
         self.table.take(self.term, report, &self.recorded, now_ms);
-        self.look(now_ms);
-        // The next look sees what was recorded by this one.
-        self.look(now_ms);
+        self.evaluate(now_ms);
+        // The second evaluation sees the commands that the first one recorded.
+        self.evaluate(now_ms);
     }
 
-    fn look(&mut self, now_ms: u64) {
+    fn evaluate(&mut self, now_ms: u64) {
         for command in self.table.commands_to_propose(self.term, &self.recorded, VMS, now_ms) {
             self.recorded.take(command);
             self.commands += 1;
         }
     }
 
-    /// Upstreams end under sends of VMs that know what is recorded.
+    /// Reports crashes under sends of VMs that have received the recorded table.
     fn ended(&mut self, mark: RequestMark, upstreams: &[u64], now_ms: u64) {
         let watched = self.recorded.row(mark).is_some_and(|row| !row.held);
-        self.hear(&ended(mark, upstreams, watched), now_ms);
+        self.receive(&ended(mark, upstreams, watched), now_ms);
     }
 
-    /// Three upstreams end one after the other, and nothing runs well.
-    fn prove(&mut self, mark: RequestMark, now_ms: u64) {
+    /// Reports three crashes in sequence without a completion, which quarantine the request.
+    fn crash_and_hold(&mut self, mark: RequestMark, now_ms: u64) {
         self.ended(mark, &[1, 2], now_ms);
         self.ended(mark, &[3], now_ms);
-        self.look(now_ms + settle_ms(VMS));
+        self.evaluate(now_ms + settle_ms(VMS));
         assert!(self.recorded.is_held(mark));
-        self.look(now_ms + settle_ms(VMS));
+        self.evaluate(now_ms + settle_ms(VMS));
     }
 }
 
@@ -86,15 +86,18 @@
     let mut leader = Leader::of_term(1, QuarantineTable::default());
 
     leader.ended(POISON, &[1], START_MS);
-    assert!(leader.recorded.row(POISON).is_none(), "one tells nothing");
+    assert!(leader.recorded.row(POISON).is_none(), "one crash is not enough");
     leader.ended(POISON, &[2], START_MS + 10);
-    assert!(leader.recorded.row(POISON).is_some_and(|row| !row.held), "two: it is watched");
+    assert!(leader.recorded.row(POISON).is_some_and(|row| !row.held), "two crashes: it is watched");
     leader.ended(POISON, &[2, 2, 1], START_MS + 20);
-    assert!(!leader.recorded.is_held(POISON), "an upstream counts once, whoever tells of it");
+    assert!(
+        !leader.recorded.is_held(POISON),
+        "an upstream counts once, regardless of the reporting VM"
+    );
     leader.ended(POISON, &[3], START_MS + 30);
-    leader.look(START_MS + 29 + settle_ms(VMS));
-    assert!(!leader.recorded.is_held(POISON), "VMs may still tell that it ran well");
-    leader.look(START_MS + 30 + settle_ms(VMS));
+    leader.evaluate(START_MS + 29 + settle_ms(VMS));
+    assert!(!leader.recorded.is_held(POISON), "VMs may still report a completion");
+    leader.evaluate(START_MS + 30 + settle_ms(VMS));
 
     assert!(leader.recorded.is_held(POISON));
     assert_eq!(leader.commands, 2, "each state is recorded once");
@@ -105,10 +108,13 @@
     let mut leader = Leader::of_term(1, QuarantineTable::default());
 
     leader.ended(POISON, &[1, 2, 3, 4], START_MS);
-    leader.look(START_MS + 10 * settle_ms(VMS));
-    assert!(!leader.recorded.is_held(POISON), "a rack that was lost, and a thing that all ask for");
+    leader.evaluate(START_MS + 10 * settle_ms(VMS));
+    assert!(
+        !leader.recorded.is_held(POISON),
+        "it may be a popular request on a rack that was lost"
+    );
     leader.ended(POISON, &[5], START_MS + 10_000);
-    leader.look(START_MS + 10_000 + settle_ms(VMS));
+    leader.evaluate(START_MS + 10_000 + settle_ms(VMS));
 
     assert!(leader.recorded.is_held(POISON));
 }
@@ -119,10 +125,10 @@
     leader.ended(POISON, &[1, 2, 3], START_MS);
 
     leader.ended(POISON, &[4, 5], START_MS + 100);
-    leader.hear(&well(POISON), START_MS + 100 + settle_ms(VMS) - 1);
-    leader.look(START_MS + 100 + settle_ms(VMS));
+    leader.receive(&well(POISON), START_MS + 100 + settle_ms(VMS) - 1);
+    leader.evaluate(START_MS + 100 + settle_ms(VMS));
 
-    assert_eq!(leader.recorded.rows(), [], "it ran well elsewhere meanwhile");
+    assert_eq!(leader.recorded.rows(), [], "it completed elsewhere meanwhile");
 }
 
 #[test]
@@ -134,7 +140,7 @@
         leader.ended(RequestMark(mark), &[3 * mark + 2], START_MS + 10);
     }
     for step in 0..400 {
-        leader.look(START_MS + step * 25);
+        leader.evaluate(START_MS + step * 25);
     }
 
     assert_eq!(leader.recorded.held(), MAX_QUARANTINED);
@@ -145,11 +151,15 @@
     let mut table = CrashTable::default();
     let recorded = QuarantineTable::default();
     table.take(1, &ended(POISON, &[1, 2], false), &recorded, START_MS);
-    assert_eq!(table.commands_to_propose(1, &recorded, VMS, START_MS).len(), 1, "watch it");
+    assert_eq!(
+        table.commands_to_propose(1, &recorded, VMS, START_MS).len(),
+        1,
+        "a command to watch it"
+    );
     assert_eq!(
         table.commands_to_propose(1, &recorded, VMS, START_MS + 25).len(),
         0,
-        "is under way"
+        "the command is under way"
     );
 
     table.take(1, &ended(POISON, &[3], true), &recorded, START_MS + 50);
@@ -159,7 +169,7 @@
     assert_eq!(
         table.commands_to_propose(1, &recorded, VMS, START_MS + 2000),
         holds,
-        "again, until it is recorded"
+        "proposed again until it is recorded"
     );
 }
 
@@ -170,11 +180,11 @@
     for round in 0..20 {
         let (at_ms, first) = (START_MS + round * 10_000, round * 2 + 1);
         leader.ended(bystander, &[first, first + 1], at_ms);
-        leader.hear(&well(bystander), at_ms + 5000);
+        leader.receive(&well(bystander), at_ms + 5000);
         assert!(leader.recorded.row(bystander).is_none(), "round {round}");
     }
 
-    leader.prove(bystander, START_MS + 300_000);
+    leader.crash_and_hold(bystander, START_MS + 300_000);
 }
 
 #[test]
@@ -184,19 +194,19 @@
     for (at, outbox) in outboxes.iter_mut().enumerate() {
         outbox.note_crash(seen(POISON, at as u64), START_MS);
         let report = outbox.take(START_MS);
-        first.hear(&report, START_MS);
+        first.receive(&report, START_MS);
         outbox.confirm(1, 0);
         outbox.confirm(1, report.last());
-        assert_eq!(outbox.take(START_MS), CrashReport::default(), "it was heard");
+        assert_eq!(outbox.take(START_MS), CrashReport::default(), "the report was confirmed");
     }
 
     let mut second = Leader::of_term(2, QuarantineTable::default());
     for outbox in &mut outboxes {
         outbox.confirm(2, 0);
-        second.hear(&outbox.take(START_MS + 500), START_MS + 500);
+        second.receive(&outbox.take(START_MS + 500), START_MS + 500);
     }
     second.ended(POISON, &[9], START_MS + 600);
-    second.look(START_MS + 600 + settle_ms(VMS));
+    second.evaluate(START_MS + 600 + settle_ms(VMS));
 
     assert!(second.recorded.is_held(POISON));
 }
@@ -213,44 +223,47 @@
     assert_eq!(first.ended.len(), CRASHES_PER_RENEWAL);
     assert_eq!(outbox.take(START_MS), first, "the answer was lost");
     outbox.confirm(1, first.last());
-    assert_eq!(outbox.take(START_MS).ended.len(), 5, "the rest");
+    assert_eq!(outbox.take(START_MS).ended.len(), 5, "the remaining crashes");
 
-    assert!(outbox.take(START_MS + CRASH_KEEP_MS).ended.is_empty(), "too old");
+    assert!(outbox.take(START_MS + CRASH_KEEP_MS).ended.is_empty(), "the crashes are too old");
 }
 
 #[test]
 fn a_hold_ends_and_one_more_upstream_begins_a_longer_one() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
-    leader.prove(POISON, START_MS);
-    let let_go_ms = START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS;
-    leader.look(let_go_ms - 1);
+    leader.crash_and_hold(POISON, START_MS);
+    let released_ms = START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS;
+    leader.evaluate(released_ms - 1);
     assert!(leader.recorded.is_held(POISON));
 
-    leader.look(let_go_ms);
+    leader.evaluate(released_ms);
     assert!(!leader.recorded.is_held(POISON));
-    leader.ended(POISON, &[4], let_go_ms + 100);
+    leader.ended(POISON, &[4], released_ms + 100);
 
-    assert!(leader.recorded.is_held(POISON), "the first upstream after it");
-    leader.look(let_go_ms + 100 + FIRST_QUARANTINE_MS);
-    assert!(leader.recorded.is_held(POISON), "for longer");
+    assert!(leader.recorded.is_held(POISON), "the first crash after the release");
+    leader.evaluate(released_ms + 100 + FIRST_QUARANTINE_MS);
+    assert!(leader.recorded.is_held(POISON), "the second quarantine is longer");
     assert!(
         quarantine_ms(1) + quarantine_ms(2) + quarantine_ms(3) > 12 * 3_600_000,
-        "three more in half a day"
+        "three more crashes in half a day"
+    );
+    assert!(
+        CRASH_KEEP_MS < quarantine_ms(1),
+        "crashes are no longer reported when a quarantine ends"
     );
-    assert!(CRASH_KEEP_MS < quarantine_ms(1), "what VMs tell again is older than any hold's end");
 }
 
 #[test]
 fn a_hold_is_never_shorter_by_a_change_of_leaders() {
     let mut first = Leader::of_term(1, QuarantineTable::default());
-    first.prove(POISON, START_MS);
+    first.crash_and_hold(POISON, START_MS);
 
     let mut second = Leader::of_term(2, first.recorded);
-    second.look(START_MS + 5000);
-    second.look(START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS);
+    second.evaluate(START_MS + 5000);
+    second.evaluate(START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS);
     assert!(second.recorded.is_held(POISON));
 
-    second.look(START_MS + 5000 + FIRST_QUARANTINE_MS);
+    second.evaluate(START_MS + 5000 + FIRST_QUARANTINE_MS);
     assert!(!second.recorded.is_held(POISON));
 }
 
@@ -259,7 +272,7 @@
     let mut leader = Leader::of_term(1, QuarantineTable::default());
     leader.ended(POISON, &[1, 2], START_MS);
 
-    leader.look(START_MS + COUNT_KEEP_MS);
+    leader.evaluate(START_MS + COUNT_KEEP_MS);
 
     assert_eq!(leader.recorded.rows(), []);
 }
@@ -272,12 +285,12 @@
         leader.ended(RequestMark(mark), &[1, 2], START_MS);
     }
     for step in 0..400 {
-        leader.look(START_MS + step * 25);
+        leader.evaluate(START_MS + step * 25);
     }
     assert_eq!((leader.recorded.rows().len(), leader.commands), (MOST_ROWS, MOST_ROWS));
 
     leader.ended(RequestMark(0), &[3], START_MS + 10_000);
-    leader.look(START_MS + 10_000 + settle_ms(VMS));
+    leader.evaluate(START_MS + 10_000 + settle_ms(VMS));
 
     assert!(leader.recorded.is_held(RequestMark(0)));
     assert_eq!(leader.recorded.rows().len(), MOST_ROWS);
@@ -292,7 +305,7 @@
     record.apply(&command).unwrap();
     let changes = record.quarantine.changes();
     record.apply(&command).unwrap();
-    assert_eq!(record.quarantine.changes(), changes, "one that comes twice changes nothing");
+    assert_eq!(record.quarantine.changes(), changes, "a repeated command changes nothing");
 
     let mut restored = FleetRecord::default();
     restored.restore(&record.image()).unwrap();
@@ -315,14 +328,14 @@
         ("caller", of("POST", "/x/1", Some("v"), "body")),
         ("no caller", of("POST", "/x/1", None, "body")),
         ("body", of("POST", "/x/1", Some("w"), "bodies")),
-        ("parts that run together", of("POST", "/x/1w", Some(""), "body")),
+        ("path and workspace joined differently", of("POST", "/x/1w", Some(""), "body")),
     ] {
         assert_ne!(other, mark, "{what}");
     }
 }
 
-/// A stream that many ask for runs on each upstream, for longer than these live beside a request that
-/// ends them: it never runs well in time. The soak showed it as refused, 50 ms after the other.
+/// Guards against the quarantine of a harmless stream: one that many callers request runs on every
+/// upstream that crashes, and never completes because they crash before its end.
 #[test]
 fn what_always_runs_beside_a_request_at_fault_is_not_held_for_it() {
     let stream = RequestMark(8);
@@ -330,7 +343,7 @@
         let mut leader = Leader::of_term(1, QuarantineTable::default());
         for (at, upstream) in (1..=6).enumerate() {
             if leader.recorded.is_held(POISON) {
-                // Nothing ends upstreams any more.
+                // No upstream crashes any more.
                 break;
             }
             let at_ms = START_MS + at as u64 * 500;
@@ -343,9 +356,9 @@
             if !stream_first {
                 report.ended.reverse();
             }
-            leader.hear(&report, at_ms);
-            leader.look(at_ms + settle_ms(VMS));
-            leader.look(at_ms + 499);
+            leader.receive(&report, at_ms);
+            leader.evaluate(at_ms + settle_ms(VMS));
+            leader.evaluate(at_ms + 499);
         }
 
         assert!(leader.recorded.is_held(POISON));
--- a/lib/tests/test_raft.rs
+++ b/lib/tests/test_raft.rs
@@ -1,6 +1,6 @@
-//! The consensus under faults, as a table of fault mixes over seeded message orders.
+//! The consensus under faults: a table of fault mixes, each run with seeded message orders.
 //!
-//! `WINGSHED_RAFT_CASES` raises the number of seeds per row for a longer run by hand.
+//! `WINGSHED_RAFT_CASES` sets the number of seeds per row, for longer manual runs.
 
 mod testutils;
 
--- a/lib/tests/test_raft_rules.rs
+++ b/lib/tests/test_raft_rules.rs
@@ -1,5 +1,5 @@
-//! Single rules of the consensus, each shown by the shortest exchange that needs it. The seeded
-//! mixes of `test_raft` pass through most of these rarely.
+//! Single rules of the consensus, each tested by the shortest exchange that depends on it. The
+//! seeded mixes of `test_raft` rarely reach most of these cases.
 
 use wingshed_lib::coordination::raft::RaftCore;
 use wingshed_lib::coordination::raft_message::{
@@ -49,7 +49,7 @@
     RaftBody::AppendReply { matched: true, index, sent_ms, snapshot_offset: 0 }
 }
 
-/// Keeper 1 leads the term after `term`, its own first entry synced.
+/// Returns keeper 1 as leader of the term after `term`, with its first entry synced, and the time.
 fn leader(term: u64, entries: &[(u64, u64)]) -> (RaftCore, u64) {
     let mut core = core(term, entries);
     let now_ms = NOW + 2 * ELECTION_MS;
@@ -108,7 +108,7 @@
     let rows = [(100, true, false, false), (100, false, false, false), (100, false, true, true)];
     let late = (ELECTION_MS + 1, false, false, true);
 
-    for (after_ms, pre, transfer, heard) in rows.into_iter().chain([late]) {
+    for (after_ms, pre, transfer, expected) in rows.into_iter().chain([late]) {
         let mut core = core(1, &[]);
         receive(&mut core, NOW, message(2, 1, heartbeat.clone()));
         let output = receive(&mut core, NOW + after_ms, message(3, 2, vote(pre, transfer)));
@@ -116,7 +116,7 @@
         let granted = output.messages.iter().any(|(to, reply)| {
             *to == KeeperId(3) && matches!(reply.body, RaftBody::VoteReply { granted: true, .. })
         });
-        assert_eq!(granted, heard, "after {after_ms} ms, pre {pre}, hand-over {transfer}");
+        assert_eq!(granted, expected, "after {after_ms} ms, pre {pre}, transfer {transfer}");
     }
 }
 
@@ -126,14 +126,15 @@
     let now_ms = NOW + 2 * ELECTION_MS;
     core.tick(now_ms, &mut RaftOutput::default());
     let body = RaftBody::VoteReply { pre: true, granted: true };
-    let other_life = RaftMessage { incarnation: Incarnation(77), ..message(2, 1, body) };
+    let other_incarnation = RaftMessage { incarnation: Incarnation(77), ..message(2, 1, body) };
 
-    receive(&mut core, now_ms, other_life);
+    receive(&mut core, now_ms, other_incarnation);
     assert_eq!(core.role(), RaftRole::PreCandidate);
 
     let (mut core, now_ms) = leader(0, &[]);
-    let other_life = RaftMessage { incarnation: Incarnation(77), ..message(2, 1, held(1, now_ms)) };
-    receive(&mut core, now_ms, other_life);
+    let other_incarnation =
+        RaftMessage { incarnation: Incarnation(77), ..message(2, 1, held(1, now_ms)) };
+    receive(&mut core, now_ms, other_incarnation);
     assert_eq!(core.commit(), 0);
 }
 
--- a/lib/tests/test_router_drain.rs
+++ b/lib/tests/test_router_drain.rs
@@ -1,11 +1,11 @@
-//! When a draining router stops, with time passed in.
+//! The time at which a draining router stops, on a simulated clock.
 
 use wingshed_lib::coordination::router_drain::{DrainStep, DrainWatch, LEAVE_WAIT_MS, LINGER_MS};
 
 const MOST_MS: u64 = 30_000;
 const BEGAN_MS: u64 = 7_000;
 
-/// When a drain stops, in milliseconds from its start, looked at each 20 ms.
+/// Returns when a drain stops, in milliseconds since its start, evaluated every 20 ms.
 fn stops_after(in_flight: impl Fn(u64) -> usize, leave_ended: impl Fn(u64) -> bool) -> u64 {
     let mut watch = DrainWatch::new(BEGAN_MS, MOST_MS);
     (0..=MOST_MS)
@@ -31,7 +31,7 @@
     assert_eq!(stops_after(|_| 0, |at| at >= 1000), 1000 + LINGER_MS);
 }
 
-// Keepers that are all unreachable once held a stop up, each of them twice, one after the other.
+// Guards against a stop that waits for each of several unreachable keepers in turn.
 #[test]
 fn keepers_that_never_answer_hold_a_drain_up_for_a_bounded_time() {
     assert_eq!(stops_after(|_| 0, |_| false), LEAVE_WAIT_MS + LINGER_MS);
--- a/lib/tests/test_vm_keepers.rs
+++ b/lib/tests/test_vm_keepers.rs
@@ -1,15 +1,15 @@
-//! The keepers of a fleet under seeded schedules of faults; see `testutils::keeper_bench`.
+//! The keepers of a fleet under seeded fault schedules; see `testutils::keeper_bench`.
 
 mod testutils;
 
 use testutils::keeper_bench::{KeeperBench, KeeperFaults};
 
-/// Steps of trouble in one schedule, 25 ms each.
+/// The number of steps with faults in one schedule, 25 ms each.
 const STEPS: u64 = 1200;
-/// Steps within which a group must be back after all trouble: twelve seconds.
-const BACK: u64 = 480;
+/// The number of steps within which a group must recover once the faults end: twelve seconds.
+const RECOVERY_STEPS: u64 = 480;
 
-/// Seeds a mix in CI; `WINGSHED_SEEDS` asks for more by hand.
+/// The number of seeds per fault mix in CI; `WINGSHED_SEEDS` sets another one for manual runs.
 fn seeds() -> u64 {
     std::env::var("WINGSHED_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(12)
 }
@@ -17,20 +17,23 @@
 fn play(name: &str, faults: KeeperFaults) {
     for seed in 0..seeds() {
         let mut bench = KeeperBench::new(3, faults, seed);
-        bench.calm(BACK);
+        bench.calm(RECOVERY_STEPS);
         let before = bench.acknowledged;
-        assert!(before > 0, "{name}, seed {seed}: a first group takes documents");
+        assert!(before > 0, "{name}, seed {seed}: no document was acknowledged by a new group");
 
         bench.run(STEPS);
-        bench.calm(BACK);
+        bench.calm(RECOVERY_STEPS);
 
-        let held = bench.vouched();
+        let held = bench.leased_version();
         assert!(
             held.is_some_and(|held| held >= bench.acknowledged),
-            "{name}, seed {seed}: back with {held:?}, acknowledged {}",
+            "{name}, seed {seed}: recovered with {held:?}, acknowledged {}",
             bench.acknowledged
         );
-        assert!(bench.acknowledged > before, "{name}, seed {seed}: documents were taken again");
+        assert!(
+            bench.acknowledged > before,
+            "{name}, seed {seed}: no document was acknowledged after the faults"
+        );
     }
 }
 
@@ -113,15 +116,18 @@
 fn a_lost_disk_loses_nothing_while_all_others_lose_power() {
     for seed in 0..5 * seeds() {
         let mut bench = KeeperBench::new(3, KeeperFaults::default(), seed);
-        bench.calm(BACK);
-        // Some step after a document was acknowledged, which not every disk holds yet.
+        bench.calm(RECOVERY_STEPS);
+        // A varying number of steps after an acknowledgement, when not every disk holds the document.
         bench.run(seed % 7);
         let acknowledged = bench.acknowledged;
 
         bench.lose_all_and_wipe(seed as usize % 3);
-        bench.calm(BACK);
+        bench.calm(RECOVERY_STEPS);
 
-        assert!(bench.vouched() >= Some(acknowledged), "seed {seed}: {acknowledged} is lost");
+        assert!(
+            bench.leased_version() >= Some(acknowledged),
+            "seed {seed}: {acknowledged} is lost"
+        );
     }
 }
 
@@ -129,14 +135,14 @@
 fn two_that_return_at_once_agree_on_a_leader_at_once() {
     for seed in 0..5 * seeds() {
         let mut bench = KeeperBench::new(3, KeeperFaults::default(), seed);
-        bench.calm(BACK);
+        bench.calm(RECOVERY_STEPS);
         bench.step_ms = 1;
         bench.lose_all_and_wipe(seed as usize % 3);
 
         let led_ms = bench.steps_until_led(2000);
 
-        // Two votes of three are needed and the third disk is lost: votes for themselves cost
-        // another round.
-        assert!(led_ms <= 250, "seed {seed}: led after {led_ms} ms");
+        // Two of three votes are needed and the third disk is lost, so if both keepers vote for
+        // themselves, the election takes another round.
+        assert!(led_ms <= 250, "seed {seed}: a leader after {led_ms} ms");
     }
 }
--- a/lib/tests/test_zones.rs
+++ b/lib/tests/test_zones.rs
@@ -1,4 +1,4 @@
-//! Zones that are emptied and taken back, and what is sent to upstreams that are cold.
+//! Zones that are emptied and taken back into use, and the requests sent to cold upstreams.
 
 mod testutils;
 
@@ -34,9 +34,17 @@
 
     assert_eq!(apply(1, true), RecordChange::Other);
     assert_eq!(apply(2, false), RecordChange::Other);
-    assert_eq!(apply(2, true), RecordChange::Overtaken, "it was sent before the zone came back");
+    assert_eq!(
+        apply(2, true),
+        RecordChange::Overtaken,
+        "it was based on the state before the zone returned"
+    );
     assert_eq!(apply(1, true), RecordChange::Overtaken);
-    assert_eq!(apply(5, true), RecordChange::Overtaken, "a number that nobody can know");
+    assert_eq!(
+        apply(5, true),
+        RecordChange::Overtaken,
+        "a number that does not follow the last one"
+    );
 
     assert!(!record.zones.is_emptied("a"));
     assert_eq!(record.zones.last_number("a"), 2);
@@ -68,7 +76,7 @@
     assert_eq!(watch.take(emptied.clone(), 200), Vec::new());
     assert!(watch.is_emptied("a") && !watch.is_emptied("b"));
     assert_eq!(watch.take(back, 300), change(false));
-    assert_eq!(watch.take(emptied, 400), Vec::new(), "news that is late");
+    assert_eq!(watch.take(emptied, 400), Vec::new(), "a late update");
     assert!(!watch.is_emptied("a"));
 }
 
@@ -78,8 +86,8 @@
     watch.take(orders(&[order("a", 1, true)]), 1000);
     watch.take(orders(&[order("a", 1, true), order("a", 2, false)]), 9000);
 
-    assert!(watch.may_be_cold("a", 8900, 800), "a list from before");
-    assert!(watch.may_be_cold("a", 9700, 800), "a list that may lag by as much");
+    assert!(watch.may_be_cold("a", 8900, 800), "a list from before the return");
+    assert!(watch.may_be_cold("a", 9700, 800), "a list that may have been outdated");
     assert!(!watch.may_be_cold("a", 9800, 800));
     assert!(!watch.may_be_cold("b", 0, 800));
 }
@@ -122,8 +130,9 @@
         }
         order
     };
-    // Four engines in use with 8 each but for the first, which holds 16: by their own mean of 10 that
-    // is below twice as many and three, by the mean of all six (6.8) it is above.
+    // Four engines are in use: the first has 16 requests, the others 8 each. 16 is below the bound
+    // of twice the mean plus three for their own mean of 10, but above it for the mean of all six
+    // (6.8).
     let load = |key: UpstreamKey| if key == order[0] { 16 } else { 8 };
     let crowd: Vec<UpstreamCandidate> = (1..=6)
         .map(|key| {
@@ -147,8 +156,8 @@
     FleetStanding { id, vms, first_heard_ms: Some(1000), heard_ms: now_ms }
 }
 
-/// The most requests that one cold upstream gets in any second from all VMs that always want to
-/// send, each going by the roster that `roster_of` gives it.
+/// Returns the largest number of requests that one cold upstream gets in any second from `vms` VMs that
+/// always have requests to send, each with the roster that `roster_of` returns for it.
 fn most_a_second(
     per_s: f64,
     vms: u32,
@@ -177,8 +186,8 @@
         for per_s in [0.5, 1.0, 2.5, 9.6, 30.0] {
             let all = rows(0..vms);
             let most = most_a_second(per_s, vms, |_| all.clone(), 7);
-            assert!(most as f64 <= per_s, "{vms} VMs, {per_s} a second: {most}");
-            assert!(per_s < 1.0 || most > 0, "{vms} VMs, {per_s} a second: it is never used");
+            assert!(most as f64 <= per_s, "{vms} VMs, {per_s} per second: {most}");
+            assert!(per_s < 1.0 || most > 0, "{vms} VMs, {per_s} per second: it is never used");
         }
     }
 }
@@ -187,7 +196,7 @@
 fn a_fleet_in_two_halves_sends_a_cold_upstream_at_most_twice_its_rate() {
     let half = |id: u32| rows((0..80).filter(move |other| other % 2 == id % 2));
     let most = most_a_second(9.6, 80, half, 13);
-    assert!(most <= 19, "{most}, where one and a half times the rate and five more are allowed");
+    assert!(most <= 19, "{most}, where 1.5 times the rate and 5 more are allowed");
 }
 
 #[test]
@@ -199,11 +208,11 @@
 
     assert!(ask(&standing(1, &vms, now_ms), now_ms));
     let fresh = FleetStanding { first_heard_ms: Some(now_ms - 500), ..standing(1, &vms, now_ms) };
-    assert!(!ask(&fresh, now_ms), "the roster may not be whole yet");
+    assert!(!ask(&fresh, now_ms), "the roster may be incomplete");
     let never = FleetStanding { first_heard_ms: None, ..standing(1, &vms, now_ms) };
     assert!(!ask(&never, now_ms));
     let alone = FleetStanding { heard_ms: now_ms - 2000, ..standing(1, &vms, now_ms) };
-    assert!(!ask(&alone, now_ms), "others may have taken its share");
+    assert!(!ask(&alone, now_ms), "other VMs may have taken over its share");
 }
 
 proptest! {
--- a/lib/tests/testutils/keeper_bench.rs
+++ b/lib/tests/testutils/keeper_bench.rs
@@ -1,9 +1,9 @@
-//! A fleet's keepers as drivers over disks that stall, fill, lose power and are wiped, with
-//! messages that are lost, doubled, delayed and cut. Time is counted, not waited for.
+//! Simulated keepers of a fleet. Their disks stall, fill up, lose power and are wiped, and messages are
+//! lost, duplicated, delayed and cut by partitions. The clock is simulated.
 //!
-//! Invariants, held after every step: one group only; a document, an order of a zone, or a step of a
-//! roll-out that was acknowledged is never lost nor shown older by a keeper that vouches; no two keepers
-//! ever hold two ends of one roll-out; a wiped disk never counts as what it once held.
+//! Invariants, checked after every step: there is one group only; a keeper with a lease never lacks an
+//! acknowledged document, zone order or roll-out step; no two keepers have different ends of one
+//! roll-out; a wiped disk does not count for its former entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,14 +24,14 @@
 
 use super::raft_bench::write_batch;
 
-/// One step of the bench, in milliseconds.
+/// The simulated time of one step, in milliseconds.
 pub const STEP_MS: u64 = 25;
 const SYNC_MS: u64 = 2;
-/// How often a VM's loop ticks its keeper, in milliseconds.
+/// The interval at which a VM's loop ticks its keeper, in milliseconds.
 const TICK_MS: u64 = 50;
 const RENEW_MS: u64 = 300;
 
-/// Chances in ten thousand a step.
+/// The probability of each fault per step, in ten-thousandths.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeeperFaults {
     pub lose: u32,
@@ -45,15 +45,15 @@
     pub cut: u32,
     pub freeze: u32,
     pub replace: u32,
-    /// Orders of a zone, at each tick of a leader.
+    /// Zone orders, per tick of a leader.
     pub orders: u32,
-    /// Orders and steps of a roll-out, at each tick of a leader.
+    /// Orders and steps of a roll-out, per tick of a leader.
     pub rollouts: u32,
 }
 
 struct KeeperPeer {
     id: KeeperId,
-    life: Incarnation,
+    incarnation: Incarnation,
     driver: Option<KeeperDriver>,
     jobs: Option<Receiver<DiskJob>>,
     synced: StoredState,
@@ -65,10 +65,11 @@
     gone: bool,
 }
 
-/// The keepers.
+/// The simulated keepers.
 pub struct KeeperBench {
     pub now_ms: u64,
-    /// Messages take up to two of these; [`STEP_MS`] unless a test needs a quick network.
+    /// The length of a step, [`STEP_MS`] unless a test needs a fast network. A message takes up to two
+    /// steps.
     pub step_ms: u64,
     pub acknowledged: u64,
     pub puts: u64,
@@ -76,27 +77,27 @@
     peers: Vec<KeeperPeer>,
     wire: Vec<(KeeperId, KeeperId, RaftMessage, u64)>,
     waiting: Vec<(u64, oneshot::Receiver<bool>)>,
-    /// The newest order that was acknowledged.
+    /// The newest acknowledged zone order.
     pub ordered: Option<ZoneOrder>,
     ordering: Vec<(ZoneOrder, oneshot::Receiver<bool>)>,
-    /// The newest command of a roll-out that was acknowledged, by the order's and the step's number.
+    /// The newest acknowledged command of a roll-out, with the numbers of the order and the step.
     pub rolled: Option<((u64, u64), RolloutPhase)>,
     rolling: Vec<((u64, u64), RolloutPhase, oneshot::Receiver<bool>)>,
-    /// How each order ended, by any keeper's record.
+    /// The final phase of each roll-out order in any keeper's record.
     ends: BTreeMap<u64, RolloutPhase>,
     cut: Option<(BTreeSet<KeeperId>, u64)>,
     wiped_until: u64,
     rng: StdRng,
-    lives: u64,
-    last_vouched: Option<(u64, u64)>,
+    incarnations: u64,
+    last_leased: Option<(u64, u64)>,
 }
 
-/// A leader that vouched for its state less than this long ago counts as there: between two
-/// such moments its own disk may be behind the others', in milliseconds.
-const VOUCHED_MS: u64 = 1000;
+/// The time for which a leader that had a lease counts as present, in milliseconds. It may lack a lease
+/// for a moment while its own disk is behind the others'.
+const LEASED_KEEP_MS: u64 = 1000;
 
 impl KeeperBench {
-    /// `size` VMs with a disk that start for the first time; the first founds the group.
+    /// Creates `size` VMs with empty disks; the first one founds the group.
     pub fn new(size: u32, faults: KeeperFaults, seed: u64) -> KeeperBench {
         let mut bench = KeeperBench {
             now_ms: 1_000_000,
@@ -115,8 +116,8 @@
             cut: None,
             wiped_until: 0,
             rng: StdRng::seed_from_u64(seed),
-            lives: 0,
-            last_vouched: None,
+            incarnations: 0,
+            last_leased: None,
         };
         for id in 1..=size {
             bench.add_peer(KeeperId(id), id == 1);
@@ -125,11 +126,11 @@
     }
 
     fn add_peer(&mut self, id: KeeperId, founder: bool) {
-        self.lives += 1;
+        self.incarnations += 1;
         let synced = StoredState { blank: true, ..StoredState::default() };
         self.peers.push(KeeperPeer {
             id,
-            life: Incarnation(self.lives),
+            incarnation: Incarnation(self.incarnations),
             driver: None,
             jobs: None,
             synced,
@@ -152,7 +153,7 @@
             KeeperIdentity { id: peer.id, peer_port: 7000, tolerated_losses: 1, founder, seed };
         let mut stored = peer.synced.clone();
         stored.blank = stored.snapshot.membership.members.is_empty() && stored.entries.is_empty();
-        let driver = KeeperDriver::new(identity, peer.life, stored, sender, self.now_ms);
+        let driver = KeeperDriver::new(identity, peer.incarnation, stored, sender, self.now_ms);
         peer.driver = Some(driver);
         peer.jobs = Some(receiver);
         peer.running = None;
@@ -162,11 +163,11 @@
         self.rng.gen_range(0..10_000) < in_ten_thousand
     }
 
-    /// Takes steps; faults may strike at each.
+    /// Runs steps with random faults.
     pub fn run(&mut self, steps: u64) {
         for _ in 0..steps {
             self.now_ms += self.step_ms;
-            self.strike();
+            self.inject_faults();
             self.restart_due();
             self.work_disks();
             self.deliver();
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Steps without faults, for a group to come back.
+    /// Runs steps without faults, in which the group can recover.
     pub fn calm(&mut self, steps: u64) {
         let faults = std::mem::take(&mut self.faults);
         self.cut = None;
@@ -184,42 +185,42 @@
         self.faults = faults;
     }
 
-    /// All lose power at once, and one its disk too; all return at the same moment.
+    /// Cuts the power of all keepers at once and wipes the disk of one. All restart at the same time.
     pub fn lose_all_and_wipe(&mut self, wiped: usize) {
         let until = self.now_ms + 1000;
         for at in 0..self.peers.len() {
             self.power_off(at, until);
         }
-        self.lives += 1;
-        self.peers[wiped].life = Incarnation(self.lives);
+        self.incarnations += 1;
+        self.peers[wiped].incarnation = Incarnation(self.incarnations);
         self.peers[wiped].synced = StoredState { blank: true, ..StoredState::default() };
         self.run(1000 / self.step_ms);
     }
 
-    /// Steps until a leader vouches; at most `most`.
+    /// Runs until a leader has a lease, at most `most` steps, and returns the number of steps.
     pub fn steps_until_led(&mut self, most: u64) -> u64 {
-        self.last_vouched = None;
+        self.last_leased = None;
         (0..most)
             .find(|_| {
                 self.run(1);
-                self.last_vouched.is_some()
+                self.last_leased.is_some()
             })
             .unwrap_or(most)
     }
 
-    /// The version that a leader vouched for lately.
-    pub fn vouched(&self) -> Option<u64> {
-        let (version, at_ms) = self.last_vouched?;
-        (at_ms + VOUCHED_MS > self.now_ms).then_some(version)
+    /// Returns the document version of the leader that recently had a lease, if any.
+    pub fn leased_version(&self) -> Option<u64> {
+        let (version, at_ms) = self.last_leased?;
+        (at_ms + LEASED_KEEP_MS > self.now_ms).then_some(version)
     }
 
-    /// The voters of the group, as a vouching leader knows it.
+    /// Returns the number of voters by the membership of a leader with a lease, or 0 without one.
     pub fn voters(&self) -> usize {
         let drivers = self.peers.iter().filter_map(|peer| peer.driver.as_ref());
         drivers.filter(|d| d.may_vouch(self.now_ms)).map(|d| d.voters()).max().unwrap_or(0)
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         let faults = self.faults;
         if self.chance(faults.power_all) {
             let down = self.now_ms + self.rng.gen_range(100..1500);
@@ -233,7 +234,7 @@
             return;
         }
         if self.chance(faults.kill) {
-            // The death of a process leaves the files as they stood.
+            // A killed process leaves the files in their current state.
             let peer = &mut self.peers[at];
             if let Some((job, _)) = peer.running.take() {
                 write_job(&mut peer.synced, &job);
@@ -244,13 +245,13 @@
         if self.chance(faults.power) {
             self.power_off(at, until);
         }
-        // One disk is lost at a time: more than that is not to be borne.
+        // Only one disk is lost at a time: the group is not required to survive more.
         if self.chance(faults.wipe) && self.now_ms > self.wiped_until && self.whole() {
             self.wiped_until = self.now_ms + 12_000;
             self.power_off(at, self.now_ms + 500);
-            self.lives += 1;
+            self.incarnations += 1;
             let peer = &mut self.peers[at];
-            peer.life = Incarnation(self.lives);
+            peer.incarnation = Incarnation(self.incarnations);
             peer.synced = StoredState { blank: true, ..StoredState::default() };
         }
         if self.chance(faults.replace) && self.now_ms > self.wiped_until && self.whole() {
@@ -276,18 +277,18 @@
         }
     }
 
-    /// Whether the group has its full size, so that one loss is to be borne.
+    /// Returns whether the group has its full size and so must survive the loss of one keeper.
     fn whole(&self) -> bool {
         let living = self.peers.iter().filter(|peer| !peer.gone);
         let up = living.clone().all(|peer| peer.driver.is_some() && peer.frozen_until == 0);
-        up && self.vouched().is_some() && self.voters() >= 3
+        up && self.leased_version().is_some() && self.voters() >= 3
     }
 
     fn power_off(&mut self, at: usize, until: u64) {
         let kept = self.rng.gen_range(0..3);
         let peer = &mut self.peers[at];
         if let (Some((job, _)), 0) = (peer.running.take(), kept) {
-            // What was being written may be found there, whole.
+            // The job that was being written may have completed.
             write_job(&mut peer.synced, &job);
         }
         peer.driver = None;
@@ -374,7 +375,7 @@
 
     fn tick(&mut self) {
         let now_ms = self.now_ms;
-        // All loops that start together tick together.
+        // All keepers tick in the same step.
         if now_ms % TICK_MS >= self.step_ms {
             return;
         }
@@ -386,15 +387,15 @@
             if now_ms % RENEW_MS < TICK_MS {
                 self.renew(at);
             }
-            let vouches = self.peers[at].driver.as_ref().is_some_and(|d| d.may_vouch(now_ms));
-            if vouches && self.rng.gen_range(0..8) == 0 {
+            let has_lease = self.peers[at].driver.as_ref().is_some_and(|d| d.may_vouch(now_ms));
+            if has_lease && self.rng.gen_range(0..8) == 0 {
                 self.put(at);
             }
-            if vouches && self.faults.orders > 0 && self.chance(self.faults.orders) {
-                self.order(at);
+            if has_lease && self.faults.orders > 0 && self.chance(self.faults.orders) {
+                self.propose_order(at);
             }
-            if vouches && self.faults.rollouts > 0 && self.chance(self.faults.rollouts) {
-                self.roll(at);
+            if has_lease && self.faults.rollouts > 0 && self.chance(self.faults.rollouts) {
+                self.propose_rollout(at);
             }
         }
     }
@@ -407,13 +408,13 @@
             .iter()
             .filter(|peer| peer.driver.is_some() && peer.frozen_until <= now_ms)
             .filter(|peer| !self.is_cut(peer.id, leader_id))
-            .map(|peer| (peer.id, peer.life))
+            .map(|peer| (peer.id, peer.incarnation))
             .collect();
         let Some(driver) = self.peers[leader].driver.as_mut() else { return };
         if driver.may_vouch(now_ms) {
-            for (id, life) in rows {
+            for (id, incarnation) in rows {
                 let row = RosterRow { id: id.0, zone: id.0 as u64 % 3, ready: true };
-                driver.roster.note(row, Some(life), Vec::new(), now_ms);
+                driver.roster.note(row, Some(incarnation), Vec::new(), now_ms);
             }
         }
     }
@@ -431,8 +432,8 @@
         self.waiting.extend(receiver.map(|receiver| (version, receiver)));
     }
 
-    /// Two orders that cross: the second goes by what the first one's asker knew, too.
-    fn order(&mut self, at: usize) {
+    /// Proposes two conflicting zone orders, which are both based on the same state.
+    fn propose_order(&mut self, at: usize) {
         let now_ms = self.now_ms;
         for emptied in [self.rng.gen(), self.rng.gen()] {
             let mut asked = None;
@@ -447,9 +448,8 @@
         }
     }
 
-    /// The next command of a roll-out, by what a leader's record holds; often two that exclude each
-    /// other.
-    fn roll(&mut self, at: usize) {
+    /// Proposes two next commands of a roll-out based on a leader's record, which often conflict.
+    fn propose_rollout(&mut self, at: usize) {
         let now_ms = self.now_ms;
         let draws: [u32; 2] = [self.rng.gen(), self.rng.gen()];
         for draw in draws {
@@ -469,7 +469,7 @@
         self.rolling.retain_mut(|(place, phase, receiver)| match receiver.try_recv() {
             Ok(true) => {
                 let last = newest.map_or((0, 0), |(place, _)| place);
-                assert!(*place != last, "two commands are taken as {last:?}");
+                assert!(*place != last, "two commands were accepted as {last:?}");
                 if *place > last {
                     newest = Some((*place, *phase));
                 }
@@ -481,7 +481,7 @@
         self.rolled = newest;
     }
 
-    /// No two keepers hold two ends of one order, whether they vouch or not.
+    /// Checks that no two keepers, with or without a lease, have different ends of one roll-out order.
     fn check_ends(&mut self) {
         for peer in &self.peers {
             let Some(driver) = &peer.driver else { continue };
@@ -498,7 +498,7 @@
         self.ordering.retain_mut(|(order, receiver)| match receiver.try_recv() {
             Ok(true) => {
                 let last = newest.as_ref().map_or(0, |last| last.number);
-                assert!(order.number != last, "two orders are taken as number {last}");
+                assert!(order.number != last, "two orders were accepted as number {last}");
                 if order.number > last {
                     newest = Some(order.clone());
                 }
@@ -536,7 +536,7 @@
             let held = driver.record.document.version;
             assert!(
                 held >= self.acknowledged,
-                "{:?} vouches for version {held}, but {} was acknowledged",
+                "{:?} has a lease at version {held}, but {} was acknowledged",
                 peer.id,
                 self.acknowledged
             );
@@ -552,11 +552,11 @@
                 let kept = held.is_some_and(|held| held.0 > place || held == (place, phase));
                 assert!(kept, "{:?} lost {place:?} {phase:?}: {held:?}", peer.id);
             }
-            self.last_vouched = Some((held, self.now_ms));
+            self.last_leased = Some((held, self.now_ms));
             let other = leaders.insert(driver.term(), peer.id);
-            assert!(other.is_none(), "two lead in term {}", driver.term());
+            assert!(other.is_none(), "two leaders in term {}", driver.term());
         }
-        assert!(leaders.len() <= 1, "two vouch at once: {leaders:?}");
+        assert!(leaders.len() <= 1, "two keepers have a lease: {leaders:?}");
     }
 }
 
--- a/lib/tests/testutils/raft_bench.rs
+++ b/lib/tests/testutils/raft_bench.rs
@@ -1,5 +1,5 @@
-//! A group of raft cores with lossy, doubling, reordering, delaying message passing and
-//! crashes that lose what was not synced. It holds the invariants after every step.
+//! A simulated group of Raft cores. Messages are lost, duplicated, reordered and delayed, and
+//! crashes lose unsynced data. The invariants are checked after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
     EntryPayload, GroupMember, GroupMembership, LogBatch, LogEntry, StoredState,
 };
 
-/// Which faults may happen, each with its chance in a thousand a step.
+/// The probability of each fault per step, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RaftFaults {
     pub lose: u32,
@@ -28,7 +28,7 @@
     pub lose_disk: u32,
 }
 
-/// One keeper: its core, its disk, and what waits for a sync.
+/// One keeper: its core, its disk, and the outputs that wait for a sync.
 pub struct RaftPeer {
     pub id: KeeperId,
     pub incarnation: Incarnation,
@@ -40,7 +40,7 @@
     down_until: u64,
 }
 
-/// The group.
+/// The simulated group.
 pub struct RaftBench {
     pub peers: Vec<RaftPeer>,
     pub now_ms: u64,
@@ -62,7 +62,7 @@
 }
 
 impl RaftBench {
-    /// A group of `size` voters; `spare` more keepers may be brought in.
+    /// Creates a group of `size` voters; `spare` further keepers may be added to it.
     pub fn new(size: u32, spare: u32, faults: RaftFaults, seed: u64) -> RaftBench {
         let members = (1..=size).map(|id| (KeeperId(id), member(true, id as u64))).collect();
         let membership = GroupMembership { members };
@@ -104,7 +104,7 @@
         self.rng.gen_range(0..1000) < in_a_thousand
     }
 
-    /// One step: time passes, something happens, the invariants are checked.
+    /// Runs one step: advances the time, triggers a random event, and checks the invariants.
     pub fn step(&mut self) {
         self.now_ms += self.rng.gen_range(0..8);
         self.recover_due();
@@ -138,7 +138,7 @@
         self.check();
     }
 
-    /// Without faults, the group must come to one leader and commit what is proposed.
+    /// Runs without faults until the group has one leader and has committed all proposals.
     pub fn settle(&mut self) {
         self.faults = RaftFaults::default();
         self.cut = None;
@@ -158,7 +158,7 @@
                 .map(|(id, m)| (id.0, m.incarnation.0, m.votes))
                 .collect();
             println!(
-                "keeper {} life {}: {:?} term {} commit {} last {} members {members:?}",
+                "keeper {} incarnation {}: {:?} term {} commit {} last {} members {members:?}",
                 peer.id,
                 peer.incarnation,
                 core.role(),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Writes what waits; only then messages leave and entries are applied.
+    /// Writes the waiting outputs, then sends their messages and applies their entries.
     fn sync(&mut self, at: usize) {
         let peer = &mut self.peers[at];
         let Some(core) = peer.core.as_mut() else { return };
@@ -210,7 +210,7 @@
         let mut installed = false;
         for output in waiting {
             if let Some(snapshot) = &output.install {
-                // As the keeper's loop does: the log is written anew, batches and all.
+                // Like the keeper's loop: the whole log is rewritten, including later batches.
                 installed = true;
                 peer.disk.snapshot = snapshot.clone();
                 peer.disk.entries = core.entries().to_vec();
@@ -249,7 +249,7 @@
         if self.wire.is_empty() {
             return;
         }
-        // Mostly the oldest, sometimes any: delay and reordering.
+        // Mostly the oldest message, sometimes any, for delay and reordering.
         let any = self.chance(300);
         let pick = if any { self.rng.gen_range(0..self.wire.len()) } else { 0 };
         let (lose, double) = (self.faults.lose, self.faults.double);
@@ -285,8 +285,8 @@
         peer.down_until = until;
     }
 
-    /// A keeper comes back with an empty disk under a new life. Only one at a time, and only
-    /// while every keeper's view of the group is whole: more would be the loss of a quorum.
+    /// Restarts a keeper with an empty disk and a new incarnation. Only one disk is lost at a time,
+    /// and only while every keeper's membership is up to date; otherwise a quorum may be lost.
     fn lose_disk(&mut self, at: usize) {
         let intact = |id: &KeeperId, member: &GroupMember| {
             self.peers[id.0 as usize - 1].incarnation == member.incarnation
@@ -342,9 +342,9 @@
         let pick = self.rng.gen_range(1..=self.peers.len() as u32);
         let spare = self.spare;
         let address = "127.0.0.1:1".parse().unwrap();
-        let life = self.peers[pick as usize - 1].incarnation;
+        let incarnation = self.peers[pick as usize - 1].incarnation;
         let change = match self.rng.gen_range(0..3) {
-            0 => MemberChange::AddLearner(KeeperId(pick), life, address),
+            0 => MemberChange::AddLearner(KeeperId(pick), incarnation, address),
             1 => MemberChange::Promote(KeeperId(pick)),
             _ if spare > 0 && self.may_remove(pick) => MemberChange::Remove(KeeperId(pick)),
             _ => return,
@@ -352,8 +352,9 @@
         self.act(at, |core, now, output| drop(core.change_member(change, now, output)));
     }
 
-    /// An operator who knows of a lost disk removes that life first. Removing a good keeper in
-    /// the moment that another's disk is lost may leave too few, and no rule can know.
+    /// Returns whether a keeper may be removed: one with a lost disk, or any if no disk is lost. If
+    /// a healthy keeper is removed when another's disk was just lost, too few keepers may remain,
+    /// which no rule of the consensus can prevent.
     fn may_remove(&self, pick: u32) -> bool {
         let lost = |id: u32, core: &RaftCore| {
             let member = core.membership().members.get(&KeeperId(id));
@@ -378,7 +379,7 @@
         assert!(leased <= 1, "two keepers hold the leader's lease");
     }
 
-    /// Every acknowledged proposal is found at every settled member.
+    /// Checks that every acknowledged proposal was committed.
     pub fn check_acknowledged(&self) {
         let mut found = BTreeSet::new();
         for (_, payload) in self.committed.values() {
@@ -390,7 +391,7 @@
     }
 }
 
-/// What a disk holds after a batch.
+/// Writes a batch to a simulated disk.
 pub fn write_batch(disk: &mut StoredState, batch: &LogBatch) {
     if let Some(hard_state) = batch.hard_state {
         disk.hard_state = hard_state;
