--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -1,7 +1,7 @@
 //! The leader's detection of requests that crash the upstreams that run them, over all VMs.
 //!
-//! A crashing upstream takes down all its running requests, and one of those may be the cause. Such a
-//! request is found by its repetition: each further upstream that runs it crashes too. So crashed
+//! A crashing upstream takes down all its running requests, and one of those may be the cause. A
+//! harmful request is found by repetition: each further upstream that runs it crashes too. So crashed
 //! upstreams are counted per request, and a request that completes is cleared.
 //!
 //! Many callers may send the same request at once, and a failing rack may take down several upstreams
@@ -65,7 +65,7 @@
     last_ms: u64,
     /// Whether an upstream crashed under a send that was made while the request was watched.
     confirmed: bool,
-    /// When enough upstreams had crashed, one of them in a confirmed way.
+    /// When enough upstreams had crashed, one of them under a watched send.
     proven_ms: Option<u64>,
     /// Whether the request completed since its last crash.
     well: bool,
@@ -209,7 +209,8 @@
             .collect();
         let suspect = |(mark, count): &(&RequestMark, &CrashCount)| match recorded.row(**mark) {
             Some(row) if row.held => false,
-            // A request that was quarantined before needs no further wait for completions.
+            // A request that was quarantined before is held without a further wait, since its
+            // completions had enough time to be reported.
             Some(row) if row.times > 0 => count.proven_ms.is_some(),
             _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
         };
@@ -301,7 +302,7 @@
 }
 
 impl QuarantineRow {
-    /// Returns the row after the end of its quarantine. It keeps so many crashes that one more starts
+    /// Returns the row after the end of its quarantine. It keeps the number of crashes at which one more starts
     /// the next quarantine.
     fn released(&self) -> QuarantineRow {
         let ended = self.ended.iter().take(WATCH_CRASHES).copied().collect();
--- a/lib/src/coordination/leader_contact.rs
+++ b/lib/src/coordination/leader_contact.rs
@@ -94,8 +94,8 @@
         now_ms.saturating_sub(self.confirmed_ms)
     }
 
-    /// Returns whether this VM lacks a newer version that should be in force everywhere by now. Such a
-    /// VM must not serve: one with a congested link served by a version that had been replaced 3.2 s
+    /// Returns whether this VM lacks a newer version that should be in force everywhere by now. If
+    /// so, it must not serve: a VM with a congested link served by a version that had been replaced 3.2 s
     /// before, where 3 s were allowed.
     pub fn is_behind(&self, apply_ms: u64, now_ms: u64) -> bool {
         self.pending.is_some() && self.age_ms(now_ms) + APPLY_MARGIN_MS >= apply_ms
--- a/lib/src/coordination/list_reader.rs
+++ b/lib/src/coordination/list_reader.rs
@@ -154,8 +154,8 @@
 ///
 /// A VM that has received no answer of a leader since its start never reads: it has no configuration
 /// to serve by, and all other VMs may have started too. A list of unknown age, loaded from disk, is
-/// treated like one that was sent with the leader's first answer. It is safe to use: if an address was
-/// reassigned to another upstream meanwhile, that one refuses requests for the earlier one.
+/// treated like one that was sent with the leader's first answer. It is safe to use: if an address has
+/// been reassigned to another upstream since, that one refuses requests for the earlier one.
 ///
 /// `rank` returns the VM's position in [`reader_order`]. It is called only when the result depends on it.
 pub fn list_action(status: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
@@ -201,8 +201,8 @@
     }
     let first = (0..READERS_PER_REQUEST)
         .map(|at| others[(round * READERS_PER_REQUEST + at) % others.len()]);
-    let mut asked: Vec<u32> = first.chain([others[draw % others.len()]]).collect();
-    asked.sort_unstable();
-    asked.dedup();
-    asked
+    let mut targets: Vec<u32> = first.chain([others[draw % others.len()]]).collect();
+    targets.sort_unstable();
+    targets.dedup();
+    targets
 }
--- a/lib/src/coordination/news_source.rs
+++ b/lib/src/coordination/news_source.rs
@@ -31,11 +31,11 @@
         Some(rows[at].zone)
     };
     let near: Vec<u32> = others().filter(|id| zone_of(id) == Some(requester.zone)).collect();
-    let asked = match near.is_empty() || attempt % 2 == 1 {
+    let candidates = match near.is_empty() || attempt % 2 == 1 {
         true => others().collect(),
         false => near,
     };
-    asked.get(draw as usize % asked.len().max(1)).copied()
+    candidates.get(draw as usize % candidates.len().max(1)).copied()
 }
 
 /// Returns whether a VM requests a newer list from the VM that announced it instead of a keeper of its
--- a/lib/src/coordination/raft.rs
+++ b/lib/src/coordination/raft.rs
@@ -175,7 +175,8 @@
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// Returns the index of the last entry that the snapshot covers; the log starts after it.
+    /// Returns the index of the last entry that the snapshot covers; the log starts after it. Callers
+    /// use it to decide when to take the next snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.index
     }
@@ -265,9 +266,9 @@
             return Err(RaftRefusal::HandingOver);
         }
         let entry = LogEntry { index: self.last_index() + 1, term: self.term(), payload };
-        let place = (entry.index, entry.term);
+        let position = (entry.index, entry.term);
         self.append_entry(entry, output);
-        Ok(place)
+        Ok(position)
     }
 
     /// Sends entries that were not sent yet to the members that have answered all earlier ones.
--- a/lib/src/coordination/raft_follower.rs
+++ b/lib/src/coordination/raft_follower.rs
@@ -65,17 +65,17 @@
         self.reload_membership();
     }
 
-    /// Adds a piece of a snapshot and installs the snapshot once it is complete. `place` holds
+    /// Adds a piece of a snapshot and installs the snapshot once it is complete. `position` holds
     /// the piece's offset, the total length and the leader's send time.
     pub(super) fn take_snapshot_piece(
         &mut self,
         from: KeeperId,
         head: LogSnapshot,
-        place: (u64, u64, u64),
+        position: (u64, u64, u64),
         bytes: Vec<u8>,
         output: &mut RaftOutput,
     ) {
-        let (offset, total, sent_ms) = place;
+        let (offset, total, sent_ms) = position;
         if head.index <= self.commit {
             self.reply(from, true, self.commit, sent_ms, 0, output);
             return;
--- a/lib/src/coordination/raft_message.rs
+++ b/lib/src/coordination/raft_message.rs
@@ -15,7 +15,7 @@
 /// attempt, so that slow keepers do not disturb each other's elections.
 ///
 /// After all keepers were killed together none leads, and callers wait, so a new leader should
-/// be elected soon. Where a leader lives, its followers ignore the vote requests. See
+/// be elected soon. While there is a leader, its followers ignore the vote requests. See
 /// `docs/design/platform.md`.
 pub const STARTUP_ELECTION_MS: u64 = 50;
 /// The duration of a leader's lease in milliseconds, from the sending of a heartbeat that a
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -1,7 +1,7 @@
 //! The leader's roster of the VMs in the fleet and of their requests in flight.
 //!
 //! Each VM sends the leader a renewal a few times a second, and the answer contains what
-//! changed among the others: two datagrams per exchange, regardless of the number of VMs. See
+//! changed among the others: two small datagrams per exchange, regardless of the number of VMs. See
 //! `docs/design/platform.md`.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -32,7 +32,7 @@
 
 /// Returns the pause between two searches for a leader by one of `vms` VMs, in milliseconds: 50 ms up to
 /// 100 VMs, and longer in larger fleets, to limit the queries to what the keepers can answer. A new
-/// leader notifies the VMs that it knows.
+/// leader notifies the VMs in its roster.
 pub fn leader_search_pause_ms(vms: usize) -> u64 {
     (vms as u64 * 1000 / LEADER_SEARCHES_PER_S).clamp(LEADER_SEARCH_MS, RENEW_MS)
 }
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -1,8 +1,8 @@
 //! The zones to which one VM sends no requests, and the upstreams that may be cold after a zone's return.
 //!
 //! Orders are sent with the leader's grants, and the last received ones stay in effect without a grant:
-//! a VM without contact to a leader does not report itself ready, and if it receives requests anyway, it
-//! sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
+//! a VM without contact to a leader does not report itself ready, and if it receives requests
+//! nevertheless, it sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
 
 use std::collections::BTreeMap;
 
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -65,7 +65,7 @@
 fn a_step_tells_only_what_is_new() {
     let (mut leader, mut follower) = leader_and_follower();
 
-    let step = lead(&mut leader, vec![entry(2, true), entry(3, false)], 1, 10).expect("news");
+    let step = lead(&mut leader, vec![entry(2, true), entry(3, false)], 1, 10).expect("update");
     let nothing = lead(&mut leader, vec![entry(2, true), entry(3, false)], 1, 20);
 
     assert_eq!(step.change.rows, [entry(2, true), entry(3, false)]);
@@ -100,7 +100,7 @@
         act(&mut follower);
         let before = follower.rows();
 
-        let step = lead(&mut leader, entries(&[2, 3]), 1, 10).expect("news");
+        let step = lead(&mut leader, entries(&[2, 3]), 1, 10).expect("update");
 
         assert!(!follower.follow(step, 10), "{case}");
         assert_eq!(follower.rows(), before, "{case}");
@@ -111,13 +111,13 @@
 fn a_leader_that_read_for_itself_meanwhile_is_heard_again_at_once() {
     let (mut leader, mut follower) = leader_and_follower();
     for number in 3..9 {
-        let step = lead(&mut leader, entries(&[1, number]), 1, 10).expect("news");
+        let step = lead(&mut leader, entries(&[1, number]), 1, 10).expect("update");
         assert!(follower.follow(step, 10));
     }
     // It had no lease for a moment while a read was under way, so the read counts as leaderless.
     leader.read(entries(&[1]), None, LEADER, 20);
 
-    lead(&mut leader, vec![entry(1, true)], 1, 30).expect("news");
+    lead(&mut leader, vec![entry(1, true)], 1, 30).expect("update");
     let taken = follower.take_whole(leader.mark, leader.rows(), 30);
 
     assert!(taken, "{:?} after {:?}", leader.mark, follower.mark);
@@ -128,7 +128,7 @@
 fn an_older_whole_list_takes_nothing_back() {
     let (mut leader, mut follower) = leader_and_follower();
     let old = (leader.mark, leader.rows());
-    let step = lead(&mut leader, entries(&[2, 3]), 1, 10).expect("news");
+    let step = lead(&mut leader, entries(&[2, 3]), 1, 10).expect("update");
     follower.follow(step, 10);
 
     assert!(!follower.take_whole(old.0, old.1, 20));
@@ -191,10 +191,10 @@
         roster.note(row(id, true), None, Vec::new(), now_ms);
     }
 
-    let news = roster.update_since(5, copy.revision);
+    let update = roster.update_since(5, copy.revision);
 
-    assert!(news.whole);
-    copy.take(news);
+    assert!(update.whole);
+    copy.take(update);
     assert_eq!(copy.rows, roster.rows());
 }
 
@@ -329,7 +329,7 @@
                 }
             }
         }
-        if all_ms.is_none() && confirmed_ms.iter().all(|news| *news > 1000) {
+        if all_ms.is_none() && confirmed_ms.iter().all(|at_ms| *at_ms > 1000) {
             all_ms = Some(now_ms - 1000 - STALE_MS);
         }
     }
@@ -386,7 +386,7 @@
 
     assert!(step.is_none(), "the list is unchanged, so that no whole list is needed later");
     assert_eq!((follower.mark, follower.news_ms), (leader.mark, 500));
-    let step = lead(&mut leader, entries(&[1, 3]), 1, 900).expect("news");
+    let step = lead(&mut leader, entries(&[1, 3]), 1, 900).expect("update");
     assert!(follower.follow(step, 900));
 }
 
@@ -397,11 +397,11 @@
     follower.read(vec![entry(1, true), entry(2, false)], None, LONE, 500);
 
     assert!(!follower.take_whole(sent.0, sent.1, 600), "the leader's list is older");
-    ask(&mut leader, &mut follower, 700);
+    exchange_revisions(&mut leader, &mut follower, 700);
 
     let leaves = leader.rows().iter().any(|row| row.leaving);
     assert!(leaves, "the leader takes over the newer list");
-    let step = lead(&mut leader, entries(&[2]), 1, 900).expect("news");
+    let step = lead(&mut leader, entries(&[2]), 1, 900).expect("update");
     assert!(follower.follow(step, 900), "the leader continues from the newer list");
 }
 
@@ -412,7 +412,7 @@
     other.read(entries(&[1, 6]), None, 12, 500);
     assert_ne!(one.mark, other.mark);
 
-    ask(&mut one, &mut other, 600);
+    exchange_revisions(&mut one, &mut other, 600);
 
     assert_eq!((one.mark, one.rows()), (other.mark, other.rows()));
 }
@@ -508,7 +508,7 @@
     /// The last lost delta arrives late.
     Late,
     /// The two VMs exchange their revisions.
-    Ask,
+    Exchange,
 }
 
 fn happenings() -> impl Strategy<Value = Vec<Happening>> {
@@ -519,13 +519,13 @@
         1 => numbers().prop_map(Happening::Alone),
         1 => numbers().prop_map(Happening::LeaderAlone),
         1 => Just(Happening::Late),
-        2 => Just(Happening::Ask),
+        2 => Just(Happening::Exchange),
     ];
     proptest::collection::vec(one, 0..60)
 }
 
 /// Exchanges the revisions of two VMs; the one with the lower revision takes the other's list.
-fn ask(one: &mut UpstreamList, other: &mut UpstreamList, now_ms: u64) {
+fn exchange_revisions(one: &mut UpstreamList, other: &mut UpstreamList, now_ms: u64) {
     one.hear(other.mark);
     other.hear(one.mark);
     let (from, to) = if one.mark > other.mark { (one, other) } else { (other, one) };
@@ -540,14 +540,14 @@
     let mut sums = vec![0; 3000];
     (0..300).for_each(|at| sums[at * 10 + at % 7] = 1 + (at % 4) as u8);
 
-    let told = LoadNews::placed(sums.clone());
+    let packed = LoadNews::placed(sums.clone());
 
     // Guards against one byte per upstream, which would be 3,000 bytes.
-    let LoadNews::Runs(runs) = told else { panic!("{told:?}") };
+    let LoadNews::Runs(runs) = packed else { panic!("{packed:?}") };
     assert_eq!(runs.len(), 600);
     assert_eq!(unpack_zeros(&runs, 3000), Some(sums));
     let busy = vec![2; 250];
-    assert!(matches!(LoadNews::placed(busy.clone()), LoadNews::Placed(told) if told == busy));
+    assert!(matches!(LoadNews::placed(busy.clone()), LoadNews::Placed(packed) if packed == busy));
 }
 
 #[test]
@@ -595,31 +595,31 @@
                 Happening::Late => {
                     lost.take().map(|step| follower.follow(step, now_ms));
                 }
-                Happening::Ask => ask(&mut leader, &mut follower, now_ms),
+                Happening::Exchange => exchange_revisions(&mut leader, &mut follower, now_ms),
             }
             if follower.mark == leader.mark {
                 prop_assert_eq!(follower.rows(), leader.rows());
             }
         }
-        ask(&mut leader, &mut follower, 1000);
+        exchange_revisions(&mut leader, &mut follower, 1000);
         prop_assert_eq!((follower.mark, follower.rows()), (leader.mark, leader.rows()));
     }
 
     #[test]
     fn copies_of_the_roster_end_alike_whatever_is_lost_or_late(
-        told in proptest::collection::vec((0u32..6, any::<bool>(), 0u8..4), 0..80),
+        events in proptest::collection::vec((0u32..6, any::<bool>(), 0u8..4), 0..80),
     ) {
         let (mut roster, mut copy) = (VmRoster::default(), RosterCopy::default());
         let mut late = None;
-        for (at, (id, ready, fate)) in told.into_iter().enumerate() {
+        for (at, (id, ready, fate)) in events.into_iter().enumerate() {
             let now_ms = at as u64 * ROW_KEEP_MS / 4;
             roster.note(row(id, ready), None, Vec::new(), now_ms);
             roster.expire(now_ms);
-            let news = roster.update_since(3, copy.revision);
+            let update = roster.update_since(3, copy.revision);
             match fate {
-                0 => copy.take(news),
-                1 => late = Some(news),
-                2 => drop(late.take().map(|news| copy.take(news))),
+                0 => copy.take(update),
+                1 => late = Some(update),
+                2 => drop(late.take().map(|update| copy.take(update))),
                 _ => {}
             }
         }
--- a/lib/tests/test_zones.rs
+++ b/lib/tests/test_zones.rs
@@ -203,16 +203,17 @@
 fn a_vm_that_has_just_started_or_hears_no_leader_sends_nothing_to_cold_upstreams() {
     let vms = rows(0..2);
     let sends = ColdSends::default();
-    let ask = |fleet: &FleetStanding, now_ms| sends.may_send(UpstreamKey(1), 50.0, fleet, now_ms);
+    let may_send =
+        |fleet: &FleetStanding, now_ms| sends.may_send(UpstreamKey(1), 50.0, fleet, now_ms);
     let now_ms = 60_000;
 
-    assert!(ask(&standing(1, &vms, now_ms), now_ms));
+    assert!(may_send(&standing(1, &vms, now_ms), now_ms));
     let fresh = FleetStanding { first_heard_ms: Some(now_ms - 500), ..standing(1, &vms, now_ms) };
-    assert!(!ask(&fresh, now_ms), "the roster may be incomplete");
+    assert!(!may_send(&fresh, now_ms), "the roster may be incomplete");
     let never = FleetStanding { first_heard_ms: None, ..standing(1, &vms, now_ms) };
-    assert!(!ask(&never, now_ms));
+    assert!(!may_send(&never, now_ms));
     let alone = FleetStanding { heard_ms: now_ms - 2000, ..standing(1, &vms, now_ms) };
-    assert!(!ask(&alone, now_ms), "other VMs may have taken over its share");
+    assert!(!may_send(&alone, now_ms), "other VMs may have taken over its share");
 }
 
 proptest! {
--- a/lib/tests/testutils/keeper_bench.rs
+++ b/lib/tests/testutils/keeper_bench.rs
@@ -436,15 +436,15 @@
     fn propose_order(&mut self, at: usize) {
         let now_ms = self.now_ms;
         for emptied in [self.rng.gen(), self.rng.gen()] {
-            let mut asked = None;
+            let mut proposed = None;
             self.act(at, |driver| {
                 let number = driver.record.zones.last_number("a") + 1;
                 let order = ZoneOrder { zone: "a".to_string(), number, emptied };
                 let (answer, outcome) = driver.order(FleetCommand::Zone(order.clone()), now_ms);
-                asked = Some((order, answer));
+                proposed = Some((order, answer));
                 outcome
             });
-            self.ordering.extend(asked);
+            self.ordering.extend(proposed);
         }
     }
 
@@ -453,14 +453,14 @@
         let now_ms = self.now_ms;
         let draws: [u32; 2] = [self.rng.gen(), self.rng.gen()];
         for draw in draws {
-            let mut asked = None;
+            let mut proposed = None;
             self.act(at, |driver| {
                 let (command, place, phase) = next_command(driver.record.rollouts.row("s"), draw);
                 let (answer, outcome) = driver.order(FleetCommand::Rollout(command), now_ms);
-                asked = Some((place, phase, answer));
+                proposed = Some((place, phase, answer));
                 outcome
             });
-            self.rolling.extend(asked);
+            self.rolling.extend(proposed);
         }
     }
 
--- a/lib/tests/testutils/raft_bench.rs
+++ b/lib/tests/testutils/raft_bench.rs
@@ -269,10 +269,10 @@
         self.proposed += 1;
         let number = self.proposed;
         let payload = EntryPayload::Command(number.to_le_bytes().to_vec());
-        let mut place = None;
-        self.act(at, |core, _, output| place = core.propose(payload, output).ok());
-        if let Some(place) = place {
-            self.waiting_proposals.insert(place, number);
+        let mut position = None;
+        self.act(at, |core, _, output| position = core.propose(payload, output).ok());
+        if let Some(position) = position {
+            self.waiting_proposals.insert(position, number);
             self.note_applied(at);
         }
     }
