--- a/lib/src/coordination/durable_core.rs
+++ b/lib/src/coordination/durable_core.rs
@@ -232,6 +232,7 @@
         };
     }
 
+    /// Queues a job that replaces the whole log by the snapshot and the current entries.
     fn queue_install(&mut self, snapshot: LogSnapshot) {
         let entries = self.core.entries().to_vec();
         self.queue(DiskJob::Install(Box::new(snapshot), self.core.hard_state(), entries));
--- a/lib/src/coordination/list_reader.rs
+++ b/lib/src/coordination/list_reader.rs
@@ -108,15 +108,17 @@
         self.backoff_ms(self.pages, refusals).max(READ_MS)
     }
 
+    /// Returns how long a VM without a leader takes for a number of calls after refusals, in
+    /// milliseconds.
     fn backoff_ms(&self, calls: usize, refusals: u32) -> u64 {
         self.span_ms(calls, LEADERLESS_FRACTION).saturating_mul(1 << refusals.min(MAX_DOUBLINGS))
     }
 
     /// Returns how long a number of calls takes at a fraction of the call limit, in milliseconds. The limit
     /// is taken as at least one call per second.
-    fn span_ms(&self, calls: usize, part: f64) -> u64 {
+    fn span_ms(&self, calls: usize, fraction: f64) -> u64 {
         let rate = if self.calls_per_s >= 1.0 { self.calls_per_s } else { 1.0 };
-        (calls as f64 * 1000.0 / (rate * part)) as u64
+        (calls as f64 * 1000.0 / (rate * fraction)) as u64
     }
 }
 
@@ -143,9 +145,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListAction {
     /// Does nothing, because others send the list.
-    Rest,
+    Wait,
     /// Requests the list from other VMs.
-    Ask,
+    Request,
     /// Reads from the platform, also for the VMs that request the list, and goes on requesting it.
     Read,
 }
@@ -160,7 +162,7 @@
 /// `rank` returns the VM's position in [`reader_order`]. It is called only when the result depends on it.
 pub fn list_action(status: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
     let Some(first_contact_ms) = status.first_contact_ms else {
-        return if status.has_list { ListAction::Rest } else { ListAction::Ask };
+        return if status.has_list { ListAction::Wait } else { ListAction::Request };
     };
     let (since_ms, stale_ms) = match status.has_list {
         // A list that just arrived is confirmed with the next answer of the leader.
@@ -168,11 +170,11 @@
         false => (first_contact_ms, NO_LIST_MS),
     };
     if since_ms + stale_ms >= now_ms {
-        return if status.has_list { ListAction::Rest } else { ListAction::Ask };
+        return if status.has_list { ListAction::Wait } else { ListAction::Request };
     }
     match since_ms + stale_ms + reader_delay_ms(rank()) < now_ms {
         true => ListAction::Read,
-        false => ListAction::Ask,
+        false => ListAction::Request,
     }
 }
 
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -67,6 +67,7 @@
         self.plan_renewal(pause_ms, now_ms)
     }
 
+    /// Plans an early renewal unless one is planned. Returns the milliseconds until it.
     fn plan_renewal(&mut self, pause_ms: u64, now_ms: u64) -> Option<u64> {
         if self.renewal_ms > now_ms {
             return None;
--- a/lib/src/coordination/silence.rs
+++ b/lib/src/coordination/silence.rs
@@ -204,6 +204,7 @@
         self.rows.retain(|upstream, _| known(*upstream));
     }
 
+    /// Clears the table when a new term begins. VMs that still get no answer report again.
     fn begin_term(&mut self, term: u64) {
         if term != self.term {
             *self = SilenceTable { term, ..SilenceTable::default() };
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -187,6 +187,7 @@
         *self = VmRoster::default();
     }
 
+    /// Counts a change of the roster and returns its number.
     fn next_change(&mut self) -> u64 {
         self.change += 1;
         self.change
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -95,7 +95,7 @@
             let vouches = |keeper: &KeeperDriver| keeper.may_vouch(now_ms);
             let term = self.keeper.borrow().as_ref().filter(|k| vouches(k)).map(|k| k.term());
             let action = self.action(term.is_some(), now_ms);
-            if action != ListAction::Rest || self.is_unconfirmed(now_ms) {
+            if action != ListAction::Wait || self.is_unconfirmed(now_ms) {
                 self.ask_news(now_ms);
             }
             let alone = term.is_none() && action == ListAction::Read;
@@ -170,7 +170,7 @@
             }
         };
         match list_action(&standing, now_ms, || self.reader_rank()) {
-            ListAction::Read if leads => ListAction::Ask,
+            ListAction::Read if leads => ListAction::Request,
             action => action,
         }
     }
@@ -331,7 +331,7 @@
             if pause_ms > 0 {
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             }
-            if alone && self.action(false, self.now_ms()) == ListAction::Rest {
+            if alone && self.action(false, self.now_ms()) == ListAction::Wait {
                 return Err(ListFault::Received);
             }
             let tries = if alone { 0 } else { PAGE_TRIES };
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -234,7 +234,7 @@
         stale_ms: STALE_MS,
         has_list,
     };
-    let (rest, asks, reads) = (ListAction::Rest, ListAction::Ask, ListAction::Read);
+    let (waits, requests, reads) = (ListAction::Wait, ListAction::Request, ListAction::Read);
     let step_ms = reader_delay_ms(1);
     let cases = [
         (
@@ -242,15 +242,15 @@
             status(None, 0, false),
             0,
             60_000,
-            asks,
+            requests,
         ),
-        ("it has just started, with a list from its disk", status(None, 0, true), 0, 60_000, rest),
+        ("it has just started, with a list from its disk", status(None, 0, true), 0, 60_000, waits),
         (
             "its leader may still send a list",
             status(Some(100), 300, false),
             0,
             100 + NO_LIST_MS,
-            asks,
+            requests,
         ),
         (
             "its leader sent no list in time",
@@ -259,7 +259,7 @@
             101 + NO_LIST_MS,
             reads,
         ),
-        ("its leader confirms the list", status(Some(100), 9000, true), 0, 9000 + STALE_MS, rest),
+        ("its leader confirms the list", status(Some(100), 9000, true), 0, 9000 + STALE_MS, waits),
         (
             "its list is too old, and it is the first reader",
             status(Some(100), 9000, true),
@@ -272,7 +272,7 @@
             status(Some(100), 9000, true),
             1,
             9001 + STALE_MS,
-            asks,
+            requests,
         ),
         (
             "the first reader sent nothing in time",
@@ -286,7 +286,7 @@
             status(Some(100), 0, true),
             0,
             100 + STALE_MS,
-            rest,
+            waits,
         ),
         ("its list from disk is too old", status(Some(100), 0, true), 0, 101 + STALE_MS, reads),
     ];
@@ -314,12 +314,12 @@
                 has_list: true,
             };
             match list_action(&status, now_ms, || rank) {
-                ListAction::Rest => {}
+                ListAction::Wait => {}
                 ListAction::Read => {
                     readings += 1;
                     confirmed_ms[at] = now_ms;
                 }
-                ListAction::Ask => {
+                ListAction::Request => {
                     let round = ((now_ms - 3000) / 250) as usize;
                     let asked =
                         request_targets(&order, *id, round, (now_ms / 50) as usize * 31 + at);
