--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -1,8 +1,8 @@
 //! The zones to which one VM sends no requests, and the upstreams that may be cold after a zone's return.
 //!
 //! Orders are sent with the leader's grants, and the last received ones stay in effect without a grant:
-//! a VM without contact to a leader does not report itself ready, and if it receives requests anyway, it
-//! sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
+//! a VM without contact to a leader does not report itself ready, and if it receives requests
+//! nevertheless, it sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
 
 use std::collections::BTreeMap;
 
@@ -60,6 +60,6 @@
     /// cold. The VM's list is known to have been the platform's at `confirmed_ms`, and may have been outdated
     /// by `lag_ms` then.
     pub fn may_be_cold(&self, zone: &str, confirmed_ms: u64, lag_ms: u64) -> bool {
-        self.returned_ms.get(zone).is_some_and(|back_ms| confirmed_ms < back_ms + lag_ms)
+        self.returned_ms.get(zone).is_some_and(|returned_ms| confirmed_ms < returned_ms + lag_ms)
     }
 }
