--- a/lib/src/transport/vm_connection.rs
+++ b/lib/src/transport/vm_connection.rs
@@ -3,8 +3,8 @@
 //! An idle connection holds only its socket: the HTTP server and its buffers are created for a run of
 //! requests and freed once the last of them is answered. If the server were kept, each idle connection
 //! would take some 30 KB: a VM with 220 of them and 180 connections to upstreams had 13 MB of heap in use, of
-//! which only 0.6 MB was for anything else (as counted by the allocator, among 63 VMs with faults). See
-//! `docs/design/small-vms.md`.
+//! which only 0.6 MB was for anything else (the allocator's count, sampled each 0.5 s in a fleet of 63 VMs
+//! with faults). See `docs/design/small-vms.md`.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -190,8 +190,8 @@
             if left < MIN_REMAINING_MS {
                 return self.time_out(&count);
             }
-            // A run that has completed needs no further send, and without one no answer would reach the
-            // caller any more.
+            // Once the caller has disconnected nothing more is sent: a request that has run is complete, and
+            // the answer to another send would reach no caller.
             if self.record.has_left() {
                 return self.refuse(&count, "its caller left");
             }
--- a/lib/src/transport/vm_front.rs
+++ b/lib/src/transport/vm_front.rs
@@ -132,7 +132,7 @@
     /// Stops the VM as planned. It leaves the directory at once and still accepts requests for a while. Then
     /// it closes its listeners and completes the requests that it has accepted.
     pub async fn stop(self: Rc<Self>) {
-        info!(target: "node", serving = self.serving.get(), "VM stopping");
+        info!(target: "node", serving = self.serving.get(), "stops");
         let began_ms = self.now_ms();
         self.stopping_ms.set(Some(began_ms));
         self.step_keeper(|keeper, now_ms| keeper.hand_over(now_ms));
@@ -145,7 +145,7 @@
         while is_busy() && self.now_ms() < end_ms {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        info!(target: "node", serving = self.serving.get(), "VM stopped");
+        info!(target: "node", serving = self.serving.get(), "ends");
     }
 }
 
--- a/lib/src/transport/vm_guard.rs
+++ b/lib/src/transport/vm_guard.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Counts an open connection of a caller.
+/// Counts an open connection at one of the VM's listeners.
 pub(super) struct ConnectionGuard(Rc<VmNode>);
 
 impl ConnectionGuard {
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -49,9 +49,9 @@
     ConnectionRefused,
     /// The upstream didn't answer in time, or the connection failed otherwise.
     NoAnswer,
-    /// The upstream's own notices rule out a connection for this purpose now. None was attempted, so this
-    /// says nothing about its health.
-    NotAttempted,
+    /// The upstream's own notices rule out a connection for this purpose now, which is no evidence about its
+    /// health.
+    Disallowed,
 }
 
 /// An upstream to connect to, and the purpose and time of the connection.
@@ -129,7 +129,7 @@
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
     upstreams: Rc<RefCell<HashMap<UpstreamKey, UpstreamConnections>>>,
-    patience: Rc<Cell<ConnectPatience>>,
+    connect_timeout: Rc<Cell<ConnectPatience>>,
     opened: Rc<RefCell<ConnectCount>>,
     notices: Rc<RefCell<NoticeTable>>,
 }
@@ -184,7 +184,7 @@
         let ConnectTarget { upstream, purpose, now_ms, .. } = approach;
         match self.notices.borrow().may_approach(upstream, purpose, now_ms) {
             true => Ok(()),
-            false => Err(ConnectFault::NotAttempted),
+            false => Err(ConnectFault::Disallowed),
         }
     }
 
@@ -215,7 +215,7 @@
             .get(&upstream)
             .map_or(ConnectCause::First, |connections| connections.cause());
         let in_use = InUseGuard::new(self, upstream);
-        let wait = Duration::from_millis(self.patience.get().wait_ms());
+        let wait = Duration::from_millis(self.connect_timeout.get().wait_ms());
         let began = Instant::now();
         let stream = match timeout(wait, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
@@ -224,9 +224,9 @@
             }
             Ok(Err(_)) | Err(_) => return Err(ConnectFault::NoAnswer),
         };
-        let mut patience = self.patience.get();
-        patience.note(began.elapsed().as_secs_f64() * 1000.0);
-        self.patience.set(patience);
+        let mut connect_timeout = self.connect_timeout.get();
+        connect_timeout.note(began.elapsed().as_secs_f64() * 1000.0);
+        self.connect_timeout.set(connect_timeout);
         set_stream(&stream);
         self.opened.borrow_mut().note(cause);
         self.lease(approach, in_use, stream, false).await
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -85,7 +85,7 @@
             match &command {
                 QuarantineCommand::Set(row) => info!(
                     target: "quarantine", request = %row.mark, held = row.held, times = row.times,
-                    ended = row.ended.len(), "quarantine decided",
+                    ended = row.ended.len(), "decides",
                 ),
                 QuarantineCommand::Clear(mark) => {
                     info!(target: "quarantine", request = %mark, "quarantine cleared");
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -80,7 +80,7 @@
                 }
                 Waited::TimedOut => {
                     target.trial.end_failure();
-                    self.note_failure(target.upstream, "no answer before the deadline");
+                    self.note_failure(target.upstream, "silent");
                     return SendResult::NoAnswer(SendOutcome::TimedOut);
                 }
             }
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -31,7 +31,7 @@
             ConnectFault::NoAnswer => {
                 self.note_health_fault(upstream, HealthFault::Unreachable, "cannot be reached");
             }
-            ConnectFault::NotAttempted => {}
+            ConnectFault::Disallowed => {}
         }
     }
 
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -81,7 +81,7 @@
         let now_ms = self.now_ms();
         match fault {
             None => self.silence.borrow_mut().view.reached(upstream),
-            Some(ConnectFault::ConnectionRefused | ConnectFault::NotAttempted) => {}
+            Some(ConnectFault::ConnectionRefused | ConnectFault::Disallowed) => {}
             Some(ConnectFault::NoAnswer) => {
                 {
                     let mut desk = self.silence.borrow_mut();
@@ -166,7 +166,7 @@
         let now_ms = self.now_ms();
         let table = &mut self.silence.borrow_mut().table;
         match fault {
-            Some(ConnectFault::NotAttempted) => table.left_alone(upstream, now_ms),
+            Some(ConnectFault::Disallowed) => table.left_alone(upstream, now_ms),
             // A machine that refuses connections can be reached.
             None | Some(ConnectFault::ConnectionRefused) => {
                 table.tried(upstream, self.id, true, now_ms);
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -25,7 +25,8 @@
 enum RelayEnd {
     /// The body is complete.
     Complete,
-    /// The body broke off, or it ended at a point where the stream can't be complete.
+    /// The body broke off or ended where it can't be complete, its upstream is unresponsive, or an event is
+    /// too long.
     Broken,
     /// The deadline has passed.
     TimedOut,
@@ -150,7 +151,7 @@
     }
 
     /// Sends the request to another upstream, to continue the stream after the event `after`; `None` if no
-    /// upstream, time or retry is left.
+    /// upstream, time or retry is left, or the route doesn't allow it any more.
     async fn resume(
         &self,
         after: Option<String>,
--- a/lib/tests/test_notices.rs
+++ b/lib/tests/test_notices.rs
@@ -277,7 +277,7 @@
         ];
         let more = tokio::time::timeout(Duration::from_millis(50), listener.accept()).await;
 
-        assert_eq!(refused, [Some(ConnectFault::NotAttempted); 2]);
+        assert_eq!(refused, [Some(ConnectFault::Disallowed); 2]);
         assert!(more.is_err(), "nothing comes");
         assert!(pool.take(approach(address, Request, 1000)).await.is_ok(), "the rest is over");
         drop(accepted);
@@ -294,7 +294,7 @@
         let sent = pool.connect(approach(address, Request, DRAIN_MS)).await.err();
         let tried = pool.connect(approach(address, Trial, DRAIN_MS)).await.err();
 
-        assert_eq!((sent, tried), (Some(ConnectFault::NotAttempted), None));
+        assert_eq!((sent, tried), (Some(ConnectFault::Disallowed), None));
     });
 }
 
@@ -308,6 +308,6 @@
         // The connection isn't up when it is first polled.
         let (connected, ()) = tokio::join!(pool.connect(approach(address, Request, 0)), asks);
 
-        assert_eq!(connected.err(), Some(ConnectFault::NotAttempted));
+        assert_eq!(connected.err(), Some(ConnectFault::Disallowed));
     });
 }
