--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -22,7 +22,7 @@
 /// from the mean of all engines.
 const WITHHELD_OVERLOAD_SHARE: f64 = 0.1;
 /// The maximum age of a grant, in milliseconds, at which its list of upstreams that fail at all VMs is
-/// still followed. With an older list no VM would try these upstreams again.
+/// still followed. An older list would keep every VM from trying these upstreams again.
 const FAILING_MAX_AGE_MS: u64 = 1000;
 /// The maximum number of engines, first in a prompt's rendezvous order, that the prompt is sent to while
 /// the service is overloaded. Each further engine would compute or fetch the shared parts of the prompt
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -169,19 +169,19 @@
 
 impl ConnectionPool {
     /// Returns an idle connection to the upstream, or opens a new one.
-    pub async fn take(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
-        self.check_allowed(approach)?;
-        match self.pop(approach.upstream, approach.now_ms) {
+    pub async fn take(&self, destination: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
+        self.check_allowed(destination)?;
+        match self.pop(destination.upstream, destination.now_ms) {
             Some(stream) => {
-                let in_use = InUseGuard::new(self, approach.upstream);
-                self.lease(approach, in_use, stream, true).await
+                let in_use = InUseGuard::new(self, destination.upstream);
+                self.lease(destination, in_use, stream, true).await
             }
-            None => self.connect(approach).await,
+            None => self.connect(destination).await,
         }
     }
 
-    fn check_allowed(&self, approach: ConnectTarget) -> Result<(), ConnectFault> {
-        let ConnectTarget { upstream, purpose, now_ms, .. } = approach;
+    fn check_allowed(&self, destination: ConnectTarget) -> Result<(), ConnectFault> {
+        let ConnectTarget { upstream, purpose, now_ms, .. } = destination;
         match self.notices.borrow().may_approach(upstream, purpose, now_ms) {
             true => Ok(()),
             false => Err(ConnectFault::Disallowed),
@@ -190,13 +190,13 @@
 
     async fn lease(
         &self,
-        approach: ConnectTarget,
+        destination: ConnectTarget,
         in_use: InUseGuard,
         stream: TcpStream,
         reused: bool,
     ) -> Result<ConnectionLease, ConnectFault> {
         let lease = lease(in_use, stream, reused).await?;
-        self.check_allowed(approach)?;
+        self.check_allowed(destination)?;
         Ok(lease)
     }
 
@@ -206,9 +206,12 @@
 
     /// Opens a new connection to the upstream. The attempt is abandoned after a multiple of the usual
     /// connect time: nothing was sent yet, so the request can still go to another upstream.
-    pub async fn connect(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
-        self.check_allowed(approach)?;
-        let ConnectTarget { upstream, address, .. } = approach;
+    pub async fn connect(
+        &self,
+        destination: ConnectTarget,
+    ) -> Result<ConnectionLease, ConnectFault> {
+        self.check_allowed(destination)?;
+        let ConnectTarget { upstream, address, .. } = destination;
         let cause = self
             .upstreams
             .borrow()
@@ -229,7 +232,7 @@
         self.connect_timeout.set(connect_timeout);
         set_stream(&stream);
         self.opened.borrow_mut().note(cause);
-        self.lease(approach, in_use, stream, false).await
+        self.lease(destination, in_use, stream, false).await
     }
 
     /// Closes idle connections that have expired, and all idle connections to upstreams that are not
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -34,15 +34,15 @@
         let pool = &self.node.pool;
         let mut fresh = false;
         for _ in 0..MAX_CONNECTION_TRIES {
-            let approach = ConnectTarget {
+            let destination = ConnectTarget {
                 upstream: target.upstream,
                 address: target.address,
                 purpose: ApproachPurpose::Request,
                 now_ms: self.node.now_ms(),
             };
             let lease = match fresh {
-                true => pool.connect(approach).await,
-                false => pool.take(approach).await,
+                true => pool.connect(destination).await,
+                false => pool.take(destination).await,
             };
             let mut lease = match lease {
                 Ok(lease) => lease,
