--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -49,9 +49,9 @@
     ConnectionRefused,
     /// The upstream didn't answer in time, or the connection failed otherwise.
     NoAnswer,
-    /// The upstream's own notices rule out a connection for this purpose now. None was attempted, so this
-    /// says nothing about its health.
-    NotAttempted,
+    /// The upstream's own notices rule out a connection for this purpose now, which is no evidence about its
+    /// health.
+    Disallowed,
 }
 
 /// An upstream to connect to, and the purpose and time of the connection.
@@ -129,7 +129,7 @@
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
     upstreams: Rc<RefCell<HashMap<UpstreamKey, UpstreamConnections>>>,
-    patience: Rc<Cell<ConnectTimeout>>,
+    connect_timeout: Rc<Cell<ConnectTimeout>>,
     opened: Rc<RefCell<ConnectCount>>,
     notices: Rc<RefCell<NoticeTable>>,
 }
@@ -169,34 +169,34 @@
 
 impl ConnectionPool {
     /// Returns an idle connection to the upstream, or opens a new one.
-    pub async fn take(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
-        self.check_allowed(approach)?;
-        match self.pop(approach.upstream, approach.now_ms) {
+    pub async fn take(&self, destination: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
+        self.check_allowed(destination)?;
+        match self.pop(destination.upstream, destination.now_ms) {
             Some(stream) => {
-                let in_use = InUseGuard::new(self, approach.upstream);
-                self.lease(approach, in_use, stream, true).await
+                let in_use = InUseGuard::new(self, destination.upstream);
+                self.lease(destination, in_use, stream, true).await
             }
-            None => self.connect(approach).await,
+            None => self.connect(destination).await,
         }
     }
 
-    fn check_allowed(&self, approach: ConnectTarget) -> Result<(), ConnectFault> {
-        let ConnectTarget { upstream, purpose, now_ms, .. } = approach;
+    fn check_allowed(&self, destination: ConnectTarget) -> Result<(), ConnectFault> {
+        let ConnectTarget { upstream, purpose, now_ms, .. } = destination;
         match self.notices.borrow().may_approach(upstream, purpose, now_ms) {
             true => Ok(()),
-            false => Err(ConnectFault::NotAttempted),
+            false => Err(ConnectFault::Disallowed),
         }
     }
 
     async fn lease(
         &self,
-        approach: ConnectTarget,
+        destination: ConnectTarget,
         in_use: InUseGuard,
         stream: TcpStream,
         reused: bool,
     ) -> Result<ConnectionLease, ConnectFault> {
         let lease = lease(in_use, stream, reused).await?;
-        self.check_allowed(approach)?;
+        self.check_allowed(destination)?;
         Ok(lease)
     }
 
@@ -206,16 +206,19 @@
 
     /// Opens a new connection to the upstream. The attempt is abandoned after a multiple of the usual
     /// connect time: nothing was sent yet, so the request can still go to another upstream.
-    pub async fn connect(&self, approach: ConnectTarget) -> Result<ConnectionLease, ConnectFault> {
-        self.check_allowed(approach)?;
-        let ConnectTarget { upstream, address, .. } = approach;
+    pub async fn connect(
+        &self,
+        destination: ConnectTarget,
+    ) -> Result<ConnectionLease, ConnectFault> {
+        self.check_allowed(destination)?;
+        let ConnectTarget { upstream, address, .. } = destination;
         let cause = self
             .upstreams
             .borrow()
             .get(&upstream)
             .map_or(ConnectCause::First, |connections| connections.cause());
         let in_use = InUseGuard::new(self, upstream);
-        let wait = Duration::from_millis(self.patience.get().wait_ms());
+        let wait = Duration::from_millis(self.connect_timeout.get().wait_ms());
         let began = Instant::now();
         let stream = match timeout(wait, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
@@ -224,12 +227,12 @@
             }
             Ok(Err(_)) | Err(_) => return Err(ConnectFault::NoAnswer),
         };
-        let mut patience = self.patience.get();
-        patience.note(began.elapsed().as_secs_f64() * 1000.0);
-        self.patience.set(patience);
+        let mut connect_timeout = self.connect_timeout.get();
+        connect_timeout.note(began.elapsed().as_secs_f64() * 1000.0);
+        self.connect_timeout.set(connect_timeout);
         set_stream(&stream);
         self.opened.borrow_mut().note(cause);
-        self.lease(approach, in_use, stream, false).await
+        self.lease(destination, in_use, stream, false).await
     }
 
     /// Closes idle connections that have expired, and all idle connections to upstreams that are not
