--- a/lib/tests/test_explaining.rs
+++ b/lib/tests/test_explaining.rs
@@ -1,4 +1,5 @@
-//! What a failure can be explained from: bounded logs, figures, and the story told from logs.
+//! Tests what operators can explain failures from: bounded logs, metrics, and the log lines
+//! collected for a request.
 
 use std::path::Path;
 
@@ -11,8 +12,8 @@
 use wingshed_lib::state::vm_figures::{RequestEnd, VmFigures, MOST_WORKSPACES, OTHER_WORKSPACES};
 use wingshed_lib::transport::vm_metrics::FIGURES;
 
-fn count(verdicts: &[LineVerdict], wanted: fn(&LineVerdict) -> bool) -> usize {
-    verdicts.iter().filter(|verdict| wanted(verdict)).count()
+fn count(verdicts: &[LineVerdict], matches: fn(&LineVerdict) -> bool) -> usize {
+    verdicts.iter().filter(|verdict| matches(verdict)).count()
 }
 
 #[test]
@@ -26,7 +27,7 @@
     let written = |verdict: &LineVerdict| matches!(verdict, LineVerdict::Write { .. });
     assert_eq!(count(&many, written), LINES_A_PLACE as usize);
     assert_eq!(count(&many, |verdict| *verdict == LineVerdict::Fold), 30);
-    assert_eq!(other, LineVerdict::Write { folded: 0, dropped: 0 }, "another cause is told");
+    assert_eq!(other, LineVerdict::Write { folded: 0, dropped: 0 }, "another cause is written");
     assert_eq!(next, LineVerdict::Write { folded: 30, dropped: 0 });
 }
 
@@ -69,13 +70,13 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/operators/metrics.md");
     let page = std::fs::read_to_string(path).unwrap();
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
-    let told: Vec<Vec<&str>> = rows
+    let listed: Vec<Vec<&str>> = rows
         .map(|row| row.split('|').map(|cell| cell.trim().trim_matches('`')).collect())
         .collect();
 
     let code: Vec<Vec<&str>> =
-        FIGURES.iter().map(|(name, kind, tells)| vec![*name, *kind, *tells, ""]).collect();
-    assert_eq!(told, code);
+        FIGURES.iter().map(|(name, kind, help)| vec![*name, *kind, *help, ""]).collect();
+    assert_eq!(listed, code);
 }
 
 const LOG: &str = r#"
@@ -99,8 +100,8 @@
 fn the_story_of_a_request_names_beliefs_and_what_others_saw() {
     let story = request_story(&log(), "x1");
 
-    let told: Vec<(StoryReason, f64)> =
-        story.iter().map(|told| (told.reason, told.line.at_s)).collect();
+    let listed: Vec<(StoryReason, f64)> =
+        story.iter().map(|listed| (listed.reason, listed.line.at_s)).collect();
     let expected = [
         (StoryReason::VmState, -1.0),
         (StoryReason::SameUpstream, 4.0),
@@ -108,8 +109,8 @@
         (StoryReason::Request, 5.0),
         (StoryReason::Request, 5.001),
     ];
-    assert_eq!(told, expected);
-    assert!(request_story(&log(), "x9").is_empty(), "nobody names it");
+    assert_eq!(listed, expected);
+    assert!(request_story(&log(), "x9").is_empty(), "no line has it");
 }
 
 const TRIAL_LOG: &str = r#"
@@ -127,11 +128,11 @@
 
     let story = request_story(&lines, "x1");
 
-    let told: Vec<(StoryReason, f64)> =
-        story.iter().map(|told| (told.reason, told.line.at_s)).collect();
+    let listed: Vec<(StoryReason, f64)> =
+        story.iter().map(|listed| (listed.reason, listed.line.at_s)).collect();
     let expected =
         [(StoryReason::VmState, 1.0), (StoryReason::Request, 9.0), (StoryReason::SameVm, 9.2)];
-    assert_eq!(told, expected, "the order's own lines, what came of it, nothing of x2 and s2");
+    assert_eq!(listed, expected, "the order's lines and its outcome, without those of x2 and s2");
 }
 
 #[test]
@@ -141,7 +142,7 @@
 
     let story = span_story(&lines, 4.0, 5.0);
 
-    let times: Vec<f64> = story.iter().map(|told| told.line.at_s).collect();
+    let times: Vec<f64> = story.iter().map(|listed| listed.line.at_s).collect();
     assert_eq!(times, [4.0, 4.5, 5.0]);
 }
 
--- a/lib/tests/test_replay.rs
+++ b/lib/tests/test_replay.rs
@@ -1,4 +1,4 @@
-//! Traces replayed against the outcomes that they state.
+//! Replays traces and checks their expectations.
 
 use wingshed_lib::coordination::placement::BEST_RULE;
 use wingshed_lib::coordination::replay::{replay, ReplayRule};
@@ -12,33 +12,33 @@
     make_trace(&TraceMake { minutes, ..TraceMake::today(TraceDeployment::Hotare, case) })
 }
 
-/// Mostly start-up: enough for what holds at any time.
+/// A trace that covers mostly the start-up, which is enough for properties that hold at any time.
 fn short_trace(case: TraceCase) -> Trace {
     trace_of(case, 3)
 }
 
-fn keeps_what_it_states(case: TraceCase) {
-    // The aim for the quiet case is one of a fleet that has run for a while.
+fn assert_expectations_met(case: TraceCase) {
+    // The expectation for the quiet case applies to a fleet that has run for a while.
     let minutes = if case == TraceCase::Quiet { 10 } else { 3 };
     let trace = trace_of(case, minutes);
 
     let ours = replay(&trace, HOME, 1);
     let best = replay(&trace, ReplayRule::ExactReuse, 1);
 
-    let missed = ours.check(&trace.expectations, best.reuse());
-    assert!(missed.is_empty(), "{}: {missed:?}", case.name());
-    assert!(ours.returning > 1000, "{}: the trace shows something", case.name());
+    let unmet = ours.check(&trace.expectations, best.reuse());
+    assert!(unmet.is_empty(), "{}: {unmet:?}", case.name());
+    assert!(ours.returning > 1000, "{}: the trace has enough returning requests", case.name());
 }
 
 #[test]
 fn every_case_of_churn_but_one_keeps_the_bound_and_the_reuse() {
     let cases = TraceCase::ALL.into_iter().filter(|case| *case != TraceCase::FlappingLate);
-    cases.for_each(keeps_what_it_states);
+    cases.for_each(assert_expectations_met);
 }
 
 #[test]
 fn flapping_engines_with_late_events_keep_the_bound_and_the_reuse() {
-    keeps_what_it_states(TraceCase::FlappingLate);
+    assert_expectations_met(TraceCase::FlappingLate);
 }
 
 #[test]
@@ -68,11 +68,11 @@
 #[test]
 fn a_replay_gives_the_same_outcome_each_time() {
     let trace = short_trace(TraceCase::FlappingLate);
-    let figures = || {
+    let run = || {
         let outcome = replay(&trace, HOME, 3);
         (outcome.reused, outcome.admissions, outcome.queued, outcome.hops, outcome.samples)
     };
-    assert_eq!(figures(), figures());
+    assert_eq!(run(), run());
 }
 
 #[test]
--- a/lib/tests/test_rollout_evidence.rs
+++ b/lib/tests/test_rollout_evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence of roll-outs: how it is counted and summed, and what is made of it.
+//! Tests the evidence of roll-outs: how it is counted and summed, and which verdicts follow from
+//! it.
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::rollout_evidence::{
@@ -10,66 +11,69 @@
 };
 
 const ROUTE: RouteKey = RouteKey(1);
-const LOOK_MS: u64 = 100;
-/// Sixteen such rows fit into a datagram of 2,000 bytes, whatever they count.
-const MOST_ROW_BYTES: usize = 112;
+const EVALUATE_MS: u64 = 100;
+/// The maximum encoded size of a row, so that sixteen rows fit into a datagram of 2,000 bytes,
+/// whatever they count.
+const MAX_ROW_BYTES: usize = 112;
 
 fn well(pace_ms: f64) -> TrialOutcome {
     TrialOutcome::Well { pace_ms: Some(pace_ms), first_ms: None }
 }
 
-/// What a VM does or what becomes of what it tells.
+/// An event at a VM: a request that ends, a report that is delivered, lost or delayed, or a
+/// restart.
 #[derive(Clone, Debug)]
-enum Happening {
-    Sends(u32, bool, bool),
-    Tells { lost: bool, late: bool },
-    Restarts,
+enum VmEvent {
+    Request(u32, bool, bool),
+    Reports { lost: bool, late: bool },
+    Restart,
 }
 
-fn happenings() -> impl Strategy<Value = Vec<(u32, Happening)>> {
+fn vm_events() -> impl Strategy<Value = Vec<(u32, VmEvent)>> {
     let one = prop_oneof![
         6 => (1u32..5, any::<bool>(), any::<bool>())
-            .prop_map(|(route, target, bad)| Happening::Sends(route, target, bad)),
+            .prop_map(|(route, target, bad)| VmEvent::Request(route, target, bad)),
         3 => (any::<bool>(), any::<bool>())
-            .prop_map(|(lost, late)| Happening::Tells { lost, late }),
-        1 => Just(Happening::Restarts),
+            .prop_map(|(lost, late)| VmEvent::Reports { lost, late }),
+        1 => Just(VmEvent::Restart),
     ];
     proptest::collection::vec((0u32..4, one), 0..200)
 }
 
-type Told = (u32, u64, Vec<RouteSums>);
+type Report = (u32, u64, Vec<RouteSums>);
 
-/// Plays what happens; returns what the leader ends with, and the counts that it should have.
-fn play(happenings: Vec<(u32, Happening)>) -> (EvidenceTable, u64, u32) {
+/// Runs the events, and returns the leader's table with the expected number of all requests and of
+/// failures of the target.
+fn run_events(events: Vec<(u32, VmEvent)>) -> (EvidenceTable, u64, u32) {
     let mut table = EvidenceTable::default();
     let mut vms: Vec<(u64, EvidenceLedger)> = (0..4).map(|_| (1, EvidenceLedger::new(1))).collect();
-    let mut delayed: Vec<Told> = Vec::new();
+    let mut delayed: Vec<Report> = Vec::new();
     let (mut all, mut bad_answers) = (0, 0);
-    for (vm, happening) in happenings {
-        let (life, ledger) = &mut vms[vm as usize];
-        match happening {
-            Happening::Sends(route, target, bad) => {
+    for (vm, event) in events {
+        let (incarnation, ledger) = &mut vms[vm as usize];
+        match event {
+            VmEvent::Request(route, target, bad) => {
                 let arm = if target { RolloutArm::Target } else { RolloutArm::Base };
                 let outcome = if bad { TrialOutcome::Bad } else { well(50.0) };
                 ledger.note(RouteKey(route), arm, &outcome);
                 all += 1;
                 bad_answers += u32::from(target && bad);
             }
-            Happening::Tells { lost: true, .. } => {}
-            Happening::Tells { late: true, .. } => delayed.push((vm, *life, ledger.rows())),
-            Happening::Tells { .. } => table.take(vm, *life, ledger.rows()),
-            Happening::Restarts => {
-                // What it told last before it ends is heard.
-                table.take(vm, *life, ledger.rows());
-                (*life, *ledger) = (*life + 1, EvidenceLedger::new(1));
+            VmEvent::Reports { lost: true, .. } => {}
+            VmEvent::Reports { late: true, .. } => delayed.push((vm, *incarnation, ledger.rows())),
+            VmEvent::Reports { .. } => table.take(vm, *incarnation, ledger.rows()),
+            VmEvent::Restart => {
+                // The last report before the restart is delivered.
+                table.take(vm, *incarnation, ledger.rows());
+                (*incarnation, *ledger) = (*incarnation + 1, EvidenceLedger::new(1));
             }
         }
     }
-    for (vm, (life, ledger)) in vms.iter().enumerate() {
-        table.take(vm as u32, *life, ledger.rows());
+    for (vm, (incarnation, ledger)) in vms.iter().enumerate() {
+        table.take(vm as u32, *incarnation, ledger.rows());
     }
-    for (vm, life, rows) in delayed.into_iter().rev() {
-        table.take(vm, life, rows);
+    for (vm, incarnation, rows) in delayed.into_iter().rev() {
+        table.take(vm, incarnation, rows);
     }
     (table, all, bad_answers)
 }
@@ -81,8 +85,8 @@
     })]
 
     #[test]
-    fn whatever_is_lost_or_late_each_send_counts_once(happenings in happenings()) {
-        let (table, all, bad_answers) = play(happenings);
+    fn whatever_is_lost_or_late_each_send_counts_once(events in vm_events()) {
+        let (table, all, bad_answers) = run_events(events);
 
         let sums = table.sums();
 
@@ -123,7 +127,7 @@
 
         let bytes = rmp_serde::to_vec(&row).unwrap();
 
-        prop_assert!(bytes.len() <= MOST_ROW_BYTES, "{}", bytes.len());
+        prop_assert!(bytes.len() <= MAX_ROW_BYTES, "{}", bytes.len());
         prop_assert_eq!(rmp_serde::from_slice::<RouteSums>(&bytes).unwrap(), row);
     }
 }
@@ -139,9 +143,9 @@
 
     let rows = ledger.rows();
 
-    let told: Vec<u32> = rows.iter().map(|row| row.route.0).collect();
+    let reported: Vec<u32> = rows.iter().map(|row| row.route.0).collect();
     let most: Vec<u32> = (0..40).rev().take(MAX_REPORTED_ROUTES).collect();
-    assert_eq!(told, most);
+    assert_eq!(reported, most);
 }
 
 #[test]
@@ -171,10 +175,14 @@
 
     let target = ledger.rows()[0].target;
 
-    assert_eq!((target.compared, target.late), (2, 1), "the first came before anything was known");
+    assert_eq!(
+        (target.compared, target.late),
+        (2, 1),
+        "the first came before the typical pace was known"
+    );
 }
 
-/// What one route gives each side in 100 ms.
+/// What one route adds to each side in 100 ms: successes, failures and the pace of the successes.
 #[derive(Clone, Copy)]
 struct Flow {
     base: (u32, u32),
@@ -183,7 +191,7 @@
     target_ms: f64,
 }
 
-/// Flows on all routes one after the other, each for a number of looks.
+/// Consecutive flows on all routes, each with the number of 100 ms steps that it lasts.
 type FlowList<'a> = &'a [(&'a [Flow], u64)];
 
 const SOUND: Flow = Flow { base: (46, 0), target: (4, 0), base_ms: 80.0, target_ms: 80.0 };
@@ -191,7 +199,7 @@
 fn add(arm: &mut ArmSums, (well, bad): (u32, u32), pace_ms: f64) {
     arm.well += well;
     arm.bad += bad;
-    // Half are 1.6 times as long, half that much shorter.
+    // Half of the answers take 1.6 times as long, the other half 1.6 times shorter.
     for at in 0..well {
         let log = (pace_ms * if at % 2 == 0 { 1.6 } else { 0.625 }).ln() as f32;
         arm.pace.count += 1;
@@ -200,24 +208,24 @@
     }
 }
 
-/// Looks at flows; when it was found and what.
-fn judged(flows: FlowList) -> Option<(u64, UnsoundFinding)> {
-    judged_and_rather(flows).0
+/// Evaluates the flows, and returns the first finding with its time.
+fn first_finding(flows: FlowList) -> Option<(u64, UnsoundFinding)> {
+    evaluate(flows).0
 }
 
-/// Whether the target is rather unsound, when nothing was found.
-fn is_rather_unsound(flows: FlowList) -> bool {
-    let (found, rather) = judged_and_rather(flows);
+/// Returns whether the target is likely unsound although there is no finding.
+fn is_likely_unsound(flows: FlowList) -> bool {
+    let (found, likely_unsound) = evaluate(flows);
     assert_eq!(found, None);
-    rather
+    likely_unsound
 }
 
-fn judged_and_rather(flows: FlowList) -> (Option<(u64, UnsoundFinding)>, bool) {
+fn evaluate(flows: FlowList) -> (Option<(u64, UnsoundFinding)>, bool) {
     let mut verdict = VerdictState::default();
     let mut rows: Vec<RouteSums> = Vec::new();
-    let mut look = 0;
-    for (routes, looks) in flows {
-        for _ in 0..*looks {
+    let mut step = 0;
+    for (routes, steps) in flows {
+        for _ in 0..*steps {
             for (at, flow) in routes.iter().enumerate() {
                 if rows.len() <= at {
                     let route = RouteKey(at as u32 + 1);
@@ -226,10 +234,10 @@
                 add(&mut rows[at].base, flow.base, flow.base_ms);
                 add(&mut rows[at].target, flow.target, flow.target_ms);
             }
-            if let Some(finding) = verdict.judge(&rows, look * LOOK_MS) {
-                return (Some((look * LOOK_MS, finding)), true);
+            if let Some(finding) = verdict.judge(&rows, step * EVALUATE_MS) {
+                return (Some((step * EVALUATE_MS, finding)), true);
             }
-            look += 1;
+            step += 1;
         }
     }
     (None, verdict.likely_unsound(&rows).is_some())
@@ -246,7 +254,7 @@
         ("a start in a burst", &[(&[slow], 20), (&[SOUND], 100)]),
     ];
     for (case, flows) in cases {
-        assert_eq!(judged(flows), None, "{case}");
+        assert_eq!(first_finding(flows), None, "{case}");
     }
 }
 
@@ -261,7 +269,8 @@
         ("slow late", &[(&[SOUND], 150), (&[slow], 100)], UnsoundSignal::Slow, 19_000),
     ];
     for (case, flows, signal, by_ms) in cases {
-        let (found_ms, finding) = judged(flows).unwrap_or_else(|| panic!("{case}: not found"));
+        let (found_ms, finding) =
+            first_finding(flows).unwrap_or_else(|| panic!("{case}: not found"));
 
         assert_eq!(finding.signal, signal, "{case}");
         assert!(found_ms <= by_ms, "{case}: {found_ms}");
@@ -274,12 +283,12 @@
         let mut row = RouteSums { route: ROUTE, ..RouteSums::default() };
         let mut verdict = VerdictState::default();
         let mut finding = None;
-        for look in 0..150 {
+        for step in 0..150 {
             (row.base.well, row.base.compared) = (row.base.well + 40, row.base.compared + 40);
             (row.target.well, row.target.compared) = (row.target.well + 4, row.target.compared + 4);
             row.base.late += base_late;
             row.target.late += 1;
-            finding = finding.or(verdict.judge(&[row], look * LOOK_MS));
+            finding = finding.or(verdict.judge(&[row], step * EVALUATE_MS));
         }
 
         let signal = finding.as_ref().map(|finding| finding.signal);
@@ -293,9 +302,9 @@
     let mut routes = [SOUND; 10];
     routes[3] = Flow { target: (1, 3), ..SOUND };
 
-    let (_, finding) = judged(&[(&routes, 200)]).unwrap();
+    let (_, finding) = first_finding(&[(&routes, 200)]).unwrap();
 
-    // It may show on all together first; then no route is named.
+    // All routes together may show it first; then no route is named.
     assert!(finding.route.is_none_or(|route| route == RouteKey(4)), "{finding}");
     assert!(finding.to_string().starts_with("fails more"), "{finding}");
 }
@@ -304,19 +313,19 @@
 fn one_upstream_that_breaks_all_it_runs_at_once_decides_nothing() {
     let crash = Flow { target: (0, 20), ..SOUND };
 
-    let found = judged(&[(&[SOUND], 50), (&[crash], 1), (&[SOUND], 50)]);
+    let found = first_finding(&[(&[SOUND], 50), (&[crash], 1), (&[SOUND], 50)]);
 
     assert_eq!(found, None);
 }
 
 #[test]
 fn what_is_no_proof_may_still_be_rather_that_of_an_unsound_target() {
-    // Ten answers of the old version to one of the target, as in a trial of a quiet service.
+    // Ten answers of the old version for each one of the target, as in a trial of a quiet service.
     let quiet = Flow { base: (1, 0), target: (0, 0), ..SOUND };
     let well = Flow { target: (1, 0), ..quiet };
     let bad = Flow { target: (0, 1), ..quiet };
     let slow = Flow { target_ms: 170.0, ..well };
-    // Ten answers of the target in ten seconds, the last ones other than the first.
+    // Ten answers of the target in ten seconds; the last ones are replaced by `last`.
     let trial = |last: &[Flow]| -> Vec<Flow> {
         let all = [well; 10].into_iter().take(10 - last.len()).chain(last.iter().copied());
         all.flat_map(|one| std::iter::repeat_n(quiet, 9).chain([one])).collect()
@@ -327,11 +336,11 @@
         ("three of ten bad", vec![bad, well, well, bad, well, bad, well], true),
         ("eight of ten twice as long", vec![slow; 8], true),
     ];
-    for (case, last, rather) in cases {
-        let looks: Vec<[Flow; 1]> = trial(&last).into_iter().map(|flow| [flow]).collect();
-        let flows: Vec<(&[Flow], u64)> = looks.iter().map(|flow| (flow.as_slice(), 1)).collect();
+    for (case, last, likely_unsound) in cases {
+        let steps: Vec<[Flow; 1]> = trial(&last).into_iter().map(|flow| [flow]).collect();
+        let flows: Vec<(&[Flow], u64)> = steps.iter().map(|flow| (flow.as_slice(), 1)).collect();
 
-        assert_eq!(is_rather_unsound(&flows), rather, "{case}");
+        assert_eq!(is_likely_unsound(&flows), likely_unsound, "{case}");
     }
 }
 
@@ -340,9 +349,9 @@
     let crash = Flow { target: (0, 20), ..SOUND };
     let fails_both = Flow { base: (30, 16), target: (3, 2), ..SOUND };
 
-    assert!(!is_rather_unsound(&[(&[SOUND], 50), (&[crash], 1), (&[SOUND], 30)]));
-    assert!(!is_rather_unsound(&[(&[SOUND], 50), (&[fails_both], 30)]), "both sides alike");
-    assert!(!is_rather_unsound(&[(&[SOUND], 300)]));
+    assert!(!is_likely_unsound(&[(&[SOUND], 50), (&[crash], 1), (&[SOUND], 30)]));
+    assert!(!is_likely_unsound(&[(&[SOUND], 50), (&[fails_both], 30)]), "both sides alike");
+    assert!(!is_likely_unsound(&[(&[SOUND], 300)]));
 }
 
 #[test]
@@ -357,7 +366,7 @@
         ("fails", fails, true),
         ("slow", slow, true),
     ] {
-        let finding = judged(&[(&[SOUND], 50), (&[moved], 10), (&[flow], 40)]);
+        let finding = first_finding(&[(&[SOUND], 50), (&[moved], 10), (&[flow], 40)]);
 
         assert_eq!(finding.is_some(), found, "{case}: {finding:?}");
     }
@@ -369,13 +378,13 @@
     let mut rows = [RouteSums { route: ROUTE, ..RouteSums::default() }];
     let mut verdict = VerdictState::default();
     let mut found_ms = None;
-    for look in 0..100u64 {
+    for step in 0..100u64 {
         add(&mut rows[0].base, fails.base, fails.base_ms);
         add(&mut rows[0].target, fails.target, fails.target_ms);
-        // Nobody looks for the first 3 s.
-        let looks = look >= 30 && found_ms.is_none();
-        if looks && verdict.judge(&rows, look * LOOK_MS).is_some() {
-            found_ms = Some(look * LOOK_MS);
+        // The leader doesn't evaluate the evidence in the first 3 s.
+        let evaluates = step >= 30 && found_ms.is_none();
+        if evaluates && verdict.judge(&rows, step * EVALUATE_MS).is_some() {
+            found_ms = Some(step * EVALUATE_MS);
         }
     }
     assert!(found_ms.is_some_and(|found_ms| found_ms <= 5000), "{found_ms:?}");
--- a/lib/tests/testutils/engines.rs
+++ b/lib/tests/testutils/engines.rs
@@ -1,20 +1,20 @@
-//! Engines as a choice sees them.
+//! Prompts, rules and candidates for tests of the choice of an engine.
 
 use wingshed_lib::coordination::upstream_candidate::UpstreamCandidate;
 use wingshed_lib::coordination::upstream_choice::EngineRules;
 use wingshed_lib::state::ids::UpstreamKey;
 use wingshed_lib::state::prompt_part::PromptPart;
 
-/// A prompt with two shared parts and one of its own.
+/// Returns a prompt with two shared parts and one of its own.
 pub fn prompt() -> Vec<PromptPart> {
     [(1, 2000), (2, 6000), (3, 500)].map(|(id, tokens)| PromptPart { id, tokens }).to_vec()
 }
 
-/// Rules that leave no engine out, with twice the mean and three for a limit.
+/// Rules that exclude no engine, with twice the mean plus three requests as the load limit.
 pub const RULES: EngineRules =
     EngineRules { moves: true, spread: usize::MAX, load_limit: 2.0, part_load: 0.0, draw: 0 };
 
-/// An engine that takes work, with so many requests in flight, seen long ago.
+/// Returns an engine that takes work and was first seen long ago, with `load` requests in flight.
 pub fn candidate(key: u64, load: u32) -> UpstreamCandidate {
     let seat = Some(key);
     UpstreamCandidate { load, seat, first_seen_ms: 1, ..UpstreamCandidate::idle(UpstreamKey(key)) }
--- a/lib/tests/testutils/rollouts.rs
+++ b/lib/tests/testutils/rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders of roll-outs.
+//! Orders of roll-outs for tests.
 
 use wingshed_lib::coordination::rollout_evidence::RouteKey;
 use wingshed_lib::coordination::rollout_share::ExposureBound;
@@ -6,9 +6,9 @@
     RolloutCommand, RolloutOrder, RolloutPhase, RolloutStep, RolloutTable, VersionKey,
 };
 
-/// What a deployment lets an unsound version have.
+/// The bound of the test deployment on requests to an unsound version.
 pub const BOUND: ExposureBound = ExposureBound { share: 0.1, slack: 50.0 };
-/// The route of the tests.
+/// The route that the tests use.
 pub const ROUTE: RouteKey = RouteKey(7);
 
 /// An order of 10 s for `s1`, from `v1` to `v2`.
@@ -17,13 +17,13 @@
     RolloutOrder { service, number, target, duration_ms: 10_000, vms: 4 }
 }
 
-/// One of its steps.
+/// A step of that order.
 pub fn step(number: u64, step: u64, phase: RolloutPhase) -> RolloutStep {
     let (service, retired) = ("s1".to_string(), vec![VersionKey::of("v1")]);
     RolloutStep { service, number, step, phase, spent_ms: 100 * step, retired }
 }
 
-/// A table with one order that went through these phases.
+/// Returns a table with one order that went through these phases.
 pub fn table(phases: &[RolloutPhase]) -> RolloutTable {
     let mut table = RolloutTable::default();
     assert!(table.take(RolloutCommand::Start(order(1))));
