--- a/cli/src/bench_rollout_cost.rs
+++ b/cli/src/bench_rollout_cost.rs
@@ -75,7 +75,7 @@
     for route in 0..routes {
         for arm in [RolloutArm::Base, RolloutArm::Target] {
             let pace_ms = Some(20.0 + (draw * 7 % 13) as f64);
-            let outcome = TrialOutcome::Well { pace_ms, first_ms: pace_ms };
+            let outcome = TrialOutcome::Success { pace_ms, first_ms: pace_ms };
             ledger.note(RouteKey(route + 1), arm, &outcome);
         }
     }
--- a/cli/src/rollout_play.rs
+++ b/cli/src/rollout_play.rs
@@ -279,14 +279,14 @@
         let first_ms = 0.2 * median_ms * slower * (SPREAD * self.draws.normal()).exp();
         let streams = route % 2 == 0;
         let outcome = match self.draws.unit() < failing {
-            true => TrialOutcome::Bad,
-            false => TrialOutcome::Well {
+            true => TrialOutcome::Failure,
+            false => TrialOutcome::Success {
                 pace_ms: (!cold).then_some(if streams { took_ms / STREAM_EVENTS } else { took_ms }),
                 first_ms: (!cold && streams && self.draws.unit() < 0.7).then_some(first_ms),
             },
         };
         let arm = if target { RolloutArm::Target } else { RolloutArm::Base };
-        bad |= target && outcome == TrialOutcome::Bad;
+        bad |= target && outcome == TrialOutcome::Failure;
         (PlayAnswer { vm, route, arm, outcome, bad }, took_ms + first_ms)
     }
 
@@ -301,7 +301,7 @@
             }
         }
         for mut answer in broken {
-            answer.outcome = TrialOutcome::Bad;
+            answer.outcome = TrialOutcome::Failure;
             self.ring[(tick % RING as u64) as usize].push(answer);
         }
     }
--- a/lib/src/coordination/check.rs
+++ b/lib/src/coordination/check.rs
@@ -42,6 +42,7 @@
     })
 }
 
+/// Replaces `source_file` of a policy by the file's content in `source`.
 fn resolve_source(name: &str, policy: &mut Value, files: &FileReader<'_>, list: &mut FindingList) {
     let Some(entry) = policy.as_object_mut() else { return };
     let Some(file) = entry.remove("source_file") else { return };
@@ -57,6 +58,7 @@
     }
 }
 
+/// Adds a finding if the policy's program doesn't compile.
 fn check_policy(name: &str, policy: &Value, list: &mut FindingList) {
     let Some(source) = policy.get("source").and_then(Value::as_str) else { return };
     if let Err(error) = compile_policy(source) {
--- a/lib/src/coordination/log_story.rs
+++ b/lib/src/coordination/log_story.rs
@@ -157,7 +157,8 @@
     in_order(listed.collect())
 }
 
-/// Returns the last line of each of [`STATE_PARTS`] that is too old to be listed as near `before_s`.
+/// Returns the last line of each of [`STATE_PARTS`] that is too old to be listed as near
+/// `before_s`.
 fn state_lines<'a>(lines: &'a [LogLine], vm: &str, before_s: f64) -> Vec<&'a LogLine> {
     let last = |part: &&str| {
         let own = lines.iter().filter(|line| line.vm == vm && line.part == **part);
@@ -191,6 +192,7 @@
     services.into_iter().filter_map(last).collect()
 }
 
+/// Returns the lines closest in time to `to_s`, [`MAX_NEARBY_LINES`] at most.
 fn nearest(mut lines: Vec<&LogLine>, to_s: f64) -> Vec<&LogLine> {
     lines.sort_by(|a, b| (a.at_s - to_s).abs().total_cmp(&(b.at_s - to_s).abs()));
     lines.truncate(MAX_NEARBY_LINES);
--- a/lib/src/coordination/policy.rs
+++ b/lib/src/coordination/policy.rs
@@ -64,6 +64,7 @@
     ast: AST,
 }
 
+/// Returns the script engine with its limits, which all programs share.
 fn engine() -> &'static Engine {
     static ENGINE: OnceLock<Engine> = OnceLock::new();
     ENGINE.get_or_init(|| {
@@ -128,6 +129,7 @@
     }
 }
 
+/// Reads a decision from the map that a program returned. Absent parts get their defaults.
 fn read_decision(map: &Map) -> Result<PolicyDecision, PolicyError> {
     let mut decision = PolicyDecision {
         fleet: String::new(),
@@ -160,6 +162,7 @@
     }
 }
 
+/// Sets `target` if there is a value, and returns whether there was.
 fn set<T>(target: &mut T, value: Option<T>) -> bool {
     match value {
         Some(value) => {
@@ -170,6 +173,7 @@
     }
 }
 
+/// Returns the integer value if it is from 0 to `max`.
 fn bounded_int(value: &Dynamic, max: u64) -> Option<u64> {
     let number = value.as_int().ok()?;
     u64::try_from(number).ok().filter(|number| *number <= max)
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -162,11 +162,13 @@
 
     // ---- time ----
 
+    /// Schedules an event `delay_ms` from now.
     pub(super) fn after(&mut self, delay_ms: u64, event: ScheduledEvent) {
         self.sequence += 1;
         self.scheduled.push(Reverse((self.now_ms + delay_ms, self.sequence, event)));
     }
 
+    /// Handles all scheduled events up to `until_ms`.
     fn advance(&mut self, until_ms: u64) {
         while let Some(Reverse((at, ..))) = self.scheduled.peek() {
             if *at > until_ms {
@@ -194,6 +196,7 @@
         }
     }
 
+    /// Applies an event of the trace.
     fn take(&mut self, event: &TraceEvent) {
         match event {
             TraceEvent::Setup(_) | TraceEvent::Expect(_) => {}
@@ -242,6 +245,7 @@
         }
     }
 
+    /// Returns the actual load of all engines.
     pub(super) fn true_load(&self) -> FleetLoad {
         let live = self.engines.iter().filter(|e| e.status == TraceStatus::Live);
         let work = self.engines.iter().map(|engine| engine.work).sum();
@@ -281,6 +285,7 @@
         Some(reached.unwrap_or(asked))
     }
 
+    /// Returns the information on which a router places a request with this work.
     fn placement_knowledge(&self, router: u32, work: u64) -> PlacementKnowledge<'_> {
         let view = &self.routers[router as usize];
         let own_work = view.homes.fleet_work(FLEET);
@@ -415,6 +420,7 @@
         true
     }
 
+    /// Counts an admission, and whether the engine's actual load was at or above the bound.
     pub(super) fn check_bound(&mut self, engine: u32, work: u64, truth: &FleetLoad) {
         let bound = admission_bound(truth, self.setup.multiple, work);
         let before = self.engines[engine as usize].work as f64;
@@ -425,6 +431,7 @@
         }
     }
 
+    /// Queues a request at a router, for the engine `only` or for any engine.
     fn wait(
         &mut self,
         home: u32,
@@ -457,6 +464,8 @@
         self.dispatch_waiting(home);
     }
 
+    /// Starts the requests in a router's queue for which an engine has capacity, and removes
+    /// expired ones.
     pub(super) fn dispatch_waiting(&mut self, home: u32) {
         let now_ms = self.now_ms;
         for expired in self.routers[home as usize].queue.expire(now_ms) {
@@ -478,6 +487,8 @@
         }
     }
 
+    /// Returns the engines of this home that accept requests, least loaded first; only the engine
+    /// `only` if it is given.
     fn open_engines(&self, home: u32, only: Option<UpstreamKey>) -> Vec<u32> {
         let homed = self.routers[home as usize].homes.homed();
         let open = homed.filter(|(key, slot)| !slot.closed && only.is_none_or(|only| only == *key));
@@ -530,6 +541,7 @@
         self.after(run_ms.max(1), ScheduledEvent::Finish { engine, incarnation, home, work });
     }
 
+    /// Ends a request on an engine and releases its work at the engine's home.
     fn finish(&mut self, engine: u32, incarnation: u64, home: u32, work: u64) {
         let truth = &mut self.engines[engine as usize];
         if truth.incarnation == incarnation {
--- a/lib/src/coordination/replay_alone.rs
+++ b/lib/src/coordination/replay_alone.rs
@@ -11,6 +11,7 @@
 use crate::state::rendezvous::rendezvous_order;
 
 impl ReplayRun<'_> {
+    /// Places a request by a rule without homes, at a random live router.
     pub(super) fn request_alone(&mut self, request: &TraceRequest) {
         let live: Vec<u32> =
             (0..self.setup.routers).filter(|router| self.routers[*router as usize].live).collect();
@@ -37,6 +38,7 @@
         self.start(request, engine, router, work, 0, None);
     }
 
+    /// Chooses one of the `seen` engines by the rule of the replay.
     fn choose_alone(&mut self, router: u32, seen: &[u32], request: &TraceRequest) -> Option<u32> {
         let work = request_work(request.prompt, request.output, 0);
         match self.rule {
@@ -81,6 +83,7 @@
         }
     }
 
+    /// Returns the engine with the lowest actual load.
     fn least_loaded(&self, seen: &[u32]) -> Option<u32> {
         seen.iter().min_by_key(|engine| self.engines[**engine as usize].work).copied()
     }
--- a/lib/src/coordination/replay_outcome.rs
+++ b/lib/src/coordination/replay_outcome.rs
@@ -134,6 +134,9 @@
         }
     }
 
+    /// Counts a started request. `held` is the cached part of its prompt on the engine and `found`
+    /// the same with an import, both in tokens; `anywhere` is set if any engine has its chat
+    /// cached.
     pub(super) fn note_start(
         &mut self,
         request: &TraceRequest,
@@ -164,6 +167,7 @@
         waits.saturating_record(waited_ms);
     }
 
+    /// Adds a sample with the current counts.
     pub(super) fn note_sample(&mut self, sample: ReplaySample) {
         let messages = self.exchanges + self.remote_tries;
         let (returning, reused) = (self.returning, self.reused);
@@ -221,6 +225,7 @@
         expectations.iter().filter_map(|e| self.check_one(e, best_reuse)).collect()
     }
 
+    /// Returns a text if an expectation wasn't met.
     fn check_one(&self, expectation: &TraceExpectation, best_reuse: f64) -> Option<String> {
         let (held, found) = match expectation {
             TraceExpectation::NeverAboveBound => {
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -16,6 +16,7 @@
 impl ReplayRun<'_> {
     // ---- views ----
 
+    /// Rebuilds a router's view of the fleet from the statuses and the roster that it received.
     pub(super) fn renew_view(&mut self, router: u32) {
         let view = &mut self.routers[router as usize];
         let live = (0..self.setup.engines)
@@ -74,6 +75,7 @@
 
     // ---- caches ----
 
+    /// Caches a chat on an engine and reports it, with the evicted chats, as cache events.
     pub(super) fn store(&mut self, engine: u32, chat: u64, tokens: u32) {
         let at = engine as usize;
         let evicted = self.engines[at].store(chat, tokens, self.setup.cache_tokens);
@@ -83,6 +85,8 @@
         }
     }
 
+    /// Schedules the report of a cache event, unless it is one that gets lost. 0 tokens report an
+    /// eviction.
     pub(super) fn cache_event(&mut self, engine: u32, chat: u64, tokens: u32) {
         let at = engine as usize;
         self.event_numbers[at] += 1;
@@ -95,6 +99,7 @@
         self.after(self.setup.event_lag_ms, event);
     }
 
+    /// Applies a cache event at the engine's home, which notes a gap if earlier events are missing.
     pub(super) fn apply_cache_event(
         &mut self,
         engine: u32,
--- a/lib/src/coordination/rollout_evidence.rs
+++ b/lib/src/coordination/rollout_evidence.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrialOutcome {
     /// The answer was successful and complete.
-    Well {
+    Success {
         /// The time between the events of a stream, or the total time of a plain answer, in
         /// milliseconds.
         pace_ms: Option<f64>,
@@ -62,7 +62,7 @@
         first_ms: Option<f64>,
     },
     /// The connection broke, the answer was a failure, or the answer came too late.
-    Bad,
+    Failure,
 }
 
 /// Sums over the natural logarithms of times in milliseconds, from which mean and variance follow.
@@ -107,9 +107,9 @@
     pub well: u32,
     /// The number of failures.
     pub bad: u32,
-    /// The paces of the successful answers; see [`TrialOutcome::Well`].
+    /// The paces of the successful answers; see [`TrialOutcome::Success`].
     pub pace: LogSums,
-    /// The times to the first event; see [`TrialOutcome::Well`].
+    /// The times to the first event; see [`TrialOutcome::Success`].
     pub first: LogSums,
     /// The number of answers that were compared with the typical pace of the other versions on the
     /// route.
@@ -126,12 +126,12 @@
 
     fn note(&mut self, outcome: &TrialOutcome) {
         match outcome {
-            TrialOutcome::Well { pace_ms, first_ms } => {
+            TrialOutcome::Success { pace_ms, first_ms } => {
                 self.well += 1;
                 self.pace.note(*pace_ms);
                 self.first.note(*first_ms);
             }
-            TrialOutcome::Bad => self.bad += 1,
+            TrialOutcome::Failure => self.bad += 1,
         }
     }
 
@@ -199,10 +199,12 @@
     }
 }
 
+/// Returns the natural logarithm of a time in milliseconds.
 fn to_log(value_ms: f64) -> f64 {
     value_ms.max(MIN_TIME_MS).ln()
 }
 
+/// The counts of one route at one VM, with its typical pace.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteRecord {
     sums: RouteSums,
@@ -212,8 +214,8 @@
 impl RouteRecord {
     fn note(&mut self, arm: RolloutArm, outcome: &TrialOutcome) {
         let pace_ms = match outcome {
-            TrialOutcome::Well { pace_ms, .. } => *pace_ms,
-            TrialOutcome::Bad => None,
+            TrialOutcome::Success { pace_ms, .. } => *pace_ms,
+            TrialOutcome::Failure => None,
         };
         let is_late = pace_ms.and_then(|pace_ms| self.typical.is_late(pace_ms));
         let sums = match arm {
@@ -323,6 +325,7 @@
     }
 }
 
+/// The totals of one side of a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct ArmTotals {
     well: u32,
@@ -350,6 +353,7 @@
     }
 }
 
+/// The totals of both sides of a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteTotals {
     base: ArmTotals,
--- a/lib/src/coordination/rollout_lead.rs
+++ b/lib/src/coordination/rollout_lead.rs
@@ -25,8 +25,8 @@
 /// How much later than the leader a keeper in contact receives an order through the log, at most,
 /// in milliseconds.
 const LOG_LAG_MS: u64 = 200;
-/// How long a new leader takes no step but a roll-back, in milliseconds: two renewals of each VM.
-/// Earlier it lacks the reports of some VMs.
+/// How long a new leader neither moves traffic nor ends an order, unless it finds the target
+/// unsound, in milliseconds: two renewals of each VM. Earlier it lacks the reports of some VMs.
 const COLLECT_MS: u64 = 700;
 /// The minimum time for moving the traffic, in milliseconds: three renewals, in which each VM
 /// receives the step, sends to the target only, and reports that nothing is left in flight
@@ -79,6 +79,7 @@
     pub why: String,
 }
 
+/// One VM's last report on its progress with an order.
 #[derive(Clone, Debug)]
 struct VmConfirmation {
     step: u64,
@@ -86,6 +87,7 @@
     reported_ms: u64,
 }
 
+/// A keeper's state of one order.
 #[derive(Clone, Debug)]
 struct OrderState {
     number: u64,
@@ -109,7 +111,7 @@
     }
 
     /// Returns the empty reports of a leader that takes over now.
-    fn without_reports(&self, now_ms: u64) -> OrderReports {
+    fn fresh_reports(&self, now_ms: u64) -> OrderReports {
         let verdict = VerdictState::of_order(self.elapsed_ms(now_ms));
         OrderReports { verdict, ..OrderReports::default() }
     }
@@ -178,13 +180,11 @@
     ) {
         if term != self.term {
             self.term = term;
-            self.orders
-                .values_mut()
-                .for_each(|order| order.reports = order.without_reports(now_ms));
+            self.orders.values_mut().for_each(|order| order.reports = order.fresh_reports(now_ms));
         }
         for report in reports {
-            let named = self.orders.iter_mut();
-            let found = named
+            let orders = self.orders.iter_mut();
+            let found = orders
                 .map(|(service, order)| (VersionKey::of(service), order))
                 .find(|(key, order)| *key == report.service && order.number == report.number);
             let Some((_, order)) = found else { continue };
@@ -219,6 +219,7 @@
     }
 }
 
+/// Decides the next step of one order, or returns `None` if there is nothing to change or record.
 fn next_step(
     row: &RolloutRow,
     order: &mut OrderState,
--- a/lib/src/coordination/rollout_odds.rs
+++ b/lib/src/coordination/rollout_odds.rs
@@ -131,6 +131,7 @@
         FaultCount { faulty: f64::from(arm.late), all: f64::from(arm.compared) }
     }
 
+    /// Returns these counts multiplied by `part`, plus the counts `beside`.
     fn plus_decayed(self, part: f64, beside: FaultCount) -> FaultCount {
         let (faulty, all) = (part * self.faulty + beside.faulty, part * self.all + beside.all);
         FaultCount { faulty, all }
--- a/lib/src/coordination/rollout_share.rs
+++ b/lib/src/coordination/rollout_share.rs
@@ -67,6 +67,7 @@
     }
 }
 
+/// The number of all requests of a route, and of those to the target within the share.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteCount {
     all: u64,
@@ -79,6 +80,7 @@
     bound: ExposureBound,
     seed: u64,
     head_start: f64,
+    /// The number of requests of the head start that were sent.
     head_sent: u64,
     routes: HashMap<RouteKey, RouteCount>,
 }
@@ -103,6 +105,7 @@
         self.within_share(route) || (self.head_sent + 1) as f64 <= self.head_start
     }
 
+    /// Returns whether one more request to the target on this route stays within the share.
     fn within_share(&self, route: RouteKey) -> bool {
         let count = self.routes.get(&route).copied().unwrap_or_default();
         let allowed =
--- a/lib/src/coordination/rollout_verdict.rs
+++ b/lib/src/coordination/rollout_verdict.rs
@@ -5,8 +5,8 @@
 //! signals: failures, the pace of answers, the time to the first event, and the share of late
 //! answers. The odds are kept for each route and for all routes together. Invariants: a kind of
 //! request that fails on all versions, or an incident that slows or fails both sides, never counts
-//! against the target; a sound target is found unsound in at most about [`MAX_FALSE_FINDINGS`] of all
-//! orders, however many routes there are. See `docs/design/rollouts.md`, "Evidence".
+//! against the target; a sound target is found unsound in at most about [`MAX_FALSE_FINDINGS`] of
+//! all orders, however many routes there are. See `docs/design/rollouts.md`, "Evidence".
 
 use std::collections::BTreeMap;
 
@@ -22,8 +22,8 @@
 /// without failures on all routes.
 pub const MAX_FALSE_FINDINGS: f64 = 0.005;
 /// The odds ratio over all routes together from which a target counts as likely unsound when
-/// traffic is about to be moved to it. This check asks for less evidence than a finding during the
-/// trial, because the move can't be undone once the order is complete.
+/// traffic is about to be moved to it. This check asks for less evidence than a finding at any
+/// other time, because the move can't be undone once the order is complete.
 const LIKELY_UNSOUND_ODDS: f64 = 3.0;
 /// The odds ratio of a single route for the same check. Lower ratios find more unsound targets and
 /// roll back more sound ones; `docs/design/rollouts.md`, "Figures", has the rates of both.
@@ -94,15 +94,16 @@
 /// The odds of each signal, on one route or on all routes together.
 #[derive(Clone, Copy, Debug, Default)]
 struct SignalOdds {
-    /// The odds for a finding at any time during the trial. They may be checked repeatedly.
+    /// The odds for a finding at any time during the order. They may be checked repeatedly.
     found: [ChangeOdds; SIGNAL_COUNT],
     /// The odds for the single check before traffic is moved.
     likely: [ChangeOdds; SIGNAL_COUNT],
 }
 
 impl SignalOdds {
-    /// Updates the odds by a slice. `lengths` is its length in multiples of [`MIN_SLICE_MS`]; `with_unseen`
-    /// also includes the time over which its counts were gathered before this leader took over.
+    /// Updates the odds by a slice. `lengths` is its length in multiples of [`MIN_SLICE_MS`];
+    /// `with_unseen` also includes the time over which its counts were gathered before this leader
+    /// took over.
     fn take(&mut self, logs: &SignalLogs, lengths: f64, with_unseen: f64) {
         for (odds, log) in self.found.iter_mut().zip(logs) {
             odds.take(log, lengths, MAX_SLICE_LOG * lengths);
@@ -124,6 +125,8 @@
     }
 }
 
+/// Returns the signal with the highest logarithm, after its share of the accepted false positives
+/// is taken into account, and that logarithm.
 fn strongest_signal(
     signals: &[ChangeOdds; SIGNAL_COUNT],
     log: fn(&ChangeOdds) -> f64,
@@ -141,7 +144,9 @@
     /// How long the order had run before the first slice, unobserved by this leader, in
     /// milliseconds.
     unseen_ms: u64,
+    /// The sums at the start of the current slice.
     seen: RouteSums,
+    /// The reference values of the other versions on this route.
     failures: FaultReference,
     late: FaultReference,
     pace: TimeReference,
@@ -214,9 +219,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct CombinedOdds {
     odds: SignalOdds,
+    /// The sums of the collected logarithms, if a slice ended since they were last applied.
     added: Option<SignalLogs>,
     /// The longest `with_unseen` of the collected slices, in multiples of [`MIN_SLICE_MS`].
     with_unseen: f64,
+    /// When the logarithms were last applied, in milliseconds.
     since_ms: Option<u64>,
 }
 
@@ -274,8 +281,11 @@
     failures: FaultReference,
     late: FaultReference,
     flow: RecentAnswers,
+    /// The answers of both sides at the last update of `flow`.
     flow_seen: (u32, u32),
+    /// When `flow` was last updated, in milliseconds.
     flow_ms: u64,
+    /// When this leader first evaluated the evidence, in milliseconds.
     begun_ms: Option<u64>,
     unseen_ms: u64,
 }
@@ -329,6 +339,7 @@
         ended
     }
 
+    /// Returns the reference values over all routes together.
     fn shared(&self) -> SharedReference {
         let spread = |side: fn(&RouteEvaluation) -> &TimeReference| {
             let routes = self.routes.values().map(side);
@@ -342,6 +353,7 @@
         }
     }
 
+    /// Updates the recent answer counts, at most once per [`MIN_SLICE_MS`].
     fn update_flow(&mut self, sums: &[RouteSums], now_ms: u64) {
         if now_ms.saturating_sub(self.flow_ms) < MIN_SLICE_MS {
             return;
@@ -353,6 +365,8 @@
         (self.flow_seen, self.flow_ms) = ((base, target), now_ms);
     }
 
+    /// Returns a finding if the odds exceed the thresholds that keep false positives within
+    /// [`MAX_FALSE_FINDINGS`].
     fn finding(&self, sums: &[RouteSums]) -> Option<UnsoundFinding> {
         // Half of the accepted false positives is assigned to all routes together, the other half
         // is divided among the single routes.
@@ -369,6 +383,8 @@
         self.exceeding(sums, OddsThreshold { all, alone, of: SignalOdds::likely })
     }
 
+    /// Returns a finding if the odds of all routes together or of the most suspicious route exceed
+    /// their threshold.
     fn exceeding(&self, sums: &[RouteSums], threshold: OddsThreshold) -> Option<UnsoundFinding> {
         let (signal, odds) = (threshold.of)(&self.all.odds);
         if odds >= threshold.all {
@@ -391,9 +407,12 @@
     all: f64,
     /// The threshold of a single route.
     alone: f64,
+    /// Selects the strongest signal and its logarithm.
     of: fn(&SignalOdds) -> (usize, f64),
 }
 
+/// Creates the finding for the signal with this index. `excess` is the logarithm of the odds above
+/// the threshold.
 fn to_finding(
     route: Option<RouteKey>,
     signal: usize,
@@ -413,7 +432,7 @@
 
 /// Returns the failure counts of both sides as text, for the log line of a move of traffic.
 pub fn answer_figures(sums: &[RouteSums]) -> String {
-    share_figures(sums, "failed", |arm| (arm.bad, arm.all()))
+    share_figures(sums, "bad", |arm| (arm.bad, arm.all()))
 }
 
 /// Formats how many answers of each side match, and out of how many.
--- a/lib/src/coordination/rollout_watch.rs
+++ b/lib/src/coordination/rollout_watch.rs
@@ -108,6 +108,7 @@
     pub reason: SendReason,
 }
 
+/// The counts of one running order.
 #[derive(Clone, Debug)]
 struct RunningTrial {
     ledger: TrialLedger,
@@ -179,10 +180,12 @@
         self.proved_ms
     }
 
+    /// Returns whether the last proof is still valid.
     fn is_fresh(&self, now_ms: u64) -> bool {
         self.proved_ms.is_some_and(|proved_ms| proved_ms + PROOF_VALID_MS > now_ms)
     }
 
+    /// Returns the row of the service's order if it hasn't ended.
     fn running_row(&self, service: &str) -> Option<&RolloutRow> {
         self.table.row(service).filter(|row| !row.phase.is_end())
     }
@@ -219,14 +222,14 @@
     }
 
     /// Returns the rule that selects the upstreams of a service by version. `upstreams` has each
-    /// upstream with the time at which it was first seen; `may_be_tried` returns whether its zone
+    /// upstream with the time at which it was first seen; `is_eligible` returns whether its zone
     /// and health allow it to take part in a trial.
     pub fn rule<'a>(
         &self,
         service: &str,
         lane: RolloutLane,
         upstreams: impl Iterator<Item = (&'a UpstreamEntry, u64)> + Clone,
-        may_be_tried: impl Fn(&UpstreamEntry) -> bool,
+        is_eligible: impl Fn(&UpstreamEntry) -> bool,
         now_ms: u64,
     ) -> VersionRule {
         let versions = SeenVersions::of(upstreams.clone());
@@ -238,10 +241,10 @@
                 let share = self.running.get(service).map(|run| run.ledger.bound());
                 let of_target = upstreams.map(|(entry, _)| entry);
                 let of_target = of_target.filter(|entry| entry.version == target);
-                let able: Vec<&UpstreamEntry> =
-                    of_target.clone().filter(|entry| may_be_tried(entry)).collect();
+                let eligible: Vec<&UpstreamEntry> =
+                    of_target.clone().filter(|entry| is_eligible(entry)).collect();
                 rule.only =
-                    Some(trial_upstreams(&able, share, of_target.count(), row.order.number));
+                    Some(trial_upstreams(&eligible, share, of_target.count(), row.order.number));
             }
             (RolloutPhase::Shift, RolloutLane::Usual | RolloutLane::Trial)
                 if self.is_fresh(now_ms) =>
@@ -294,7 +297,7 @@
             return false;
         }
         run.evidence.note(tag.route, tag.arm, outcome);
-        let bad = *outcome == TrialOutcome::Bad;
+        let bad = *outcome == TrialOutcome::Failure;
         if bad {
             self.counts.entry(tag.service.clone()).or_default().side(tag.arm).bad += 1;
         }
@@ -328,24 +331,26 @@
 /// Selects the upstreams that take part in a trial. All VMs with the same list select the same
 /// ones.
 fn trial_upstreams(
-    able: &[&UpstreamEntry],
+    eligible: &[&UpstreamEntry],
     bound: Option<ExposureBound>,
     of_target: usize,
     number: u64,
 ) -> Vec<UpstreamKey> {
     let Some(bound) = bound else { return Vec::new() };
-    let mut keys: Vec<UpstreamKey> = able.iter().map(|entry| entry.key()).collect();
+    let mut keys: Vec<UpstreamKey> = eligible.iter().map(|entry| entry.key()).collect();
     keys.sort_by_cached_key(|key| std::cmp::Reverse(rendezvous_score(number, key.0)));
     keys.truncate(bound.trial_upstream_count(of_target));
     keys
 }
 
+/// A version of a service's upstreams.
 struct SeenVersion {
     version: VersionKey,
     /// When the first of its current upstreams was seen, in milliseconds.
     first_ms: u64,
 }
 
+/// The versions of all upstreams of a service.
 struct SeenVersions {
     rows: Vec<SeenVersion>,
 }
@@ -376,7 +381,9 @@
 /// Selects the upstreams of a service that get no requests because of their version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionRule {
+    /// The versions whose upstreams get no requests; unused if `only` is set.
     withheld: Vec<VersionKey>,
+    /// The only upstreams that may get requests, if set.
     only: Option<Vec<UpstreamKey>>,
 }
 
--- a/lib/src/coordination/trace.rs
+++ b/lib/src/coordination/trace.rs
@@ -211,6 +211,7 @@
     }
 }
 
+/// Returns a text if an event has a router or engine that the setup doesn't have.
 fn range_error(setup: &TraceSetup, event: &TraceEvent) -> Option<String> {
     let (router, engine) = match event {
         TraceEvent::Engine { engine, .. } => (0, *engine),
--- a/lib/src/transport/vm_trial.rs
+++ b/lib/src/transport/vm_trial.rs
@@ -69,7 +69,7 @@
             true => self.event_pace_ms(),
             false => Some(whole_ms),
         };
-        self.end(TrialOutcome::Well {
+        self.end(TrialOutcome::Success {
             pace_ms: pace_ms.filter(|_| self.warm),
             first_ms: self.first_ms().filter(|_| self.warm && self.held),
         });
@@ -77,7 +77,7 @@
 
     /// The answer is a failure, belongs to another request, or didn't come in time.
     pub(super) fn end_bad(&self) {
-        self.end(TrialOutcome::Bad);
+        self.end(TrialOutcome::Failure);
     }
 
     /// How it ended says nothing of the version: it wasn't run, or the connection broke. A server that
@@ -112,6 +112,6 @@
         let slow = Some(waited_ms).filter(|_| self.warm);
         let pace_ms = slow.filter(|_| !self.stream);
         let first_ms = slow.filter(|_| self.stream && self.held);
-        self.end(TrialOutcome::Well { pace_ms, first_ms });
+        self.end(TrialOutcome::Success { pace_ms, first_ms });
     }
 }
--- a/lib/tests/test_rollout_evidence.rs
+++ b/lib/tests/test_rollout_evidence.rs
@@ -17,7 +17,7 @@
 const MAX_ROW_BYTES: usize = 112;
 
 fn well(pace_ms: f64) -> TrialOutcome {
-    TrialOutcome::Well { pace_ms: Some(pace_ms), first_ms: None }
+    TrialOutcome::Success { pace_ms: Some(pace_ms), first_ms: None }
 }
 
 /// An event at a VM: a request that ends, a report that is delivered, lost or delayed, or a
@@ -54,7 +54,7 @@
         match event {
             VmEvent::Request(route, target, bad) => {
                 let arm = if target { RolloutArm::Target } else { RolloutArm::Base };
-                let outcome = if bad { TrialOutcome::Bad } else { well(50.0) };
+                let outcome = if bad { TrialOutcome::Failure } else { well(50.0) };
                 ledger.note(RouteKey(route), arm, &outcome);
                 all += 1;
                 bad_answers += u32::from(target && bad);
@@ -137,7 +137,7 @@
     let mut ledger = EvidenceLedger::new(1);
     for route in 0..40 {
         for _ in 0..=route {
-            ledger.note(RouteKey(route), RolloutArm::Target, &TrialOutcome::Bad);
+            ledger.note(RouteKey(route), RolloutArm::Target, &TrialOutcome::Failure);
         }
     }
 
--- a/lib/tests/test_rollout_lead.rs
+++ b/lib/tests/test_rollout_lead.rs
@@ -48,7 +48,7 @@
             let sent = tracker.note_sent("s1", ROUTE, row.target());
             if let Some(tag) = sent {
                 assert_eq!(tag.arm, RolloutArm::Target);
-                let outcome = TrialOutcome::Well { pace_ms: Some(20.0), first_ms: None };
+                let outcome = TrialOutcome::Success { pace_ms: Some(20.0), first_ms: None };
                 for _ in 0..200 {
                     tracker.note_end(&tag, &outcome);
                 }
@@ -143,12 +143,12 @@
 
 impl QuietService {
     fn answer(&mut self, tenth: u64) {
-        let well = TrialOutcome::Well { pace_ms: Some(20.0), first_ms: None };
+        let well = TrialOutcome::Success { pace_ms: Some(20.0), first_ms: None };
         (0..self.base).for_each(|_| self.ledger.note(ROUTE, RolloutArm::Base, &well));
         if tenth % self.target_interval == 0 {
             self.answered += 1;
             let bad = self.failure_interval > 0 && self.answered % self.failure_interval == 0;
-            let outcome = if bad { TrialOutcome::Bad } else { well };
+            let outcome = if bad { TrialOutcome::Failure } else { well };
             self.ledger.note(ROUTE, RolloutArm::Target, &outcome);
         }
     }
@@ -286,7 +286,7 @@
     let tag = tracker.note_sent("s1", ROUTE, VersionKey::of("v2")).unwrap();
 
     for _ in 0..3 {
-        tracker.note_end(&tag, &TrialOutcome::Bad);
+        tracker.note_end(&tag, &TrialOutcome::Failure);
     }
     let (first, second) = (tracker.reports(|_, _| 0), tracker.reports(|_, _| 0));
 
@@ -302,12 +302,12 @@
     let (mut controller, mut tracker) = (RolloutController::default(), RolloutTracker::default());
     controller.observe(&[], 900);
     tracker.take(both.clone(), BOUND, 1);
-    let well = TrialOutcome::Well { pace_ms: Some(20.0), first_ms: None };
+    let well = TrialOutcome::Success { pace_ms: Some(20.0), first_ms: None };
     let status = TargetStatus { available: 4, others: 4, ..TargetStatus::default() };
     let mut ended = Vec::new();
 
     for now_ms in (1000..6000).step_by(300) {
-        for (service, of_target) in [("s1", TrialOutcome::Bad), ("s2", well)] {
+        for (service, of_target) in [("s1", TrialOutcome::Failure), ("s2", well)] {
             for (version, outcome, times) in [("v1", well, 10), ("v2", of_target, 3)] {
                 let tag = tracker.note_sent(service, ROUTE, VersionKey::of(version)).unwrap();
                 for _ in 0..times {
--- a/lib/tests/test_rollouts.rs
+++ b/lib/tests/test_rollouts.rs
@@ -258,7 +258,7 @@
     let (target, base) = (VersionKey::of("v2"), VersionKey::of("v1"));
     let tag = tracker.note_sent("s1", route, target).expect("it runs");
     tracker.note_sent("s1", route, base);
-    tracker.note_end(&tag, &TrialOutcome::Bad);
+    tracker.note_end(&tag, &TrialOutcome::Failure);
     let mut orders = table(&[RolloutPhase::RolledBack]);
     tracker.take(orders.clone(), BOUND, 1);
     let after_end = tracker.counts("s1");
