--- a/lib/src/coordination/rollout_evidence.rs
+++ b/lib/src/coordination/rollout_evidence.rs
@@ -274,9 +274,9 @@
 }
 
 impl EvidenceTable {
-    /// Takes the rows that one incarnation of a VM reports. A row that counts fewer requests than
-    /// the previous one arrived out of order and is ignored. A route that is missing from the
-    /// report, because other routes have more requests, keeps its last counts.
+    /// Takes the rows that one incarnation of a VM reports. A row that doesn't count more requests
+    /// than the previous one is a repetition or arrived out of order, and is ignored. A route that
+    /// is missing from the report, because other routes have more requests, keeps its last counts.
     pub fn take(&mut self, vm: u32, incarnation: u64, rows: Vec<RouteSums>) {
         for row in rows {
             let known = self.reported.entry((vm, incarnation, row.route)).or_default();
--- a/lib/src/coordination/rollout_share.rs
+++ b/lib/src/coordination/rollout_share.rs
@@ -3,9 +3,9 @@
 //! A deployment bounds the requests that an unsound version may get: a share of the requests to its
 //! service between the order and its deadline, plus a fixed slack. The bound holds for all VMs
 //! together, but no VM has the counts of the others or a complete list of them. So each VM limits
-//! itself: of the `n` requests that it sent on a route since it received the order, `floor(share *
-//! n + u)` go to the target, where `u` is drawn uniformly from 0 to 1 for each route and each
-//! incarnation of the process. The mean of the sum over all VMs is `share * n` at any moment,
+//! itself: of the `n` requests that it sent on a route since it received the order, at most
+//! `floor(share*n+u)` go to the target, where `u` is drawn uniformly from 0 to 1 for each route and
+//! each incarnation of the process. The mean of the sum over all VMs is `share*n` at any moment,
 //! whichever VMs start, stop or are missing from a roster, and its deviation is less than half the
 //! square root of the number of VMs times routes. See `docs/design/rollouts.md`.
 
--- a/lib/src/coordination/rollout_verdict.rs
+++ b/lib/src/coordination/rollout_verdict.rs
@@ -223,7 +223,8 @@
     added: Option<SignalLogs>,
     /// The longest `with_unseen` of the collected slices, in multiples of [`MIN_SLICE_MS`].
     with_unseen: f64,
-    /// When the logarithms were last applied, in milliseconds.
+    /// When the logarithms were last applied, or else when the evidence was first evaluated, in
+    /// milliseconds.
     since_ms: Option<u64>,
 }
 
--- a/lib/tests/test_rollout_evidence.rs
+++ b/lib/tests/test_rollout_evidence.rs
@@ -402,7 +402,7 @@
         ("few of many", sums(500, (5, 0)), false),
         ("nearly enough", sums(500, (7, 0)), false),
         ("enough", sums(500, (12, 0)), true),
-        ("a part of few that says nothing", sums(20, (1, 0)), false),
+        ("an inconclusive part of few", sums(20, (1, 0)), false),
         ("nearly its part of few", sums(20, (5, 0)), false),
         ("its part of few", sums(15, (5, 0)), true),
         ("one alone", sums(0, (1, 0)), true),
