--- a/lib/src/coordination/rollout_share.rs
+++ b/lib/src/coordination/rollout_share.rs
@@ -3,9 +3,9 @@
 //! A deployment bounds the requests that an unsound version may get: a share of the requests to its
 //! service between the order and its deadline, plus a fixed slack. The bound holds for all VMs
 //! together, but no VM has the counts of the others or a complete list of them. So each VM limits
-//! itself: of the `n` requests that it sent on a route since it received the order, `floor(share *
-//! n + u)` go to the target, where `u` is drawn uniformly from 0 to 1 for each route and each
-//! incarnation of the process. The mean of the sum over all VMs is `share * n` at any moment,
+//! itself: of the `n` requests that it sent on a route since it received the order, at most
+//! `floor(share*n+u)` go to the target, where `u` is drawn uniformly from 0 to 1 for each route and
+//! each incarnation of the process. The mean of the sum over all VMs is `share*n` at any moment,
 //! whichever VMs start, stop or are missing from a roster, and its deviation is less than half the
 //! square root of the number of VMs times routes. See `docs/design/rollouts.md`.
 
@@ -67,6 +67,7 @@
     }
 }
 
+/// The number of all requests of a route, and of those to the target within the share.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteCount {
     all: u64,
@@ -79,6 +80,7 @@
     bound: ExposureBound,
     seed: u64,
     head_start: f64,
+    /// The number of requests of the head start that were sent.
     head_sent: u64,
     routes: HashMap<RouteKey, RouteCount>,
 }
@@ -103,6 +105,7 @@
         self.within_share(route) || (self.head_sent + 1) as f64 <= self.head_start
     }
 
+    /// Returns whether one more request to the target on this route stays within the share.
     fn within_share(&self, route: RouteKey) -> bool {
         let count = self.routes.get(&route).copied().unwrap_or_default();
         let allowed =
--- a/lib/src/transport/vm_trial.rs
+++ b/lib/src/transport/vm_trial.rs
@@ -72,7 +72,7 @@
             true => self.event_pace_ms(),
             false => Some(whole_ms),
         };
-        self.end(TrialOutcome::Well {
+        self.end(TrialOutcome::Success {
             pace_ms: pace_ms.filter(|_| self.warm),
             first_ms: self.first_ms().filter(|_| self.warm && self.cached),
         });
@@ -80,7 +80,7 @@
 
     /// The answer is an error, belongs to another request, or didn't arrive in time.
     pub(super) fn end_failure(&self) {
-        self.end(TrialOutcome::Bad);
+        self.end(TrialOutcome::Failure);
     }
 
     /// The outcome says nothing about the version: the request wasn't run, or the connection broke. A server
@@ -116,6 +116,6 @@
         let slow = Some(waited_ms).filter(|_| self.warm);
         let pace_ms = slow.filter(|_| !self.stream);
         let first_ms = slow.filter(|_| self.stream && self.cached);
-        self.end(TrialOutcome::Well { pace_ms, first_ms });
+        self.end(TrialOutcome::Success { pace_ms, first_ms });
     }
 }
