--- a/cli/src/fleet.rs
+++ b/cli/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use wingshed_lib::protocol::fleet_calls::{
-    RolloutView, RolloutWishBody, ZoneView, ROLLOUTS_PATH, ZONES_PATH,
+    RolloutRequestBody, RolloutView, ZoneView, ROLLOUTS_PATH, ZONES_PATH,
 };
 use wingshed_lib::protocol::wire_adapter::LONGEST_GRANT_S;
 
@@ -188,7 +188,7 @@
 
 fn start_rollout(start: &RolloutStart) -> Result<bool, String> {
     let client = VmClient::new(&start.at)?;
-    let body = RolloutWishBody {
+    let body = RolloutRequestBody {
         service: start.service.clone(),
         version: start.version.clone(),
         seconds: start.seconds,
@@ -304,7 +304,7 @@
         return Ok(true);
     }
     let row = |view: &ZoneView| {
-        let emptied = if view.emptied { "yes" } else { "no" };
+        let emptied = if view.evacuated { "yes" } else { "no" };
         vec![view.zone.clone(), emptied.to_string(), view.number.to_string()]
     };
     let rows: Vec<Vec<String>> = views.iter().map(row).collect();
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -9,7 +9,7 @@
 use wingshed_lib::coordination::replay::{replay, ReplayRule};
 use wingshed_lib::coordination::replay_outcome::ReplayOutcome;
 use wingshed_lib::coordination::trace::{read_trace, Trace};
-use wingshed_lib::state::configuration::{MoveRates, NO_IMPORT_RATES};
+use wingshed_lib::state::configuration::{KvRates, NO_IMPORT_RATES};
 use wingshed_standin::trace::{make_trace, write_trace, TraceCase, TraceDeployment, TraceMake};
 
 use crate::table::to_text;
@@ -105,7 +105,7 @@
     if all {
         let fresh =
             |fresh| ReplayRule::Home(PlacementRule { fresh, ..BEST_RULE }, Some(NO_IMPORT_RATES));
-        let imports = MoveRates { import_per_ms: 40.0, ..NO_IMPORT_RATES };
+        let imports = KvRates { import_per_ms: 40.0, ..NO_IMPORT_RATES };
         let last = PlacementRule { every_holder: false, ..BEST_RULE };
         rules.extend([
             ("home, with KV imports", ReplayRule::Home(BEST_RULE, Some(imports))),
--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::ids::{RequestMark, UpstreamKey};
+use crate::state::ids::{RequestFingerprint, UpstreamKey};
 
 /// A crash is reported to new leaders for this long, in milliseconds; shorter than any hold, so that none is
 /// counted again after one.
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SeenCrash {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Whether the VM knew the request as watched when it sent it.
@@ -36,7 +36,7 @@
     /// The VM's number for it; the first is 1.
     pub number: u64,
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Whether the VM knew the request as watched when it sent it.
@@ -51,7 +51,7 @@
     /// Upstreams that ended.
     pub ended: Vec<CrashNote>,
     /// Watched requests that ran well.
-    pub well: Vec<RequestMark>,
+    pub well: Vec<RequestFingerprint>,
 }
 
 impl CrashReport {
@@ -68,7 +68,7 @@
     numbered: u64,
     heard: u64,
     term: u64,
-    well: BTreeSet<RequestMark>,
+    well: BTreeSet<RequestFingerprint>,
 }
 
 impl CrashOutbox {
@@ -84,7 +84,7 @@
     }
 
     /// A watched request ran well. Reported once: it is noted again when it runs well again.
-    pub fn note_well(&mut self, mark: RequestMark) {
+    pub fn note_well(&mut self, mark: RequestFingerprint) {
         self.well.insert(mark);
     }
 
--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -15,8 +15,8 @@
 
 use super::crash_outbox::{CrashNote, CrashReport};
 use super::vm_roster::overloaded_renew_ms;
-use crate::state::ids::{RequestMark, UpstreamKey};
-use crate::state::quarantine::{QuarantineCommand, QuarantineRow, QuarantineTable, MOST_ROWS};
+use crate::state::ids::{RequestFingerprint, UpstreamKey};
+use crate::state::quarantine::{QuarantineCommand, QuarantineRow, QuarantineTable, MAX_ROWS};
 
 /// So many upstreams that ended under a request hold it. With 2, a request that was caught twice beside
 /// another one, and came again, would be held; each further one costs all that runs on one more upstream.
@@ -62,11 +62,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     term: u64,
-    counts: BTreeMap<RequestMark, CrashCount>,
+    counts: BTreeMap<RequestFingerprint, CrashCount>,
     /// Since when this leader knows of a row in this state, by how often it was held.
-    rows_since_ms: BTreeMap<(RequestMark, bool, u32), u64>,
+    rows_since_ms: BTreeMap<(RequestFingerprint, bool, u32), u64>,
     /// What was proposed last for a request, and when: the next one of another kind doesn't wait.
-    proposed: BTreeMap<RequestMark, (QuarantineCommand, u64)>,
+    proposed: BTreeMap<RequestFingerprint, (QuarantineCommand, u64)>,
 }
 
 /// How long it is waited for what `vms` VMs saw run well, in milliseconds.
@@ -93,7 +93,7 @@
             self.note_ended(note, recorded, now_ms);
         }
         for mark in &report.well {
-            let watched = recorded.row(*mark).is_some_and(|row| !row.held);
+            let watched = recorded.row(*mark).is_some_and(|row| !row.quarantined);
             if let (true, Some(count)) = (watched, self.count(*mark, recorded, now_ms)) {
                 count.well = true;
             }
@@ -127,7 +127,7 @@
     /// What is counted of a request, from what is recorded on; `None` when too many are counted.
     fn count(
         &mut self,
-        mark: RequestMark,
+        mark: RequestFingerprint,
         recorded: &QuarantineTable,
         now_ms: u64,
     ) -> Option<&mut CrashCount> {
@@ -181,18 +181,24 @@
     }
 
     /// The requests that enough upstreams are charged to, and that are not held yet.
-    fn at_fault(&self, recorded: &QuarantineTable, settled_ms: u64) -> BTreeSet<RequestMark> {
-        let held = recorded.rows().iter().filter(|row| row.held);
-        let counted = |row: &QuarantineRow| self.counts.get(&row.mark).map(|count| &count.ended);
+    fn at_fault(
+        &self,
+        recorded: &QuarantineTable,
+        settled_ms: u64,
+    ) -> BTreeSet<RequestFingerprint> {
+        let held = recorded.rows().iter().filter(|row| row.quarantined);
+        let counted =
+            |row: &QuarantineRow| self.counts.get(&row.fingerprint).map(|count| &count.ended);
         let mut charged: BTreeSet<UpstreamKey> = held
             .flat_map(|row| row.ended.iter().chain(counted(row).into_iter().flatten()).copied())
             .collect();
-        let suspect = |(mark, count): &(&RequestMark, &CrashCount)| match recorded.row(**mark) {
-            Some(row) if row.held => false,
-            // One that was held before has had all the time to run well.
-            Some(row) if row.times > 0 => count.proven_ms.is_some(),
-            _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
-        };
+        let suspect =
+            |(mark, count): &(&RequestFingerprint, &CrashCount)| match recorded.row(**mark) {
+                Some(row) if row.quarantined => false,
+                // One that was held before has had all the time to run well.
+                Some(row) if row.times > 0 => count.proven_ms.is_some(),
+                _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
+            };
         let mut suspects: Vec<_> = self.counts.iter().filter(suspect).collect();
         suspects.sort_by_key(|(_, count)| count.ran_ms / count.reports.max(1));
         let mut at_fault = BTreeSet::new();
@@ -209,30 +215,30 @@
     /// Drops what would hold too many requests, or push a row out that would be wanted again.
     fn keep_to_room(&self, wanted: &mut Vec<QuarantineCommand>, recorded: &QuarantineTable) {
         let under_way = self.proposed.iter().filter(|(mark, (command, _))| {
-            is_hold(command) && !recorded.is_held(**mark) && !wanted.contains(command)
+            is_hold(command) && !recorded.is_quarantined(**mark) && !wanted.contains(command)
         });
-        let mut holds = MOST_HELD.saturating_sub(recorded.held() + under_way.count());
-        let mut rows = MOST_ROWS.saturating_sub(recorded.rows().len());
+        let mut holds = MOST_HELD.saturating_sub(recorded.quarantined_count() + under_way.count());
+        let mut rows = MAX_ROWS.saturating_sub(recorded.rows().len());
         wanted.retain(|command| {
             let QuarantineCommand::Set(row) = command else { return true };
-            let known = recorded.row(row.mark).is_some();
-            let room = if row.held { &mut holds } else { &mut rows };
+            let known = recorded.row(row.fingerprint).is_some();
+            let room = if row.quarantined { &mut holds } else { &mut rows };
             let free = *room > 0;
             *room = room.saturating_sub(1);
-            free || (known && !row.held)
+            free || (known && !row.quarantined)
         });
     }
 
     /// Rows that have stood for long enough, by this leader's own clock: a new one begins anew, so that
     /// a hold gets longer by a change of leaders and never shorter.
     fn lapsed(&mut self, recorded: &QuarantineTable, now_ms: u64) -> Vec<QuarantineCommand> {
-        let state = |row: &QuarantineRow| (row.mark, row.held, row.times);
+        let state = |row: &QuarantineRow| (row.fingerprint, row.quarantined, row.times);
         let rows = recorded.rows();
         self.rows_since_ms.retain(|known, _| rows.iter().any(|row| state(row) == *known));
         let mut lapsed = Vec::new();
         for row in rows {
             let since_ms = *self.rows_since_ms.entry(state(row)).or_insert(now_ms);
-            let keep_ms = match row.held {
+            let keep_ms = match row.quarantined {
                 true => held_ms(row.times),
                 // One that was held is remembered for as long again.
                 false => COUNT_KEEP_MS.max(held_ms(row.times) * u64::from(row.times.min(1))),
@@ -240,10 +246,10 @@
             if now_ms < since_ms + keep_ms {
                 continue;
             }
-            self.counts.remove(&row.mark);
-            lapsed.push(match row.held {
+            self.counts.remove(&row.fingerprint);
+            lapsed.push(match row.quarantined {
                 true => QuarantineCommand::Set(row.let_go()),
-                false => QuarantineCommand::Clear(row.mark),
+                false => QuarantineCommand::Clear(row.fingerprint),
             });
         }
         lapsed
@@ -253,11 +259,11 @@
 impl CrashCount {
     fn wants(
         &self,
-        mark: RequestMark,
+        mark: RequestFingerprint,
         recorded: Option<&QuarantineRow>,
         at_fault: bool,
     ) -> Option<QuarantineCommand> {
-        if recorded.is_some_and(|row| row.held) {
+        if recorded.is_some_and(|row| row.quarantined) {
             return None;
         }
         if self.well {
@@ -266,7 +272,12 @@
         let times = recorded.map_or(0, |row| row.times);
         let row = |held, times| {
             let ended = self.ended.iter().take(MOST_ENDED).copied().collect();
-            QuarantineCommand::Set(QuarantineRow { mark, ended, held, times })
+            QuarantineCommand::Set(QuarantineRow {
+                fingerprint: mark,
+                ended,
+                quarantined: held,
+                times,
+            })
         };
         if at_fault {
             return Some(row(true, times + 1));
@@ -280,17 +291,17 @@
     /// The row once it has been held for long enough: one more upstream holds it again.
     fn let_go(&self) -> QuarantineRow {
         let ended = self.ended.iter().take(WATCHED_ENDED).copied().collect();
-        QuarantineRow { ended, held: false, ..self.clone() }
+        QuarantineRow { ended, quarantined: false, ..self.clone() }
     }
 }
 
 fn is_hold(command: &QuarantineCommand) -> bool {
-    matches!(command, QuarantineCommand::Set(row) if row.held)
+    matches!(command, QuarantineCommand::Set(row) if row.quarantined)
 }
 
-fn marked(command: &QuarantineCommand) -> RequestMark {
+fn marked(command: &QuarantineCommand) -> RequestFingerprint {
     match command {
-        QuarantineCommand::Set(row) => row.mark,
+        QuarantineCommand::Set(row) => row.fingerprint,
         QuarantineCommand::Clear(mark) => *mark,
     }
 }
--- a/lib/src/coordination/durable_core.rs
+++ b/lib/src/coordination/durable_core.rs
@@ -12,7 +12,7 @@
 use super::raft::RaftCore;
 use super::raft_message::{RaftBody, RaftMessage, RaftOutput};
 use crate::state::ids::KeeperId;
-use crate::state::kept_list::KeptList;
+use crate::state::kept_list::StoredList;
 use crate::state::log_store::{HardState, LogBatch, LogEntry, LogSnapshot, StoredState};
 
 /// What a disk thread is asked to do.
@@ -23,7 +23,7 @@
     /// Write everything anew.
     Install(Box<LogSnapshot>, HardState, Vec<LogEntry>),
     /// Keep the list of upstreams for the next start; no part of the consensus.
-    KeepList(KeptList),
+    KeepList(StoredList),
 }
 
 /// A core and what its disk has yet to write.
--- a/lib/src/coordination/kv_move.rs
+++ b/lib/src/coordination/kv_move.rs
@@ -4,7 +4,7 @@
 //! Each costs time before the first token; the least wins. The rates are settings of the
 //! fleet, to be set from what its engines measure. See `docs/design/kv-move.md`.
 
-use crate::state::configuration::MoveRates;
+use crate::state::configuration::KvRates;
 
 /// No request waits longer than this for the engine that holds its prefix.
 pub const LONGEST_HOLDER_WAIT_MS: f64 = 1500.0;
@@ -21,18 +21,14 @@
 }
 
 /// What an import of so many tokens costs, if there are imports.
-pub fn import_ms(rates: &MoveRates, tokens: u32) -> Option<f64> {
+pub fn import_ms(rates: &KvRates, tokens: u32) -> Option<f64> {
     let moves = rates.import_per_ms > 0.0;
     moves.then(|| rates.import_start_ms + tokens as f64 / rates.import_per_ms)
 }
 
 /// Compares the three. `holder_wait_ms` is how long the holder is expected to stay at its
 /// bound, if that is known here.
-pub fn choose_move(
-    rates: &MoveRates,
-    cached_tokens: u32,
-    holder_wait_ms: Option<f64>,
-) -> MoveChoice {
+pub fn choose_move(rates: &KvRates, cached_tokens: u32, holder_wait_ms: Option<f64>) -> MoveChoice {
     let recompute = cached_tokens as f64 / rates.prefill_per_ms.max(1e-6);
     let import = import_ms(rates, cached_tokens).unwrap_or(f64::INFINITY);
     let wait = holder_wait_ms.unwrap_or(f64::INFINITY);
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -5,7 +5,7 @@
 
 use super::crash_outbox::{CrashOutbox, CrashReport, SeenCrash};
 use super::crash_table::CrashTable;
-use crate::state::ids::RequestMark;
+use crate::state::ids::RequestFingerprint;
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 /// See the module.
@@ -25,18 +25,18 @@
     }
 
     /// Whether a request is sent nowhere.
-    pub fn is_held(&self, mark: RequestMark) -> bool {
-        self.published.is_held(mark)
+    pub fn is_held(&self, mark: RequestFingerprint) -> bool {
+        self.published.is_quarantined(mark)
     }
 
     /// Whether VMs are to report how a request fares.
-    pub fn is_watched(&self, mark: RequestMark) -> bool {
-        self.published.row(mark).is_some_and(|row| !row.held)
+    pub fn is_watched(&self, mark: RequestFingerprint) -> bool {
+        self.published.row(mark).is_some_and(|row| !row.quarantined)
     }
 
     /// How many requests are sent nowhere.
     pub fn held(&self) -> usize {
-        self.published.held()
+        self.published.quarantined_count()
     }
 
     /// How many changes this VM knows of.
@@ -52,7 +52,12 @@
     }
 
     /// A request ran to its end and its upstream lives; reported where it is watched, as soon.
-    pub fn note_well(&mut self, mark: RequestMark, pause_ms: u64, now_ms: u64) -> Option<u64> {
+    pub fn note_well(
+        &mut self,
+        mark: RequestFingerprint,
+        pause_ms: u64,
+        now_ms: u64,
+    ) -> Option<u64> {
         if !self.is_watched(mark) {
             return None;
         }
@@ -79,13 +84,14 @@
     }
 
     /// Takes what a leader published; returns the requests newly held by it.
-    pub fn take(&mut self, table: QuarantineTable) -> Vec<RequestMark> {
+    pub fn take(&mut self, table: QuarantineTable) -> Vec<RequestFingerprint> {
         let before = self.published.clone();
         if !self.published.take_later(table) {
             return Vec::new();
         }
-        let held = self.published.rows().iter().filter(|row| row.held).map(|row| row.mark);
-        held.filter(|mark| !before.is_held(*mark)).collect()
+        let held =
+            self.published.rows().iter().filter(|row| row.quarantined).map(|row| row.fingerprint);
+        held.filter(|mark| !before.is_quarantined(*mark)).collect()
     }
 
     /// Takes what a VM reports, as the leader of `term`.
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -23,7 +23,7 @@
 use super::router_lease::RENEW_MS;
 use super::trace::{Trace, TraceEvent, TraceRequest, TraceSetup, TraceStanding};
 use crate::state::chat_memory::ChatMemory;
-use crate::state::configuration::MoveRates;
+use crate::state::configuration::KvRates;
 use crate::state::ids::{ChatKey, FleetKey, Incarnation, RouterId, UpstreamKey, WorkspaceKey};
 use crate::state::roster::{RouterRoster, RouterSession};
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplayRule {
     /// wingshed's homes, with these placement rules, and moves of KV at these rates, if any.
-    Home(PlacementRule, Option<MoveRates>),
+    Home(PlacementRule, Option<KvRates>),
     /// Each router alone takes the least reported load.
     LeastReported,
     /// Each router alone hashes, bounded by its own counts.
@@ -208,7 +208,7 @@
                 if *standing != TraceStanding::Leaving {
                     // A life that is over, or a new one: what the old one held is gone.
                     let life = Incarnation(self.engines[*engine as usize].life);
-                    view.memory.set_life(engine_key(*engine), life);
+                    view.memory.set_incarnation(engine_key(*engine), life);
                     view.events_reported[*engine as usize] = 0;
                 }
                 self.renew_view(*router);
@@ -294,7 +294,7 @@
         &mut self,
         request: &TraceRequest,
         rule: &PlacementRule,
-        rates: Option<MoveRates>,
+        rates: Option<KvRates>,
     ) {
         let chat = ChatKey(request.chat);
         let cold_work = request_work(request.prompt, request.output, 0);
@@ -318,7 +318,7 @@
         entry: u32,
         request: &TraceRequest,
         rule: &PlacementRule,
-        rates: Option<MoveRates>,
+        rates: Option<KvRates>,
         waited_ms: u64,
     ) {
         let chat = ChatKey(request.chat);
@@ -497,7 +497,7 @@
         home: u32,
         work: u64,
         waited_ms: u64,
-        moved: Option<(u32, Option<MoveRates>)>,
+        moved: Option<(u32, Option<KvRates>)>,
     ) {
         let at = engine as usize;
         let held = self.engines[at].cached(request.chat).min(request.prompt);
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -128,7 +128,7 @@
         if view.homes.slot(key).is_none() {
             return;
         }
-        view.memory.set_life(key, Incarnation(truth.life));
+        view.memory.set_incarnation(key, Incarnation(truth.life));
         let mut held: Vec<(u64, u32)> = truth.cache().collect();
         held.sort_unstable();
         for (chat, tokens) in held {
--- a/lib/src/coordination/rollout_watch.rs
+++ b/lib/src/coordination/rollout_watch.rs
@@ -145,7 +145,7 @@
             if row.phase.is_end() {
                 self.running.remove(service);
             } else if !same {
-                let sharing = self.proved_ms.map(|_| row.order.vms);
+                let sharing = self.proved_ms.map(|_| row.order.sharing_vms);
                 let ledger = TrialLedger::new(bound, sharing, seed ^ number);
                 let evidence = EvidenceLedger::new(number);
                 self.running.insert(service.clone(), RunningTrial { ledger, evidence });
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::upstream_load::UpstreamLoad;
-use crate::state::fleet_record::SeatRow;
+use crate::state::fleet_record::RingSlotRow;
 use crate::state::ids::UpstreamKey;
 use crate::state::upstream_list::{UpstreamEntry, UpstreamList};
 
@@ -52,17 +52,17 @@
 /// Who holds or last held each seat.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SeatTable {
-    seats: BTreeMap<u64, SeatRow>,
+    seats: BTreeMap<u64, RingSlotRow>,
 }
 
 impl SeatTable {
     /// The table of these rows.
-    pub fn of(rows: &[SeatRow]) -> SeatTable {
-        SeatTable { seats: rows.iter().map(|row| (row.seat, row.clone())).collect() }
+    pub fn of(rows: &[RingSlotRow]) -> SeatTable {
+        SeatTable { seats: rows.iter().map(|row| (row.ring_slot, row.clone())).collect() }
     }
 
     /// The rows, to record them.
-    pub fn rows(&self) -> Vec<SeatRow> {
+    pub fn rows(&self) -> Vec<RingSlotRow> {
         self.seats.values().cloned().collect()
     }
 
@@ -77,7 +77,7 @@
     ) {
         let first_list = self.seats.is_empty();
         let held: BTreeMap<UpstreamKey, u64> =
-            self.seats.values().map(|row| (row.holder, row.seat)).collect();
+            self.seats.values().map(|row| (row.holder, row.ring_slot)).collect();
         for row in rows.iter_mut() {
             let before = list.entries.get(&row.key()).and_then(|known| known.ring_slot);
             // One that leaves keeps the seat that another may have taken by now.
@@ -103,7 +103,8 @@
     fn hold(&mut self, row: &UpstreamEntry) {
         if let Some(seat) = row.ring_slot {
             let (service, address) = (row.service.clone(), row.address);
-            self.seats.insert(seat, SeatRow { seat, service, address, holder: row.key() });
+            self.seats
+                .insert(seat, RingSlotRow { ring_slot: seat, service, address, holder: row.key() });
         }
     }
 
@@ -126,13 +127,13 @@
 
 impl VacantSeats {
     fn of<'a>(
-        seats: impl Iterator<Item = &'a SeatRow>,
+        seats: impl Iterator<Item = &'a RingSlotRow>,
         living: &BTreeSet<UpstreamKey>,
     ) -> VacantSeats {
         let mut vacant = VacantSeats { by_service: BTreeMap::new(), by_place: BTreeMap::new() };
         for row in seats.filter(|row| !living.contains(&row.holder)) {
-            vacant.by_service.entry(row.service.clone()).or_default().insert(row.seat);
-            vacant.by_place.insert((row.service.clone(), row.address), row.seat);
+            vacant.by_service.entry(row.service.clone()).or_default().insert(row.ring_slot);
+            vacant.by_place.insert((row.service.clone(), row.address), row.ring_slot);
         }
         vacant
     }
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -31,11 +31,11 @@
     /// emptied or taken back by it.
     pub fn take(&mut self, orders: ZoneOrders, now_ms: u64) -> Vec<ZoneChange> {
         let Some(before) = self.orders.take_later(orders) else { return Vec::new() };
-        let other = |zone: &str, emptied| before.is_emptied(zone) != emptied;
+        let other = |zone: &str, emptied| before.is_evacuated(zone) != emptied;
         let rows = self.orders.rows().iter();
         let changes: Vec<ZoneChange> = rows
-            .filter(|row| other(&row.zone, row.emptied))
-            .map(|row| ZoneChange { zone: row.zone.clone(), emptied: row.emptied })
+            .filter(|row| other(&row.zone, row.evacuated))
+            .map(|row| ZoneChange { zone: row.zone.clone(), emptied: row.evacuated })
             .collect();
         for change in &changes {
             match change.emptied {
@@ -48,12 +48,12 @@
 
     /// Whether any zone is emptied.
     pub fn any_emptied(&self) -> bool {
-        self.orders.rows().iter().any(|row| row.emptied)
+        self.orders.rows().iter().any(|row| row.evacuated)
     }
 
     /// Whether nothing is sent to a zone's upstreams.
     pub fn is_emptied(&self, zone: &str) -> bool {
-        self.orders.is_emptied(zone)
+        self.orders.is_evacuated(zone)
     }
 
     /// Whether a zone came back so lately that its upstreams may be cold without the list's saying
--- a/lib/src/protocol/caller.rs
+++ b/lib/src/protocol/caller.rs
@@ -31,7 +31,7 @@
 pub const DEADLINE_HEADER: &str = "wingshed-deadline";
 /// The prefix of the headers that carry labels for the policy: `wingshed-label-NAME`.
 pub const LABEL_PREFIX: &str = "wingshed-label-";
-/// In each reply: whether the request ran; see [`RanMark`].
+/// In each reply: whether the request ran; see [`RanStatus`].
 pub const RAN_HEADER: &str = "wingshed-ran";
 /// In each reply: the upstream that served the request, if any.
 pub const UPSTREAM_HEADER: &str = "wingshed-upstream";
@@ -41,16 +41,16 @@
 pub const HOPS_HEADER: &str = "wingshed-hops";
 
 /// The longest name, id or label value in a header, in bytes.
-const LONGEST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// Bytes of message text that count as one token in the estimated size of a prompt.
-const CHARACTERS_PER_TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 /// The deadline of a request that names none, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 600_000;
 
 /// Whether a request ran at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum RanMark {
+pub enum RanStatus {
     /// No byte of it can have reached an upstream, or the upstream reported that it did not run.
     No,
     /// It ran.
@@ -59,22 +59,22 @@
     Unknown,
 }
 
-impl RanMark {
+impl RanStatus {
     /// The header's value.
     pub fn text(self) -> &'static str {
         match self {
-            RanMark::No => "no",
-            RanMark::Yes => "yes",
-            RanMark::Unknown => "unknown",
+            RanStatus::No => "no",
+            RanStatus::Yes => "yes",
+            RanStatus::Unknown => "unknown",
         }
     }
 
-    /// Parses a header's value; a missing or other value is [`RanMark::Unknown`].
-    pub fn of(text: Option<&str>) -> RanMark {
+    /// Parses a header's value; a missing or other value is [`RanStatus::Unknown`].
+    pub fn of(text: Option<&str>) -> RanStatus {
         match text {
-            Some("no") => RanMark::No,
-            Some("yes") => RanMark::Yes,
-            _ => RanMark::Unknown,
+            Some("no") => RanStatus::No,
+            Some("yes") => RanStatus::Yes,
+            _ => RanStatus::Unknown,
         }
     }
 }
@@ -91,7 +91,7 @@
     /// A description of the error for people.
     pub message: String,
     /// Whether the request ran.
-    pub ran: RanMark,
+    pub ran: RanStatus,
     /// After how many milliseconds the caller should retry.
     pub retry_after_ms: Option<u64>,
 }
@@ -104,7 +104,7 @@
             code: code.to_string(),
             field: None,
             message: message.into(),
-            ran: RanMark::No,
+            ran: RanStatus::No,
             retry_after_ms: None,
         }
     }
@@ -122,7 +122,7 @@
     }
 
     /// Sets whether the request ran.
-    pub fn with_ran(mut self, ran: RanMark) -> CallerError {
+    pub fn with_ran(mut self, ran: RanStatus) -> CallerError {
         self.ran = ran;
         self
     }
@@ -149,7 +149,7 @@
 
 /// The position in a stream after which a caller wants it resumed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResumePlace {
+pub struct ResumePosition {
     /// The name of the upstream that sent the stream.
     pub upstream: String,
     /// The number of the last event that the caller received.
@@ -200,7 +200,7 @@
     /// The properties of a chat; `None` for a plain request.
     pub facts: Option<ChatFacts>,
     /// The position at which to resume a stream.
-    pub resume: Option<ResumePlace>,
+    pub resume: Option<ResumePosition>,
 }
 
 /// Encodes bodies as MessagePack binary; encoded as sequences of numbers they would be twice as
@@ -337,7 +337,7 @@
             None => return Err(bad("max_tokens", "`max_tokens` must be from 1 to 1048576.")),
         },
     };
-    let prompt_tokens = (characters / CHARACTERS_PER_TOKEN).max(1) as u32;
+    let prompt_tokens = (characters / BYTES_PER_TOKEN).max(1) as u32;
     Ok(ChatFacts { stream, max_tokens, prompt_tokens, fresh })
 }
 
@@ -347,7 +347,7 @@
 
 fn is_good_name(text: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.bytes().all(plain)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(plain)
 }
 
 fn name_of(call: &HttpCall, header: &str) -> Result<Option<String>, CallerError> {
@@ -390,11 +390,11 @@
     format!("{number}@{upstream}")
 }
 
-fn resume_of(call: &HttpCall) -> Result<Option<ResumePlace>, CallerError> {
+fn resume_of(call: &HttpCall) -> Result<Option<ResumePosition>, CallerError> {
     let Some(text) = call.header("last-event-id") else { return Ok(None) };
     let place = text.split_once('@').and_then(|(number, upstream)| {
         let last = number.parse().ok()?;
-        Some(ResumePlace { upstream: upstream.to_string(), last })
+        Some(ResumePosition { upstream: upstream.to_string(), last })
     });
     place.map(Some).ok_or_else(|| bad("last-event-id", "This is not the id of one of our events."))
 }
--- a/lib/src/protocol/fleet_calls.rs
+++ b/lib/src/protocol/fleet_calls.rs
@@ -41,10 +41,10 @@
         /// The zone's name.
         zone: String,
         /// Whether it is emptied.
-        emptied: bool,
+        evacuate: bool,
     },
     /// It is none of these, but meant as one; the text says what is wrong.
-    Faulty(String),
+    Malformed(String),
     /// None of these.
     Unknown,
 }
@@ -67,7 +67,7 @@
     match (method, name) {
         ("GET", "") => FleetCall::ListRollouts,
         ("POST", "") => FleetCall::StartRollout,
-        ("DELETE", "") => FleetCall::Faulty("no service is named".to_string()),
+        ("DELETE", "") => FleetCall::Malformed("no service is named".to_string()),
         (_, name) if name.contains('/') => FleetCall::Unknown,
         ("GET", _) => FleetCall::GetRollout { service },
         ("DELETE", _) => FleetCall::AbortRollout { service },
@@ -80,10 +80,12 @@
     let zone = percent_decode(&zone.replace('+', "%2B"));
     match (method, verb) {
         ("GET", "") if zone.is_empty() => FleetCall::ListZones,
-        ("POST", _) if zone.is_empty() => FleetCall::Faulty("no zone is named".to_string()),
-        ("POST", "empty") => FleetCall::Zone { zone, emptied: true },
-        ("POST", "return") => FleetCall::Zone { zone, emptied: false },
-        ("POST", other) => FleetCall::Faulty(format!("'{other}' is neither 'empty' nor 'return'")),
+        ("POST", _) if zone.is_empty() => FleetCall::Malformed("no zone is named".to_string()),
+        ("POST", "empty") => FleetCall::Zone { zone, evacuate: true },
+        ("POST", "return") => FleetCall::Zone { zone, evacuate: false },
+        ("POST", other) => {
+            FleetCall::Malformed(format!("'{other}' is neither 'empty' nor 'return'"))
+        }
         _ => FleetCall::Unknown,
     }
 }
@@ -126,7 +128,7 @@
 
 /// The body that asks for a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct RolloutWishBody {
+pub struct RolloutRequestBody {
     /// The service's name.
     pub service: String,
     /// The version that its traffic is to be moved to.
@@ -198,7 +200,8 @@
     /// The zone's name.
     pub zone: String,
     /// Whether nothing more is sent to its upstreams.
-    pub emptied: bool,
+    #[serde(rename = "emptied")]
+    pub evacuated: bool,
     /// How many orders it got; 0 when none.
     pub number: u64,
 }
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -129,7 +129,7 @@
     /// The engine that holds it now.
     pub engine: UpstreamKey,
     /// The incarnation of the engine.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The number of tokens that the engine holds of the chat.
     pub tokens: u32,
 }
--- a/lib/src/protocol/operator.rs
+++ b/lib/src/protocol/operator.rs
@@ -113,7 +113,7 @@
     /// The roster's epoch.
     pub epoch: u64,
     /// The routers with the versions that they have applied, as the leader knows.
-    pub routers: Vec<RouterStanding>,
+    pub routers: Vec<RouterStatus>,
     /// Claims kept.
     pub claims: usize,
     /// Syncs of the log since the start.
@@ -124,7 +124,7 @@
 
 /// One router, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouterStanding {
+pub struct RouterStatus {
     /// Its number.
     pub id: RouterId,
     /// Where it listens.
--- a/lib/src/protocol/peer_wire.rs
+++ b/lib/src/protocol/peer_wire.rs
@@ -9,9 +9,9 @@
 /// The path of a passed request.
 pub const FORWARD_PATH: &str = "/router/forward";
 /// A request passes at most this many routers after the first.
-pub const MOST_HOPS: u8 = 3;
+pub const MAX_HOPS: u8 = 3;
 /// The code of a home's answer that an engine has no room; the sender tries elsewhere.
-pub const NO_ROOM_CODE: &str = "no_room";
+pub const NO_CAPACITY_CODE: &str = "no_room";
 
 /// What the policy decided at the entry, so that it runs once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
 /// Why a request is passed on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ForwardAim {
+pub enum ForwardPurpose {
     /// The receiver should serve it as if the caller had come there.
     AsEntry,
     /// The receiver is the chat's home.
@@ -58,7 +58,7 @@
     /// Routers passed after the first.
     pub hops: u8,
     /// Why.
-    pub aim: ForwardAim,
+    pub purpose: ForwardPurpose,
     /// The caller's request, its key already checked.
     pub request: CallerRequest,
 }
--- a/lib/src/protocol/plain.rs
+++ b/lib/src/protocol/plain.rs
@@ -25,12 +25,12 @@
 }
 
 /// Whether a reply says that the request did not run.
-pub fn says_not_run(headers: &[(String, String)]) -> bool {
+pub fn was_not_run(headers: &[(String, String)]) -> bool {
     find_header(headers, NOT_RUN_HEADER) == Some("true")
 }
 
 /// The rest that an upstream asks for beside a refusal, in milliseconds.
-pub fn asked_rest(reply: &HttpReply) -> Option<u64> {
+pub fn requested_backoff_ms(reply: &HttpReply) -> Option<u64> {
     let values = reply.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("retry-after"));
     let values = values.map(|(_, value)| value.as_str());
     let refused = reply.status == 503;
--- a/lib/src/protocol/seal.rs
+++ b/lib/src/protocol/seal.rs
@@ -16,7 +16,9 @@
 pub const SEAL_HEADER: &str = "wingshed-seal";
 /// A message may be this old or this far ahead, in milliseconds; clocks must agree better.
 pub const SEAL_AGE_MS: u64 = 30_000;
+/// The length to which the HMAC is truncated, in bytes.
 const MAC_BYTES: usize = 16;
+/// How many of the last counts of a session are checked for repetition; an older one is refused.
 const WINDOW: u64 = 4096;
 
 /// Why a message is refused.
@@ -37,7 +39,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct SealMark {
+struct SealStamp {
     session: u64,
     count: u64,
     time_ms: u64,
@@ -58,35 +60,35 @@
         SealMaker { key: fleet_key.as_bytes().to_vec(), session, count }
     }
 
-    fn mark(&self, wall_ms: u64) -> SealMark {
+    fn stamp(&self, wall_ms: u64) -> SealStamp {
         let count = self.count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        SealMark { session: self.session, count, time_ms: wall_ms }
+        SealStamp { session: self.session, count, time_ms: wall_ms }
     }
 
     /// The value of the seal header for a message to `target`.
     pub fn header(&self, target: &str, body: &[u8], wall_ms: u64) -> String {
-        let mark = self.mark(wall_ms);
-        let mac = mac_of(&self.key, &mark, target.as_bytes(), body);
-        format!("{:x}.{:x}.{:x}.{}", mark.session, mark.count, mark.time_ms, hex::encode(mac))
+        let stamp = self.stamp(wall_ms);
+        let mac = mac_of(&self.key, &stamp, target.as_bytes(), body);
+        format!("{:x}.{:x}.{:x}.{}", stamp.session, stamp.count, stamp.time_ms, hex::encode(mac))
     }
 
     /// A sealed datagram.
     pub fn datagram(&self, body: &[u8], wall_ms: u64) -> Vec<u8> {
-        let mark = self.mark(wall_ms);
-        let mut bytes = mac_of(&self.key, &mark, b"datagram", body).to_vec();
-        bytes.extend_from_slice(&mark.session.to_le_bytes());
-        bytes.extend_from_slice(&mark.count.to_le_bytes());
-        bytes.extend_from_slice(&mark.time_ms.to_le_bytes());
+        let stamp = self.stamp(wall_ms);
+        let mut bytes = mac_of(&self.key, &stamp, b"datagram", body).to_vec();
+        bytes.extend_from_slice(&stamp.session.to_le_bytes());
+        bytes.extend_from_slice(&stamp.count.to_le_bytes());
+        bytes.extend_from_slice(&stamp.time_ms.to_le_bytes());
         bytes.extend_from_slice(body);
         bytes
     }
 }
 
-fn mac_of(key: &[u8], mark: &SealMark, target: &[u8], body: &[u8]) -> [u8; MAC_BYTES] {
+fn mac_of(key: &[u8], stamp: &SealStamp, target: &[u8], body: &[u8]) -> [u8; MAC_BYTES] {
     let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any key length is good for HMAC");
-    mac.update(&mark.session.to_le_bytes());
-    mac.update(&mark.count.to_le_bytes());
-    mac.update(&mark.time_ms.to_le_bytes());
+    mac.update(&stamp.session.to_le_bytes());
+    mac.update(&stamp.count.to_le_bytes());
+    mac.update(&stamp.time_ms.to_le_bytes());
     mac.update(&(target.len() as u64).to_le_bytes());
     mac.update(target);
     mac.update(body);
@@ -100,12 +102,16 @@
 struct SessionWindow {
     highest: u64,
     seen: Vec<u64>,
-    heard_ms: u64,
+    last_received_ms: u64,
 }
 
 impl SessionWindow {
     fn new(now_ms: u64) -> SessionWindow {
-        SessionWindow { highest: 0, seen: vec![0; (WINDOW / 64) as usize], heard_ms: now_ms }
+        SessionWindow {
+            highest: 0,
+            seen: vec![0; (WINDOW / 64) as usize],
+            last_received_ms: now_ms,
+        }
     }
 
     fn accept(&mut self, count: u64) -> bool {
@@ -161,10 +167,10 @@
         let parts: Vec<&str> = header.unwrap_or("").split('.').collect();
         let [session, count, time, mac] = parts[..] else { return Err(SealRefusal::Malformed) };
         let number = |text| u64::from_str_radix(text, 16).map_err(|_| SealRefusal::Malformed);
-        let mark =
-            SealMark { session: number(session)?, count: number(count)?, time_ms: number(time)? };
+        let stamp =
+            SealStamp { session: number(session)?, count: number(count)?, time_ms: number(time)? };
         let mac = hex::decode(mac).map_err(|_| SealRefusal::Malformed)?;
-        self.check(&mark, &mac, target.as_bytes(), body, wall_ms)
+        self.check(&stamp, &mac, target.as_bytes(), body, wall_ms)
     }
 
     /// Checks a datagram and returns its body.
@@ -182,38 +188,38 @@
             word.copy_from_slice(&bytes[at..at + 8]);
             u64::from_le_bytes(word)
         };
-        let mark = SealMark {
+        let stamp = SealStamp {
             session: number(MAC_BYTES),
             count: number(MAC_BYTES + 8),
             time_ms: number(MAC_BYTES + 16),
         };
         let body = &bytes[HEAD..];
-        self.check(&mark, &bytes[..MAC_BYTES], b"datagram", body, wall_ms)?;
+        self.check(&stamp, &bytes[..MAC_BYTES], b"datagram", body, wall_ms)?;
         Ok(body)
     }
 
     fn check(
         &mut self,
-        mark: &SealMark,
+        stamp: &SealStamp,
         mac: &[u8],
         target: &[u8],
         body: &[u8],
         wall_ms: u64,
     ) -> Result<(), SealRefusal> {
         use subtle::ConstantTimeEq;
-        let expected = mac_of(&self.key, mark, target, body);
+        let expected = mac_of(&self.key, stamp, target, body);
         if !bool::from(expected.as_slice().ct_eq(mac)) {
             return Err(SealRefusal::Mismatch);
         }
-        let early = mark.time_ms + SEAL_AGE_MS < wall_ms.max(self.started_ms);
-        if early || mark.time_ms > wall_ms + SEAL_AGE_MS {
+        let early = stamp.time_ms + SEAL_AGE_MS < wall_ms.max(self.started_ms);
+        if early || stamp.time_ms > wall_ms + SEAL_AGE_MS {
             return Err(SealRefusal::OutOfTime);
         }
-        self.sessions.retain(|_, window| window.heard_ms + 4 * SEAL_AGE_MS > wall_ms);
-        let window = self.sessions.entry(mark.session);
+        self.sessions.retain(|_, window| window.last_received_ms + 4 * SEAL_AGE_MS > wall_ms);
+        let window = self.sessions.entry(stamp.session);
         let window = window.or_insert_with(|| SessionWindow::new(wall_ms));
-        window.heard_ms = wall_ms;
-        match window.accept(mark.count) {
+        window.last_received_ms = wall_ms;
+        match window.accept(stamp.count) {
             true => Ok(()),
             false => Err(SealRefusal::Replayed),
         }
--- a/lib/src/protocol/vm_list.rs
+++ b/lib/src/protocol/vm_list.rs
@@ -9,7 +9,7 @@
 /// How a VM stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum VmStanding {
+pub enum VmStatus {
     /// It runs.
     Live,
     /// It will be taken away.
@@ -22,7 +22,7 @@
     /// Where its server listens.
     pub address: SocketAddr,
     /// How it stands.
-    pub state: VmStanding,
+    pub state: VmStatus,
 }
 
 #[derive(Serialize, Deserialize)]
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -24,11 +24,11 @@
 
 /// The largest frame, in bytes. It has to hold a document of the largest size; a longer frame is
 /// refused, which bounds the memory that a peer can claim.
-pub const LARGEST_FRAME: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 /// The size of a frame's head, in bytes: the length of the body and the sender.
-pub const FRAME_HEAD: usize = 8;
+pub const FRAME_HEAD_BYTES: usize = 8;
 /// A body longer than this is compressed, in bytes; compression saves too little on a shorter one.
-const PACKED_FROM: usize = 512;
+const MIN_PACKED_BYTES: usize = 512;
 /// The bit that is set in the length of a frame whose body is compressed.
 const PACKED_FLAG: u32 = 1 << 31;
 
@@ -46,7 +46,7 @@
     /// Evacuates a zone or returns it to service.
     Zone(ZoneOrder),
     /// Moves a service's traffic to another version.
-    Rollout(RolloutWish),
+    Rollout(RolloutRequest),
     /// Rolls back a roll-out that is in progress.
     RollBack {
         /// The service's name.
@@ -58,7 +58,7 @@
 
 /// An operator's request for a roll-out. The leader adds the order's number and the number of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutWish {
+pub struct RolloutRequest {
     /// The service's name.
     pub service: String,
     /// The name of the version that the traffic moves to.
@@ -67,7 +67,7 @@
     pub duration_ms: u64,
     /// The number of the service's last order as known to the VM that received the request. A
     /// request sent while another one was accepted has an outdated number and changes nothing.
-    pub after: u64,
+    pub last_number: u64,
 }
 
 /// The outcome of an order.
@@ -118,14 +118,14 @@
     /// Asks the leader to commit an operator's order.
     Order {
         /// The sender's number for the request.
-        question: u64,
+        number: u64,
         /// The order.
         order: FleetOrder,
     },
     /// Answers [`VmMessage::Order`].
     OrderReply {
         /// The number of the request.
-        question: u64,
+        number: u64,
         /// The outcome of the order, and the orders that hold.
         verdict: OrderVerdict,
     },
@@ -158,7 +158,7 @@
     /// The whole list of upstreams.
     List {
         /// The revision of the list.
-        mark: ListRevision,
+        revision: ListRevision,
         /// The rows.
         rows: Vec<UpstreamEntry>,
     },
@@ -189,7 +189,8 @@
     /// The leader's answer to a renewal.
     Grant(GrantNote),
     /// The answer of a VM that isn't the leader.
-    Elsewhere {
+    #[serde(rename = "Elsewhere")]
+    Redirect {
         /// The leader, as far as the sender knows.
         leader: Option<VmId>,
         /// The keepers that the sender knows.
@@ -204,7 +205,8 @@
         term: u64,
     },
     /// The leader publishes the unresponsive upstreams; see `silence`.
-    Dark {
+    #[serde(rename = "Dark")]
+    Unresponsive {
         /// The leader's term.
         term: u64,
         /// All unresponsive upstreams.
@@ -225,9 +227,11 @@
         table: QuarantineTable,
     },
     /// Asks any VM for state that is newer than the sender's.
-    AskNews(NewsAsk),
-    /// Answers [`VmDatagram::AskNews`], at once or when newer state is available.
-    PeerNews(PeerNote),
+    #[serde(rename = "AskNews")]
+    RequestUpdate(UpdateRequest),
+    /// Answers [`VmDatagram::RequestUpdate`], at once or when newer state is available.
+    #[serde(rename = "PeerNews")]
+    PeerUpdate(PeerState),
 }
 
 impl VmDatagram {
@@ -236,19 +240,19 @@
         match self {
             VmDatagram::Renew(_) => "renewal",
             VmDatagram::Grant(_) => "grant",
-            VmDatagram::Elsewhere { .. } => "redirect",
+            VmDatagram::Redirect { .. } => "redirect",
             VmDatagram::Leads { .. } => "leadership",
-            VmDatagram::Dark { .. } => "dark",
+            VmDatagram::Unresponsive { .. } => "dark",
             VmDatagram::Rollouts { .. } => "rollouts",
             VmDatagram::Quarantine { .. } => "quarantine",
-            VmDatagram::AskNews(_) | VmDatagram::PeerNews(_) => "peer_news",
+            VmDatagram::RequestUpdate(_) | VmDatagram::PeerUpdate(_) => "peer_news",
         }
     }
 }
 
 /// What a VM sends to other VMs when its state has not been confirmed for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsAsk {
+pub struct UpdateRequest {
     /// The time of the sender's steady clock, which the answer echoes.
     pub sent_ms: u64,
     /// The revision of the list of upstreams that the sender holds.
@@ -265,7 +269,7 @@
 /// time, so that the receiver can add them to the time of its own request to obtain a confirmed
 /// time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerNote {
+pub struct PeerState {
     /// The time in the request.
     pub sent_ms: u64,
     /// The revision of the list of upstreams that the sender holds.
@@ -298,19 +302,19 @@
     /// Shared prompt parts that the sender sent to another engine than rendezvous order gives.
     pub holders: Vec<HolderNote>,
     /// The position up to which the sender has received such notes of other VMs.
-    pub holders_heard: HolderMark,
+    pub holders_received: HolderMark,
     /// The results of the sender's requests to upstreams.
     pub health_reports: Vec<HealthReport>,
     /// The number of zone orders that the sender has.
     pub zone_orders: u64,
     /// Upstreams that the sender could not reach.
-    pub doubts: Vec<UpstreamKey>,
+    pub unreachable: Vec<UpstreamKey>,
     /// Identifies the set of unresponsive upstreams that the sender received last; see `silence`.
-    pub dark: DarkMark,
+    pub unresponsive: DarkMark,
     /// The number of roll-out changes that the sender has.
     pub rollout_changes: u64,
     /// The incarnation of the sender's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// The sender's observations of roll-outs in progress.
     pub rollouts: Vec<RolloutNote>,
     /// The number of quarantine changes that the sender has.
@@ -343,20 +347,20 @@
     /// Notes of other VMs on the engines that hold shared prompt parts.
     pub holders: Vec<HolderNote>,
     /// The position in these notes that the receiver has reached with this answer.
-    pub holders_heard: HolderMark,
+    pub holders_received: HolderMark,
     /// Upstreams that fail for all VMs that send to them.
     pub failing: Vec<UpstreamKey>,
     /// The last orders of zones, or `None` if the renewal reported as many.
     pub zones: Option<ZoneOrders>,
     /// The unresponsive upstreams, or `None` if the renewal named the same set.
-    pub dark: Option<Vec<UpstreamKey>>,
+    pub unresponsive: Option<Vec<UpstreamKey>>,
     /// The last roll-outs, or `None` if the renewal reported as many changes.
     pub rollouts: Option<RolloutTable>,
     /// The records of requests that end upstreams, or `None` if the renewal reported as many
     /// changes.
     pub quarantine: Option<QuarantineTable>,
     /// The number of the last crash in the renewal that is answered.
-    pub crashes_heard: u64,
+    pub last_crash: u64,
 }
 
 /// Encodes a message or datagram.
@@ -384,23 +388,23 @@
 /// shorter.
 pub fn encode_frame(from: VmId, message: &VmMessage) -> Bytes {
     let plain = encode(message);
-    let packed = (plain.len() > PACKED_FROM).then(|| PackedText::pack(&plain).into_bytes());
+    let packed = (plain.len() > MIN_PACKED_BYTES).then(|| PackedText::pack(&plain).into_bytes());
     let packed = packed.filter(|packed| packed.len() < plain.len());
-    let mark = if packed.is_some() { PACKED_FLAG } else { 0 };
+    let length_word = if packed.is_some() { PACKED_FLAG } else { 0 };
     let body = packed.unwrap_or(plain);
-    let mut frame = Vec::with_capacity(body.len() + FRAME_HEAD);
-    frame.extend_from_slice(&(body.len() as u32 | mark).to_le_bytes());
+    let mut frame = Vec::with_capacity(body.len() + FRAME_HEAD_BYTES);
+    frame.extend_from_slice(&(body.len() as u32 | length_word).to_le_bytes());
     frame.extend_from_slice(&from.to_le_bytes());
     frame.extend_from_slice(&body);
     frame.into()
 }
 
 /// Decodes a frame's head; returns an error if the length is out of bounds.
-pub fn decode_frame_head(head: [u8; FRAME_HEAD]) -> Result<FrameHead, String> {
-    let mark = u32::from_le_bytes([head[0], head[1], head[2], head[3]]);
+pub fn decode_frame_head(head: [u8; FRAME_HEAD_BYTES]) -> Result<FrameHead, String> {
+    let length_word = u32::from_le_bytes([head[0], head[1], head[2], head[3]]);
     let from = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    let (length, packed) = ((mark & !PACKED_FLAG) as usize, mark & PACKED_FLAG != 0);
-    match length <= LARGEST_FRAME {
+    let (length, packed) = ((length_word & !PACKED_FLAG) as usize, length_word & PACKED_FLAG != 0);
+    match length <= MAX_FRAME_BYTES {
         true => Ok(FrameHead { length, packed, from }),
         false => Err(format!("a frame of {length} bytes is too long")),
     }
--- a/lib/src/protocol/weight_store.rs
+++ b/lib/src/protocol/weight_store.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreState {
     /// Loads that it takes at once.
-    pub most_loads: usize,
+    #[serde(rename = "most_loads")]
+    pub max_loads: usize,
     /// Loads that run.
     pub loads: usize,
 }
--- a/lib/src/protocol/wire_adapter.rs
+++ b/lib/src/protocol/wire_adapter.rs
@@ -32,16 +32,16 @@
     /// The parts of its prompt, in order.
     pub prompt: Vec<PromptPart>,
     /// The most tokens that it asks for.
-    pub most_output: u32,
+    pub max_output: u32,
     /// The caller's guess of the tokens out.
-    pub output_guess: Option<u32>,
+    pub expected_output: Option<u32>,
     /// The last event that the caller has seen of this stream.
     pub last_event: Option<String>,
 }
 
 /// Why a head is not a proper request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeadFault {
+pub enum HeadError {
     /// It names no host, or several.
     Host,
     /// It frames its body in two ways.
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamSend {
     /// The life that the request is for; another must not run it.
-    pub life: String,
+    pub name: String,
     /// How long the upstream may work on it, in milliseconds.
     pub left_ms: u64,
     /// The workspace whose key the caller gave.
@@ -88,7 +88,7 @@
     /// The upstream says that it did not run the request.
     pub not_run: bool,
     /// Another life listens there than the request was for.
-    pub other_life: bool,
+    pub other_incarnation: bool,
     /// Its load.
     pub load: Option<LoadReport>,
     /// The connection ends with this answer.
@@ -96,7 +96,7 @@
     /// How long the connection may rest, in milliseconds.
     pub idle_ms: Option<u64>,
     /// The upstream turns this VM away and wants nothing from it for so long, in milliseconds.
-    pub rest_ms: Option<u64>,
+    pub backoff_ms: Option<u64>,
     /// The upstream leaves.
     pub leaving: bool,
 }
@@ -122,7 +122,7 @@
         /// The zone's name.
         zone: String,
         /// Whether it is emptied.
-        emptied: bool,
+        evacuate: bool,
     },
     /// Begin a roll-out; the body says which.
     StartRollout,
@@ -132,7 +132,7 @@
         service: String,
     },
     /// It is none of these, but meant as one; the text says what is wrong.
-    Faulty(String),
+    Malformed(String),
     /// None of these.
     Unknown,
 }
@@ -160,7 +160,7 @@
 /// A platform's wire, in this project's types.
 pub trait WireAdapter {
     /// Reads the head of a caller's request.
-    fn read_request(&self, head: &request::Parts) -> Result<CallerRequest, HeadFault>;
+    fn read_request(&self, head: &request::Parts) -> Result<CallerRequest, HeadError>;
     /// The headers under which a caller's request goes to an upstream.
     fn write_send(&self, head: &request::Parts, send: &UpstreamSend) -> HeaderMap;
     /// Reads the head of an upstream's answer.
--- a/lib/src/state/chat_memory.rs
+++ b/lib/src/state/chat_memory.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HolderCertainty {
     /// Events were lost since the chat was served, so that its drop may have been missed.
-    Perhaps,
+    Uncertain,
     /// The chat was served there, and no event has reported its drop since.
-    Surely,
+    Certain,
 }
 
 /// One engine that served a chat.
@@ -48,7 +48,7 @@
     chats: HashMap<ChatKey, ChatRecord>,
     by_use: BTreeMap<u64, ChatKey>,
     gap_epochs: HashMap<UpstreamKey, u32>,
-    lives: HashMap<UpstreamKey, Incarnation>,
+    incarnations: HashMap<UpstreamKey, Incarnation>,
     clock: u64,
 }
 
@@ -60,13 +60,19 @@
             chats: HashMap::new(),
             by_use: BTreeMap::new(),
             gap_epochs: HashMap::new(),
-            lives: HashMap::new(),
+            incarnations: HashMap::new(),
             clock: 0,
         }
     }
 
     /// Records that `engine` served `chat` and now holds `tokens` of it.
-    pub fn note(&mut self, chat: ChatKey, engine: UpstreamKey, life: Incarnation, tokens: u32) {
+    pub fn note(
+        &mut self,
+        chat: ChatKey,
+        engine: UpstreamKey,
+        incarnation: Incarnation,
+        tokens: u32,
+    ) {
         let gap_epoch = self.gap_epochs.get(&engine).copied().unwrap_or(0);
         self.clock += 1;
         let record = self.chats.entry(chat).or_default();
@@ -76,10 +82,10 @@
         record.used = self.clock;
         self.by_use.insert(self.clock, chat);
         record.holders.retain(|holder| holder.engine != engine);
-        record.holders.insert(0, ChatHolder { engine, incarnation: life, tokens, gap_epoch });
+        record.holders.insert(0, ChatHolder { engine, incarnation, tokens, gap_epoch });
         record.holders.truncate(HOLDERS_KEPT);
         if self.chats.len() > self.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
@@ -100,20 +106,20 @@
     }
 
     /// Records the incarnation of an engine. What an earlier incarnation held is lost.
-    pub fn set_life(&mut self, engine: UpstreamKey, life: Incarnation) {
-        self.lives.insert(engine, life);
+    pub fn set_incarnation(&mut self, engine: UpstreamKey, incarnation: Incarnation) {
+        self.incarnations.insert(engine, incarnation);
     }
 
     /// The certainty of a holder; `None` when the incarnation that served the chat is gone.
     pub fn certainty(&self, holder: &ChatHolder) -> Option<HolderCertainty> {
-        let life = self.lives.get(&holder.engine);
-        if life.is_some_and(|life| *life != holder.incarnation) {
+        let incarnation = self.incarnations.get(&holder.engine);
+        if incarnation.is_some_and(|incarnation| *incarnation != holder.incarnation) {
             return None;
         }
         let gaps = self.gap_epochs.get(&holder.engine).copied().unwrap_or(0);
         match gaps == holder.gap_epoch {
-            true => Some(HolderCertainty::Surely),
-            false => Some(HolderCertainty::Perhaps),
+            true => Some(HolderCertainty::Certain),
+            false => Some(HolderCertainty::Uncertain),
         }
     }
 
@@ -139,7 +145,7 @@
         self.chats.is_empty()
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if let Some((_, chat)) = self.by_use.pop_first() {
             self.chats.remove(&chat);
         }
--- a/lib/src/state/configuration.rs
+++ b/lib/src/state/configuration.rs
@@ -69,7 +69,8 @@
     /// An upstream gets no further work once its load reaches this multiple of the fleet's mean.
     pub multiple: f64,
     /// The largest share of the fleet that passive health checks may eject at the same time.
-    pub set_aside_share: f64,
+    #[serde(rename = "set_aside_share")]
+    pub max_ejected_share: f64,
     /// The most requests that may wait at one router.
     pub queue: usize,
     /// The most requests that one engine is given at the same time. It should be the number that
@@ -79,12 +80,12 @@
     /// Whether the upstreams check the fencing token of an order themselves.
     pub checks_fence: bool,
     /// The costs of computing and transferring KV cache on its engines.
-    pub rates: MoveRates,
+    pub rates: KvRates,
 }
 
 /// The rates of a fleet of engines, as measured by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MoveRates {
+pub struct KvRates {
     /// Prompt tokens that an engine computes per millisecond.
     pub prefill_per_ms: f64,
     /// Tokens of KV cache that are transferred between engines per millisecond; 0 if they can't be.
@@ -94,8 +95,8 @@
 }
 
 /// The default rates, which exclude imports.
-pub const NO_IMPORT_RATES: MoveRates =
-    MoveRates { prefill_per_ms: 8.0, import_per_ms: 0.0, import_start_ms: 30.0 };
+pub const NO_IMPORT_RATES: KvRates =
+    KvRates { prefill_per_ms: 8.0, import_per_ms: 0.0, import_start_ms: 30.0 };
 
 /// A server of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -339,11 +340,11 @@
             EntryOperation::Put { section: Section::Workspaces, name, .. } => Some(name),
             _ => None,
         });
-        let suspects: Vec<&String> = match policy_removed {
+        let unchecked: Vec<&String> = match policy_removed {
             true => self.workspaces.keys().collect(),
             false => touched.collect(),
         };
-        for name in suspects {
+        for name in unchecked {
             let Some(workspace) = self.workspaces.get(name) else { continue };
             if !self.policies.contains_key(&workspace.policy) {
                 let path = format!("$.workspaces.{name}.policy");
@@ -362,7 +363,7 @@
         Section::Fleets => ConfigEntry::Fleet(FleetEntry {
             kind: read_kind(&mut reader, list),
             multiple: reader.ratio("multiple", 1.25, 1.01..=10.0, list),
-            set_aside_share: reader.ratio("set_aside_share", 0.3, 0.0..=0.9, list),
+            max_ejected_share: reader.ratio("set_aside_share", 0.3, 0.0..=0.9, list),
             queue: reader.number("queue", Some(64), 0..=100_000, list) as usize,
             requests_per_engine: reader.number("requests_per_engine", Some(256), 1..=100_000, list)
                 as u32,
@@ -393,12 +394,12 @@
     entry
 }
 
-fn read_rates(reader: &mut ObjectReader<'_>, list: &mut FindingList) -> MoveRates {
+fn read_rates(reader: &mut ObjectReader<'_>, list: &mut FindingList) -> KvRates {
     let path = reader.path_of("rates");
     let Some(value) = reader.value("rates") else { return NO_IMPORT_RATES };
     let mut rates = ObjectReader::new(&path, value, list);
     let none = NO_IMPORT_RATES;
-    let read = MoveRates {
+    let read = KvRates {
         prefill_per_ms: rates.ratio("prefill_per_ms", none.prefill_per_ms, 0.001..=1e6, list),
         import_per_ms: rates.ratio("import_per_ms", none.import_per_ms, 0.0..=1e6, list),
         import_start_ms: rates.ratio("import_start_ms", none.import_start_ms, 0.0..=1e6, list),
--- a/lib/src/state/connect_count.rs
+++ b/lib/src/state/connect_count.rs
@@ -8,7 +8,7 @@
     /// All open connections are in use.
     Busy,
     /// The last one had reached its idle time-out.
-    Rested,
+    IdleTimeout,
     /// The upstream closed the last one.
     Closed,
     /// The VM closed the last one in the middle of an answer.
@@ -20,7 +20,7 @@
     pub const ALL: [ConnectCause; 5] = [
         ConnectCause::First,
         ConnectCause::Busy,
-        ConnectCause::Rested,
+        ConnectCause::IdleTimeout,
         ConnectCause::Closed,
         ConnectCause::Cut,
     ];
@@ -30,7 +30,7 @@
         match self {
             ConnectCause::First => "first",
             ConnectCause::Busy => "busy",
-            ConnectCause::Rested => "rested",
+            ConnectCause::IdleTimeout => "rested",
             ConnectCause::Closed => "closed",
             ConnectCause::Cut => "cut",
         }
--- a/lib/src/state/document_change.rs
+++ b/lib/src/state/document_change.rs
@@ -38,9 +38,10 @@
 impl DocumentChange {
     /// Encodes `after` as a difference from `before`.
     pub fn between(before: &[u8], after: &[u8]) -> DocumentChange {
-        let known: HashMap<&[u8], usize> = cut(before).map(|(from, piece)| (piece, from)).collect();
+        let known: HashMap<&[u8], usize> =
+            split_pieces(before).map(|(from, piece)| (piece, from)).collect();
         let mut pieces = Vec::new();
-        for (_, piece) in cut(after) {
+        for (_, piece) in split_pieces(after) {
             if let Some(DocumentPiece::Kept { from, length }) = pieces.last_mut() {
                 // A short piece occurs in many places, so the continuation of the last one is
                 // preferred.
@@ -88,7 +89,7 @@
 }
 
 /// The pieces of a document with their offsets.
-fn cut(document: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
+fn split_pieces(document: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
     let mut from = 0;
     document.split_inclusive(|byte| *byte == b'}').map(move |piece| {
         let begin = from;
--- a/lib/src/state/finding.rs
+++ b/lib/src/state/finding.rs
@@ -70,7 +70,7 @@
     };
     let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &Default::default());
     if let Some(root) = parsed.ok().and_then(|result| result.value) {
-        find_doubled_keys(&root, "$", list);
+        report_duplicate_keys(&root, "$", list);
     }
     if !value.is_object() {
         list.add("$", "the document must be an object");
@@ -81,7 +81,7 @@
 
 /// Reports duplicate keys. `serde_json` silently keeps the last one of equal keys, so that an
 /// operator would not notice.
-fn find_doubled_keys(value: &ast::Value, path: &str, list: &mut FindingList) {
+fn report_duplicate_keys(value: &ast::Value, path: &str, list: &mut FindingList) {
     match value {
         ast::Value::Object(object) => {
             let mut seen = BTreeSet::new();
@@ -90,12 +90,12 @@
                 if !seen.insert(property.name.as_str()) {
                     list.add(&child, "this key stands twice");
                 }
-                find_doubled_keys(&property.value, &child, list);
+                report_duplicate_keys(&property.value, &child, list);
             }
         }
         ast::Value::Array(array) => {
             for (at, element) in array.elements.iter().enumerate() {
-                find_doubled_keys(element, &format!("{path}[{at}]"), list);
+                report_duplicate_keys(element, &format!("{path}[{at}]"), list);
             }
         }
         _ => {}
--- a/lib/src/state/fleet_record.rs
+++ b/lib/src/state/fleet_record.rs
@@ -20,9 +20,9 @@
 /// The incarnation that holds, or last held, a ring slot, which is a position in the rendezvous
 /// order of engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeatRow {
+pub struct RingSlotRow {
     /// The ring slot.
-    pub seat: u64,
+    pub ring_slot: u64,
     /// The service that the slot belongs to.
     pub service: String,
     /// The address on which the holder listens.
@@ -33,7 +33,7 @@
 
 /// A document and its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldDocument {
+pub struct VersionedDocument {
     /// The version; 0 if there is no document.
     pub version: u64,
     /// The compressed document.
@@ -44,9 +44,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetCommand {
     /// Replaces the document if this one is newer.
-    Document(HeldDocument),
+    Document(VersionedDocument),
     /// Replaces the ring slots.
-    Seats(Vec<SeatRow>),
+    #[serde(rename = "Seats")]
+    RingSlots(Vec<RingSlotRow>),
     /// Evacuates a zone or returns it to service.
     Zone(ZoneOrder),
     /// Begins a roll-out or advances it by a step.
@@ -81,9 +82,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetRecord {
     /// The newest document.
-    pub document: HeldDocument,
+    pub document: VersionedDocument,
     /// The ring slots.
-    pub seats: Vec<SeatRow>,
+    pub ring_slots: Vec<RingSlotRow>,
     /// The last order of each zone.
     #[serde(default)]
     pub zones: ZoneOrders,
@@ -104,19 +105,19 @@
                 true => RecordChange::Document,
                 false => RecordChange::Other,
             }),
-            FleetCommand::Seats(seats) => {
-                self.seats = seats;
+            FleetCommand::RingSlots(ring_slots) => {
+                self.ring_slots = ring_slots;
                 Ok(RecordChange::Other)
             }
-            FleetCommand::Zone(order) => Ok(match self.zones.take(order) {
+            FleetCommand::Zone(order) => Ok(match self.zones.apply(order) {
                 true => RecordChange::Other,
                 false => RecordChange::Overtaken,
             }),
-            FleetCommand::Rollout(command) => Ok(match self.rollouts.take(command) {
+            FleetCommand::Rollout(command) => Ok(match self.rollouts.apply(command) {
                 true => RecordChange::Rollout,
                 false => RecordChange::Overtaken,
             }),
-            FleetCommand::Quarantine(command) => Ok(match self.quarantine.take(command) {
+            FleetCommand::Quarantine(command) => Ok(match self.quarantine.apply(command) {
                 true => RecordChange::Quarantine,
                 false => RecordChange::Other,
             }),
@@ -133,14 +134,14 @@
     pub fn restore(&mut self, image: &[u8]) -> Result<bool, String> {
         let record: FleetRecord =
             rmp_serde::from_slice(image).map_err(|error| error.to_string())?;
-        self.seats = record.seats;
+        self.ring_slots = record.ring_slots;
         self.zones.take_later(record.zones);
         self.rollouts.take_later(record.rollouts);
         self.quarantine.take_later(record.quarantine);
         Ok(self.take_document(record.document))
     }
 
-    fn take_document(&mut self, document: HeldDocument) -> bool {
+    fn take_document(&mut self, document: VersionedDocument) -> bool {
         let newer = document.version > self.document.version;
         if newer {
             self.document = document;
--- a/lib/src/state/ids.rs
+++ b/lib/src/state/ids.rs
@@ -59,11 +59,11 @@
 small_key!(
     /// A request, identified by the hash of its content, so that repeated attempts at any VM have
     /// the same fingerprint; see [`RequestFingerprint::of`].
-    RequestMark,
+    RequestFingerprint,
     u64
 );
 
-impl RequestMark {
+impl RequestFingerprint {
     /// The fingerprint of what a caller requests. It excludes whatever changes when the request is
     /// attempted again, such as the attempt's name. `workspace` identifies the caller if its key
     /// belongs to one, so that the fingerprint remains the same when the caller changes keys.
@@ -73,14 +73,14 @@
         path: &str,
         workspace: Option<&str>,
         body: &[u8],
-    ) -> RequestMark {
+    ) -> RequestFingerprint {
         let mut hash = Xxh3::new();
         for part in [method, host, path, workspace.unwrap_or_default()] {
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part.as_bytes());
         }
         hash.update(body);
-        RequestMark(hash.digest())
+        RequestFingerprint(hash.digest())
     }
 }
 
--- a/lib/src/state/kept_list.rs
+++ b/lib/src/state/kept_list.rs
@@ -23,15 +23,15 @@
 
 /// A list of upstreams as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptList {
+pub struct StoredList {
     /// The revision of the list.
-    pub mark: ListRevision,
+    pub revision: ListRevision,
     /// The rows.
     pub rows: Vec<UpstreamEntry>,
 }
 
 /// Replaces the copy on disk.
-pub fn write_kept(folder: &Path, list: &KeptList) -> io::Result<()> {
+pub fn store_list(folder: &Path, list: &StoredList) -> io::Result<()> {
     let plain = rmp_serde::to_vec(list).map_err(io::Error::other)?;
     let packed = PackedText::pack(&plain).into_bytes();
     let next = folder.join(NEXT_FILE);
@@ -43,7 +43,7 @@
 }
 
 /// Reads the copy; `None` if there is none, and an error if the file is damaged.
-pub fn read_kept(folder: &Path) -> io::Result<Option<KeptList>> {
+pub fn load_list(folder: &Path) -> io::Result<Option<StoredList>> {
     let bytes = match fs::read(folder.join(FILE)) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
--- a/lib/src/state/list_reading.rs
+++ b/lib/src/state/list_reading.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 use super::finding::Finding;
-use super::upstream_list::{EntryDoubt, UpstreamEntry, UpstreamList};
+use super::upstream_list::{EntryDefect, UpstreamEntry, UpstreamList};
 
 /// An entry that can't be parsed, with those fields that identify its upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -112,12 +112,12 @@
         let names = UnreadNames::of(&self.unread);
         let named = |row: &&UpstreamEntry| !read.contains(row.name.as_str()) && names.include(row);
         let hold = |row: &UpstreamEntry| {
-            let doubt = match row.doubt {
-                EntryDoubt::State => EntryDoubt::State,
-                _ if served.contains(row.service.as_str()) => EntryDoubt::Unread,
-                _ => EntryDoubt::None,
+            let defect = match row.defect {
+                EntryDefect::State => EntryDefect::State,
+                _ if served.contains(row.service.as_str()) => EntryDefect::Unread,
+                _ => EntryDefect::None,
             };
-            UpstreamEntry { doubt, ..row.clone() }
+            UpstreamEntry { defect, ..row.clone() }
         };
         known.entries.values().filter(named).map(hold).collect()
     }
--- a/lib/src/state/log_store.rs
+++ b/lib/src/state/log_store.rs
@@ -17,8 +17,10 @@
 
 /// The version of the folder's format that this program writes and accepts.
 pub const FORMAT_VERSION: u32 = 1;
-const RECORD_HEAD: usize = 8;
-const LARGEST_RECORD: usize = 256 << 20;
+/// The size of a record's head, in bytes: the length of the body and its checksum.
+const RECORD_HEAD_BYTES: usize = 8;
+/// The largest body of a record, in bytes; a longer length can only come from damage.
+const MAX_RECORD_BYTES: usize = 256 << 20;
 
 /// An error of the store's files.
 #[derive(Debug, Snafu)]
@@ -381,13 +383,13 @@
 }
 
 fn good_record_after(bytes: &[u8]) -> bool {
-    (0..bytes.len().saturating_sub(RECORD_HEAD))
+    (0..bytes.len().saturating_sub(RECORD_HEAD_BYTES))
         .any(|at| decode_record::<LogBatch>(&bytes[at..]).is_ok())
 }
 
 fn encode_record<T: Serialize>(value: &T) -> Vec<u8> {
     let body = rmp_serde::to_vec(value).expect("plain data always encodes");
-    let mut record = Vec::with_capacity(body.len() + RECORD_HEAD);
+    let mut record = Vec::with_capacity(body.len() + RECORD_HEAD_BYTES);
     record.extend_from_slice(&(body.len() as u32).to_le_bytes());
     record.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     record.extend_from_slice(&body);
@@ -395,20 +397,20 @@
 }
 
 fn decode_record<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<(T, usize), String> {
-    if bytes.len() < RECORD_HEAD {
+    if bytes.len() < RECORD_HEAD_BYTES {
         return Err("a record's head is cut short".to_string());
     }
     let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
     let checksum = u32::from_le_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]);
-    if length == 0 || length > LARGEST_RECORD || bytes.len() - RECORD_HEAD < length {
+    if length == 0 || length > MAX_RECORD_BYTES || bytes.len() - RECORD_HEAD_BYTES < length {
         return Err("a record's length does not fit the file".to_string());
     }
-    let body = &bytes[RECORD_HEAD..RECORD_HEAD + length];
+    let body = &bytes[RECORD_HEAD_BYTES..RECORD_HEAD_BYTES + length];
     if crc32fast::hash(body) != checksum {
         return Err("a record does not match its checksum".to_string());
     }
     let value = rmp_serde::from_slice(body).map_err(|error| error.to_string())?;
-    Ok((value, RECORD_HEAD + length))
+    Ok((value, RECORD_HEAD_BYTES + length))
 }
 
 fn open_log(path: &Path) -> Result<File, StoreError> {
--- a/lib/src/state/packed_text.rs
+++ b/lib/src/state/packed_text.rs
@@ -15,7 +15,7 @@
 
 /// The largest decompressed text, in bytes. It is above any document that is accepted, and bounds
 /// the memory that a damaged or forged text can claim.
-pub const LARGEST_TEXT: u64 = 16 << 20;
+pub const MAX_TEXT_BYTES: u64 = 16 << 20;
 /// The first byte of a zlib stream; no configuration begins with it.
 const PACKED_MARK: u8 = 0x78;
 
@@ -36,14 +36,14 @@
     }
 
     /// Decompresses the text; returns an error if the bytes are damaged or the text is larger than
-    /// [`LARGEST_TEXT`].
+    /// [`MAX_TEXT_BYTES`].
     pub fn unpack(&self) -> std::io::Result<Vec<u8>> {
         if self.bytes.first() != Some(&PACKED_MARK) {
             return Ok(self.bytes.clone());
         }
         let mut text = Vec::new();
-        ZlibDecoder::new(&self.bytes[..]).take(LARGEST_TEXT + 1).read_to_end(&mut text)?;
-        match text.len() as u64 > LARGEST_TEXT {
+        ZlibDecoder::new(&self.bytes[..]).take(MAX_TEXT_BYTES + 1).read_to_end(&mut text)?;
+        match text.len() as u64 > MAX_TEXT_BYTES {
             true => Err(std::io::Error::other("a packed text is too large")),
             false => Ok(text),
         }
--- a/lib/src/state/quarantine.rs
+++ b/lib/src/state/quarantine.rs
@@ -6,22 +6,22 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ids::{RequestMark, UpstreamKey};
+use super::ids::{RequestFingerprint, UpstreamKey};
 
 /// The most rows, which take 40 bytes each in what VMs receive. Beyond it the oldest row that is
 /// not quarantined is removed, or the oldest of all if every row is.
-pub const MOST_ROWS: usize = 128;
+pub const MAX_ROWS: usize = 128;
 
 /// One request and the upstreams that it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRow {
     /// The request.
-    pub mark: RequestMark,
+    pub fingerprint: RequestFingerprint,
     /// Upstreams that ended while they ran the request, since it last completed.
     pub ended: Vec<UpstreamKey>,
     /// Whether the request is quarantined, that is, sent to no upstream. Otherwise it is watched:
     /// VMs report when it completes.
-    pub held: bool,
+    pub quarantined: bool,
     /// How often the request has been quarantined.
     pub times: u32,
 }
@@ -32,7 +32,7 @@
     /// Sets the row of a request.
     Set(QuarantineRow),
     /// Removes the row of a request.
-    Clear(RequestMark),
+    Clear(RequestFingerprint),
 }
 
 /// The rows of all quarantined and watched requests.
@@ -49,18 +49,18 @@
     }
 
     /// The row of a request, if there is one.
-    pub fn row(&self, mark: RequestMark) -> Option<&QuarantineRow> {
-        self.rows.iter().find(|row| row.mark == mark)
+    pub fn row(&self, fingerprint: RequestFingerprint) -> Option<&QuarantineRow> {
+        self.rows.iter().find(|row| row.fingerprint == fingerprint)
     }
 
     /// Whether a request is quarantined.
-    pub fn is_held(&self, mark: RequestMark) -> bool {
-        self.row(mark).is_some_and(|row| row.held)
+    pub fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
+        self.row(fingerprint).is_some_and(|row| row.quarantined)
     }
 
     /// The number of quarantined requests.
-    pub fn held(&self) -> usize {
-        self.rows.iter().filter(|row| row.held).count()
+    pub fn quarantined_count(&self) -> usize {
+        self.rows.iter().filter(|row| row.quarantined).count()
     }
 
     /// The number of commands that changed the table. Of two states, the one with more changes is
@@ -70,18 +70,18 @@
     }
 
     /// Applies a command; returns `false` if it changes nothing.
-    pub fn take(&mut self, command: QuarantineCommand) -> bool {
-        let (mark, fresh) = match command {
-            QuarantineCommand::Set(row) => (row.mark, Some(row)),
-            QuarantineCommand::Clear(mark) => (mark, None),
+    pub fn apply(&mut self, command: QuarantineCommand) -> bool {
+        let (fingerprint, new_row) = match command {
+            QuarantineCommand::Set(row) => (row.fingerprint, Some(row)),
+            QuarantineCommand::Clear(fingerprint) => (fingerprint, None),
         };
-        if self.row(mark) == fresh.as_ref() {
+        if self.row(fingerprint) == new_row.as_ref() {
             return false;
         }
-        self.rows.retain(|row| row.mark != mark);
-        self.rows.extend(fresh);
-        if self.rows.len() > MOST_ROWS {
-            let oldest = self.rows.iter().position(|row| !row.held).unwrap_or(0);
+        self.rows.retain(|row| row.fingerprint != fingerprint);
+        self.rows.extend(new_row);
+        if self.rows.len() > MAX_ROWS {
+            let oldest = self.rows.iter().position(|row| !row.quarantined).unwrap_or(0);
             self.rows.remove(oldest);
         }
         self.changes += 1;
@@ -89,7 +89,7 @@
     }
 
     /// The table for a reader that has `known` changes; `None` if the reader is up to date.
-    pub fn news(&self, known: u64) -> Option<QuarantineTable> {
+    pub fn update_since(&self, known: u64) -> Option<QuarantineTable> {
         (self.changes != known).then(|| self.clone())
     }
 
--- a/lib/src/state/rollout_order.rs
+++ b/lib/src/state/rollout_order.rs
@@ -75,7 +75,7 @@
     /// The number of VMs that share the requests handed out at the start, which is the number that
     /// the leader was in contact with when it accepted the order. It is `u32::MAX`, so that no VM
     /// gets any, while a new leader may not have been in contact with all VMs yet.
-    pub vms: u32,
+    pub sharing_vms: u32,
 }
 
 /// A step of an order.
@@ -163,19 +163,19 @@
     }
 
     /// Whether an order is in progress.
-    pub fn any_runs(&self) -> bool {
+    pub fn any_running(&self) -> bool {
         self.rows.iter().any(|row| !row.phase.is_end())
     }
 
     /// Applies a command; returns `false` if its number doesn't follow, since another was applied
     /// first.
-    pub fn take(&mut self, command: RolloutCommand) -> bool {
-        let taken = match command {
+    pub fn apply(&mut self, command: RolloutCommand) -> bool {
+        let accepted = match command {
             RolloutCommand::Start(order) => self.start(order),
-            RolloutCommand::Step(step) => self.take_step(step),
+            RolloutCommand::Step(step) => self.apply_step(step),
         };
-        self.changes += u64::from(taken);
-        taken
+        self.changes += u64::from(accepted);
+        accepted
     }
 
     fn start(&mut self, order: RolloutOrder) -> bool {
@@ -190,7 +190,7 @@
         true
     }
 
-    fn take_step(&mut self, step: RolloutStep) -> bool {
+    fn apply_step(&mut self, step: RolloutStep) -> bool {
         let rows = self.rows.iter_mut();
         let Some(row) = rows.into_iter().find(|row| {
             let own = row.order.service == step.service && row.order.number == step.number;
@@ -206,7 +206,7 @@
     }
 
     /// The table for a reader that has `known` changes; `None` if the reader is up to date.
-    pub fn news(&self, known: u64) -> Option<RolloutTable> {
+    pub fn update_since(&self, known: u64) -> Option<RolloutTable> {
         (self.changes != known).then(|| self.clone())
     }
 
--- a/lib/src/state/roster.rs
+++ b/lib/src/state/roster.rs
@@ -48,7 +48,7 @@
         }
         self.epoch += 1;
         let before = self.routers.insert(id, session.clone());
-        before.map(|before| before.incarnation).filter(|life| *life != session.incarnation)
+        before.map(|before| before.incarnation).filter(|earlier| *earlier != session.incarnation)
     }
 
     /// Removes an incarnation of a router; returns `false` if the router has another one.
--- a/lib/src/state/route_table.rs
+++ b/lib/src/state/route_table.rs
@@ -62,7 +62,7 @@
     /// The services that its requests are distributed to.
     pub shares: Vec<ServiceShare>,
     /// The most upstreams to which one request may be sent.
-    pub most_upstreams: u32,
+    pub max_upstreams: u32,
     /// Whether callers without a key may use it.
     pub public: bool,
     /// Whether its requests name the parts of their prompt, for cache-aware routing.
@@ -75,9 +75,9 @@
     /// Requests that one engine runs at the same time.
     pub slots: u32,
     /// Tokens that fit in an engine's KV cache.
-    pub memory_tokens: u64,
+    pub cache_tokens: u64,
     /// Whether an engine can import KV cache entries from another.
-    pub moves: bool,
+    pub kv_transfer: bool,
 }
 
 /// One service.
@@ -86,7 +86,7 @@
     /// Its name.
     pub name: String,
     /// Connections that one upstream accepts from all VMs together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Requests per second that one upstream bears from all VMs together while it is cold; 0 means
     /// unlimited.
     pub cold_per_s: f64,
@@ -131,7 +131,7 @@
     pub workspaces: Option<Vec<WorkspaceEntry>>,
     /// The limits on callers.
     pub limits: CallerLimits,
-    places: HashMap<String, usize>,
+    by_prefix: HashMap<String, usize>,
     keys: HashMap<String, usize>,
 }
 
@@ -167,7 +167,7 @@
     ) -> RouteTable {
         let names: HashMap<&str, usize> =
             services.iter().enumerate().map(|(at, service)| (service.name.as_str(), at)).collect();
-        let mut places = HashMap::new();
+        let mut by_prefix = HashMap::new();
         for (at, route) in routes.iter_mut().enumerate() {
             check_route(at, route, list);
             for share in &mut route.shares {
@@ -177,13 +177,13 @@
                     list.add(&format!("$.routes[{at}]"), text);
                 }
             }
-            if places.insert(place_key(&route.host, &route.prefix), at).is_some() {
+            if by_prefix.insert(prefix_key(&route.host, &route.prefix), at).is_some() {
                 let text = format!("host {} and prefix {} stand twice", route.host, route.prefix);
                 list.add(&format!("$.routes[{at}]"), text);
             }
         }
         let keys = index_keys(workspaces.as_deref().unwrap_or_default(), list);
-        RouteTable { version, routes, services, workspaces, limits, places, keys }
+        RouteTable { version, routes, services, workspaces, limits, by_prefix, keys }
     }
 
     /// The index of the route at `host` with the longest prefix of `path`.
@@ -195,7 +195,7 @@
         place.push_str(path);
         while let Some(at) = place[head..].rfind('/') {
             place.truncate(head + at + 1);
-            if let Some(route) = self.places.get(&place) {
+            if let Some(route) = self.by_prefix.get(&place) {
                 return Some(*route);
             }
             place.truncate(head + at);
@@ -234,7 +234,7 @@
     shares.iter().rev().find(|share| share.weight > 0.0).and_then(|share| share.service)
 }
 
-fn place_key(host: &str, prefix: &str) -> String {
+fn prefix_key(host: &str, prefix: &str) -> String {
     format!("{host} {prefix}")
 }
 
--- a/lib/src/state/settings.rs
+++ b/lib/src/state/settings.rs
@@ -78,6 +78,7 @@
     pub weight_loads: usize,
 }
 
+/// The shortest fleet key that is accepted, in bytes; a shorter one could be guessed.
 const SHORTEST_FLEET_KEY: usize = 16;
 
 fn read_keepers(reader: &mut ObjectReader<'_>, list: &mut FindingList) -> Vec<KeeperAddress> {
--- a/lib/src/state/upstream_list.rs
+++ b/lib/src/state/upstream_list.rs
@@ -21,7 +21,7 @@
 /// What the list leaves undetermined about an upstream. Unlike leaving it is not sticky: the next
 /// list that can be read in full clears it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum EntryDoubt {
+pub enum EntryDefect {
     /// Nothing that keeps new work away from it.
     #[default]
     None,
@@ -59,7 +59,7 @@
     pub started_ms: Option<u64>,
     /// What the list leaves undetermined about it; unless this is `None`, it gets no new work.
     #[serde(default)]
-    pub doubt: EntryDoubt,
+    pub defect: EntryDefect,
 }
 
 impl UpstreamEntry {
@@ -70,7 +70,7 @@
 
     /// Whether it takes new work according to the list.
     pub fn takes_work(&self) -> bool {
-        !self.leaving && self.doubt == EntryDoubt::None
+        !self.leaving && self.defect == EntryDefect::None
     }
 }
 
--- a/lib/src/state/vm_figures.rs
+++ b/lib/src/state/vm_figures.rs
@@ -8,7 +8,7 @@
 
 /// The most workspaces that have a histogram of their own. More would enlarge the metrics that the
 /// VM publishes without bound.
-pub const MOST_WORKSPACES: usize = 32;
+pub const MAX_WORKSPACES: usize = 32;
 /// The name under which requests without a key and those of workspaces beyond the bound are
 /// counted.
 pub const OTHER_WORKSPACES: &str = "other";
@@ -80,7 +80,7 @@
 
 /// The counters of a VM since its start.
 #[derive(Clone, Debug, Default)]
-pub struct VmFigures {
+pub struct VmCounters {
     ends: [u64; RequestEnd::ALL.len()],
     first_byte: BTreeMap<String, DelayHistogram>,
     body_ends: [[u64; BodyEnd::ALL.len()]; BodyFraming::ALL.len()],
@@ -93,16 +93,16 @@
     /// Answers whose first byte came later than the route's goal.
     pub late: u64,
     /// Callers that disconnected before they had the whole answer.
-    pub left: u64,
+    pub abandoned: u64,
     /// Failure signs that passive health checks counted against upstreams.
-    pub signs: u64,
+    pub failure_signs: u64,
     /// Requests whose upstream ended while it ran them.
-    pub ended_under: u64,
+    pub crashes: u64,
     /// Answers by which upstreams requested a back-off.
-    pub rests_asked: u64,
+    pub backoffs: u64,
 }
 
-impl VmFigures {
+impl VmCounters {
     /// Counts a request that ended.
     pub fn note_end(&mut self, end: RequestEnd) {
         self.ends[end as usize] += 1;
@@ -126,8 +126,9 @@
     /// Counts the time to the first byte of an answer, in milliseconds.
     pub fn note_first_byte(&mut self, workspace: Option<&str>, took_ms: u64) {
         let named = workspace.unwrap_or(OTHER_WORKSPACES);
-        let room = self.first_byte.len() < MOST_WORKSPACES || self.first_byte.contains_key(named);
-        let name = if room { named } else { OTHER_WORKSPACES };
+        let has_histogram =
+            self.first_byte.len() < MAX_WORKSPACES || self.first_byte.contains_key(named);
+        let name = if has_histogram { named } else { OTHER_WORKSPACES };
         match self.first_byte.get_mut(name) {
             Some(histogram) => histogram.note(took_ms),
             None => self.first_byte.entry(name.to_string()).or_default().note(took_ms),
--- a/lib/src/state/vm_settings.rs
+++ b/lib/src/state/vm_settings.rs
@@ -26,9 +26,9 @@
     /// How long operators may repeat an order that was not acknowledged.
     pub ack_ms: u64,
     /// The share of a service's requests that an unsound version may get while it is rolled out.
-    pub expose_share: f64,
+    pub exposure_share: f64,
     /// The requests that it may get in addition to that share, from all VMs together.
-    pub expose_slack: f64,
+    pub exposure_slack: f64,
     /// The longest time that callers cache an answer about addresses, in seconds.
     pub addresses_ttl_s: f64,
 }
--- a/lib/src/state/zone_order.rs
+++ b/lib/src/state/zone_order.rs
@@ -16,7 +16,7 @@
     pub number: u64,
     /// Whether the zone is evacuated, so that nothing is sent to its upstreams; `false` returns it
     /// to service.
-    pub emptied: bool,
+    pub evacuated: bool,
 }
 
 /// The last order of each zone that has had one.
@@ -33,7 +33,7 @@
 
     /// The number of orders accepted for all zones together. Of two states, the one with more
     /// orders is the later.
-    pub fn taken(&self) -> u64 {
+    pub fn accepted(&self) -> u64 {
         self.rows.iter().map(|row| row.number).sum()
     }
 
@@ -43,8 +43,8 @@
     }
 
     /// Whether a zone is evacuated.
-    pub fn is_emptied(&self, zone: &str) -> bool {
-        self.row(zone).is_some_and(|row| row.emptied)
+    pub fn is_evacuated(&self, zone: &str) -> bool {
+        self.row(zone).is_some_and(|row| row.evacuated)
     }
 
     fn row(&self, zone: &str) -> Option<&ZoneOrder> {
@@ -53,7 +53,7 @@
 
     /// Applies an order; returns `false` if its number doesn't follow, since another was accepted
     /// first.
-    pub fn take(&mut self, order: ZoneOrder) -> bool {
+    pub fn apply(&mut self, order: ZoneOrder) -> bool {
         if order.number != self.last_number(&order.zone) + 1 {
             return false;
         }
@@ -63,13 +63,13 @@
     }
 
     /// The orders for a reader that has `known` of them; `None` if the reader is up to date.
-    pub fn news(&self, known: u64) -> Option<ZoneOrders> {
-        (self.taken() != known).then(|| self.clone())
+    pub fn update_since(&self, known: u64) -> Option<ZoneOrders> {
+        (self.accepted() != known).then(|| self.clone())
     }
 
     /// Replaces the table by a later state; returns the state before, or `None` if `other` isn't
     /// later.
     pub fn take_later(&mut self, other: ZoneOrders) -> Option<ZoneOrders> {
-        (other.taken() > self.taken()).then(|| std::mem::replace(self, other))
+        (other.accepted() > self.accepted()).then(|| std::mem::replace(self, other))
     }
 }
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -29,7 +29,7 @@
     decode, encode, Datagram, KeeperCall, KeeperIdentity, KeeperReply, LeaseGrant, LeaseRenewal,
     MARKS_PER_DATAGRAM,
 };
-use crate::protocol::operator::{KeeperStatus, MemberStatus, RouterStanding, WireRow};
+use crate::protocol::operator::{KeeperStatus, MemberStatus, RouterStatus, WireRow};
 use crate::state::claim_table::{ClaimReport, ClaimRequest};
 use crate::state::configuration::Configuration;
 use crate::state::ids::{FleetKey, Incarnation, KeeperId, RouterId};
@@ -623,7 +623,7 @@
         let routers = versions.into_iter().filter_map(|(id, version)| {
             let session = self.machine.roster.routers.get(&id)?;
             let (address, zone) = (session.address, session.zone.clone());
-            Some(RouterStanding { id, address, zone, leaving: session.leaving, version })
+            Some(RouterStatus { id, address, zone, leaving: session.leaving, version })
         });
         KeeperStatus {
             id: self.id,
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -355,7 +355,7 @@
         return;
     };
     if let Ok(state) = weight_store::read_state(&reply.body) {
-        let limit = state.most_loads.min(desk.settings.weight_loads);
+        let limit = state.max_loads.min(desk.settings.weight_loads);
         let _ = desk.events.send(KeeperEvent::StoreLimit(limit));
     }
 }
--- a/lib/src/transport/router_claims.rs
+++ b/lib/src/transport/router_claims.rs
@@ -8,7 +8,7 @@
 
 use super::router_shared::{lock, RouterShared};
 use crate::coordination::claim_batch::ClaimBatch;
-use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
+use crate::protocol::caller::{CallerError, CallerRequest, RanStatus};
 use crate::protocol::keeper_wire::{Datagram, KeeperCall, KeeperReply};
 use crate::state::claim_table::{
     ClaimAnswer, ClaimEnd, ClaimKey, ClaimReport, ClaimRequest, ClaimState,
@@ -101,9 +101,9 @@
 
 fn taken(state: ClaimState) -> CallerError {
     let (text, ran) = match state {
-        ClaimState::Running => ("This request is running elsewhere.", RanMark::Unknown),
-        ClaimState::Done => ("This request has run.", RanMark::Yes),
-        ClaimState::Unknown => ("This request may have run.", RanMark::Unknown),
+        ClaimState::Running => ("This request is running elsewhere.", RanStatus::Unknown),
+        ClaimState::Done => ("This request has run.", RanStatus::Yes),
+        ClaimState::Unknown => ("This request may have run.", RanStatus::Unknown),
     };
     CallerError::not_run(409, "already_claimed", text).with_ran(ran)
 }
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -15,7 +15,7 @@
 use crate::protocol::keeper_wire::{
     ChatNote, Datagram, KeeperCall, KeeperReply, LeaseGrant, LeaseRenewal, MARKS_PER_DATAGRAM,
 };
-use crate::protocol::vm_list::{list_call, read_list, VmStanding};
+use crate::protocol::vm_list::{list_call, read_list, VmStatus};
 use crate::state::configuration::{read_configuration, Configuration};
 use crate::state::ids::{FleetKey, UpstreamKey};
 use crate::state::roster::{RouterRoster, RouterSession};
@@ -105,7 +105,7 @@
         ControlEvent::Chats(notes) => {
             let mut desk = lock(&shared.desk);
             for note in notes {
-                desk.memory.note(note.chat, note.engine, note.life, note.tokens);
+                desk.memory.note(note.chat, note.engine, note.incarnation, note.tokens);
             }
         }
         ControlEvent::Marks(marks) => marks.into_iter().for_each(|mark| shared.note_leaving(mark)),
@@ -421,7 +421,7 @@
         tracing::warn!("router: left out {left_out} malformed entries of the VM list.");
     }
     let view = shared.view();
-    for entry in entries.iter().filter(|entry| entry.state == VmStanding::Leaving) {
+    for entry in entries.iter().filter(|entry| entry.state == VmStatus::Leaving) {
         let found = view.upstreams.iter().find(|(_, sight)| sight.address == entry.address);
         if let Some((key, _)) = found {
             let incarnation = lock(&shared.desk).leaving.life(*key);
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -14,7 +14,7 @@
 use crate::coordination::leaving::LeavingMark;
 use crate::coordination::relay::PieceOrder;
 use crate::coordination::retry::may_retry;
-use crate::protocol::caller::{CallerError, CallerRequest, RanMark, ResumePlace};
+use crate::protocol::caller::{CallerError, CallerRequest, RanStatus, ResumePosition};
 use crate::protocol::engine::{self, EngineHead};
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{Incarnation, UpstreamKey};
@@ -155,7 +155,7 @@
                 return RunEnd::TryElsewhere(self.not_run(&failure.to_string()));
             }
         };
-        self.sink.pass(answer, RanMark::No);
+        self.sink.pass(answer, RanStatus::No);
         end_claim(held, ClaimEnd::NotDispatched);
         RunEnd::Answered
     }
@@ -252,7 +252,7 @@
         let repeatable = !self.ask.decision.run_once;
         if may_retry(true, repeatable, self.sink.has_begun()) {
             self.sink.forget_text();
-            return RunEnd::TryElsewhere(self.not_run(&text).with_ran(RanMark::Unknown));
+            return RunEnd::TryElsewhere(self.not_run(&text).with_ran(RanStatus::Unknown));
         }
         self.give_up(&text, held)
     }
@@ -261,7 +261,7 @@
         tracing::warn!("relay: request {} broke: {text}.", self.ask.request.request_id);
         let message = "The engine failed before the answer was whole.";
         let error = CallerError::not_run(502, "upstream_failed", message);
-        self.sink.fail(&error.with_ran(RanMark::Unknown));
+        self.sink.fail(&error.with_ran(RanStatus::Unknown));
         end_claim(held, ClaimEnd::Unknown);
         RunEnd::Answered
     }
@@ -323,7 +323,7 @@
         let Some(sight) = view.upstreams.get(&upstream) else { return };
         let Some(fleet) = view.fleets.get(&sight.fleet) else { return };
         let now_ms = self.clock.now_ms();
-        let share = fleet.entry.set_aside_share;
+        let share = fleet.entry.max_ejected_share;
         let aside = {
             let mut desk = lock(&self.desk);
             let was = desk.outliers.is_aside(upstream, now_ms);
@@ -342,7 +342,7 @@
 pub(super) fn resume_for_caller(
     cx: &ServeContext,
     request: &CallerRequest,
-    place: &ResumePlace,
+    place: &ResumePosition,
     sink: &mut AnswerSink<'_>,
 ) {
     let (shared, view) = (&cx.shared, cx.shared.view());
@@ -350,7 +350,7 @@
     let Some(sight) = view.upstreams.get(&key) else {
         let text = "There is no such upstream any more.";
         let error = CallerError::not_run(409, "cannot_resume", text).at("last-event-id");
-        return sink.fail(&error.with_ran(RanMark::Unknown));
+        return sink.fail(&error.with_ran(RanStatus::Unknown));
     };
     sink.set_upstream(&sight.name);
     let run = engine::run_id(&request.workspace, &request.request_id);
@@ -377,5 +377,5 @@
     }
     let message = format!("The stream cannot be resumed: {text}.");
     let error = CallerError::not_run(409, "cannot_resume", message).at("last-event-id");
-    sink.fail(&error.with_ran(RanMark::Unknown));
+    sink.fail(&error.with_ran(RanStatus::Unknown));
 }
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -17,13 +17,13 @@
 use crate::coordination::directory::peers;
 use crate::coordination::relay::PieceOrder;
 use crate::protocol::caller::{
-    CallerError, CallerRequest, RanMark, ResumePlace, HOPS_HEADER, RAN_HEADER, UPSTREAM_HEADER,
-    USE_HEADER,
+    CallerError, CallerRequest, RanStatus, ResumePosition, HOPS_HEADER, RAN_HEADER,
+    UPSTREAM_HEADER, USE_HEADER,
 };
 use crate::protocol::http::{find_header, HttpCall, HttpReply};
 use crate::protocol::keeper_wire::{decode, encode};
 use crate::protocol::peer_wire::{
-    ForwardAim, ForwardRequest, FORWARD_PATH, MOST_HOPS, NO_ROOM_CODE,
+    ForwardPurpose, ForwardRequest, FORWARD_PATH, MAX_HOPS, NO_CAPACITY_CODE,
 };
 use crate::protocol::seal::SEAL_HEADER;
 
@@ -37,9 +37,10 @@
     TryElsewhere(CallerError),
 }
 
-fn forward_call(cx: &ServeContext, request: &CallerRequest, aim: ForwardAim) -> HttpCall {
+fn forward_call(cx: &ServeContext, request: &CallerRequest, aim: ForwardPurpose) -> HttpCall {
     let hops = cx.hops + 1;
-    let passed = ForwardRequest { from: cx.shared.id(), hops, aim, request: request.clone() };
+    let passed =
+        ForwardRequest { from: cx.shared.id(), hops, purpose: aim, request: request.clone() };
     let body = encode(&passed);
     let seal = cx.shared.maker.header(FORWARD_PATH, &body, wall_ms());
     HttpCall::post(FORWARD_PATH, body).with(SEAL_HEADER, seal)
@@ -52,7 +53,7 @@
     cx: &ServeContext,
     address: SocketAddr,
     request: &CallerRequest,
-    aim: ForwardAim,
+    aim: ForwardPurpose,
     sink: &mut AnswerSink<'_>,
 ) -> ForwardEnd {
     let mut request = request.clone();
@@ -67,8 +68,8 @@
         Ok(open) => open,
         Err(failure) => {
             let ran = match failure {
-                CallFailure::NotSent { .. } => RanMark::No,
-                CallFailure::Broken { .. } => RanMark::Unknown,
+                CallFailure::NotSent { .. } => RanStatus::No,
+                CallFailure::Broken { .. } => RanStatus::Unknown,
             };
             let error = CallerError::not_run(503, "peer_failed", failure.to_string());
             return ForwardEnd::TryElsewhere(error.with_ran(ran));
@@ -102,12 +103,12 @@
             let message = "The engine failed before the answer was whole.";
             tracing::warn!("relay: request {} failed at a peer: {text}.", request.request_id);
             let error = CallerError::not_run(502, "upstream_failed", message);
-            sink.fail(&error.with_ran(RanMark::Unknown));
+            sink.fail(&error.with_ran(RanStatus::Unknown));
         }
         StreamEnd::Broken(text) => {
             tracing::warn!("relay: a peer broke off ({text}), asking {upstream} itself.");
             cx.shared.seen.count("streams.taken_over");
-            let place = ResumePlace { upstream: upstream.to_string(), last: order.last() };
+            let place = ResumePosition { upstream: upstream.to_string(), last: order.last() };
             resume_for_caller(cx, request, &place, sink);
         }
     }
@@ -115,7 +116,7 @@
 
 /// Takes a peer's refusal, or an answer that it passes on whole.
 fn take_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
-    let ran = RanMark::of(find_header(&open.headers, RAN_HEADER));
+    let ran = RanStatus::of(find_header(&open.headers, RAN_HEADER));
     let HttpReply { status, headers, body } = match open.whole(LONGEST_ANSWER) {
         Ok(reply) => reply,
         Err(failure) => {
@@ -125,9 +126,9 @@
     };
     let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let code = value.pointer("/error/code").and_then(|code| code.as_str()).unwrap_or("");
-    let elsewhere = [NO_ROOM_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
+    let elsewhere = [NO_CAPACITY_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
     let not_taken = status == 401 && code.is_empty();
-    if ran == RanMark::No && elsewhere.contains(&code) || not_taken {
+    if ran == RanStatus::No && elsewhere.contains(&code) || not_taken {
         let error = CallerError::not_run(503, code, "The peer did not take the request.");
         return ForwardEnd::TryElsewhere(error.after(1000));
     }
@@ -137,14 +138,14 @@
 
 /// A router without a lease, or draining, passes callers on to one that may serve.
 pub(super) fn pass_to_peer(cx: &ServeContext, request: &CallerRequest, sink: &mut AnswerSink<'_>) {
-    if cx.hops >= MOST_HOPS {
+    if cx.hops >= MAX_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
     cx.shared.seen.count("requests.passed_on");
     for (_, address) in peers(&cx.view.roster, cx.shared.id(), &cx.shared.settings.zone) {
-        match forward(cx, address, request, ForwardAim::AsEntry, sink) {
+        match forward(cx, address, request, ForwardPurpose::AsEntry, sink) {
             ForwardEnd::Answered => return,
-            ForwardEnd::TryElsewhere(error) if error.ran == RanMark::No => {}
+            ForwardEnd::TryElsewhere(error) if error.ran == RanStatus::No => {}
             ForwardEnd::TryElsewhere(error) => return sink.fail(&error),
         }
     }
@@ -186,7 +187,7 @@
     writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
-    let ForwardRequest { hops, aim, mut request, .. } = passed;
+    let ForwardRequest { hops, purpose: aim, mut request, .. } = passed;
     // Between routers an answer always streams, so that the sender sees what is whole.
     if let Some(facts) = &mut request.facts {
         facts.stream = true;
@@ -195,7 +196,7 @@
     let leased = shared.is_leased();
     let cx = ServeContext { shared: shared.clone(), view: shared.view(), arrived, hops };
     let mut sink = AnswerSink::new(writer, true, &request.request_id, hops);
-    if hops > MOST_HOPS {
+    if hops > MAX_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
     // A draining router goes on serving as a home until its peers have turned elsewhere.
@@ -203,9 +204,9 @@
         return sink.fail(&no_lease_error());
     }
     match aim {
-        ForwardAim::AsEntry => serve_entry(&cx, &request, &mut sink),
-        ForwardAim::ToChatHome(decision) => serve_at_home(&cx, &request, &decision, &mut sink),
-        ForwardAim::ToEngine { decision, engine, cached_tokens, import_from } => {
+        ForwardPurpose::AsEntry => serve_entry(&cx, &request, &mut sink),
+        ForwardPurpose::ToChatHome(decision) => serve_at_home(&cx, &request, &decision, &mut sink),
+        ForwardPurpose::ToEngine { decision, engine, cached_tokens, import_from } => {
             let target = EngineTarget { engine, cached_tokens, import_from };
             serve_at_engine(&cx, &request, &decision, target, &mut sink);
         }
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -13,8 +13,8 @@
 use super::router_shared::lock;
 use crate::coordination::kv_move::MoveChoice;
 use crate::coordination::placement::PlaceCandidate;
-use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
-use crate::protocol::peer_wire::{ForwardAim, RouteDecision, MOST_HOPS, NO_ROOM_CODE};
+use crate::protocol::caller::{CallerError, CallerRequest, RanStatus};
+use crate::protocol::peer_wire::{ForwardPurpose, RouteDecision, MAX_HOPS, NO_CAPACITY_CODE};
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{FleetKey, UpstreamKey};
 
@@ -108,11 +108,11 @@
     matches!(end, Some(RunEnd::Answered))
 }
 
-fn claim_end_of(ran: RanMark) -> ClaimEnd {
+fn claim_end_of(ran: RanStatus) -> ClaimEnd {
     match ran {
-        RanMark::No => ClaimEnd::NotDispatched,
-        RanMark::Yes => ClaimEnd::Done,
-        RanMark::Unknown => ClaimEnd::Unknown,
+        RanStatus::No => ClaimEnd::NotDispatched,
+        RanStatus::Yes => ClaimEnd::Done,
+        RanStatus::Unknown => ClaimEnd::Unknown,
     }
 }
 
@@ -136,11 +136,11 @@
     sink: &mut AnswerSink<'_>,
 ) -> Option<RunEnd> {
     let session = cx.view.roster.routers.get(&candidate.home)?;
-    if cx.hops >= MOST_HOPS {
+    if cx.hops >= MAX_HOPS {
         return None;
     }
     cx.shared.seen.count("requests.spilled");
-    let aim = ForwardAim::ToEngine {
+    let aim = ForwardPurpose::ToEngine {
         decision: ask.decision.clone(),
         engine: candidate.engine,
         cached_tokens: candidate.cached_tokens,
@@ -153,7 +153,7 @@
             cx.shared.note_chat(ask.fleet, ask.chat, candidate.engine, life, tokens);
             Some(RunEnd::Answered)
         }
-        ForwardEnd::TryElsewhere(error) if error.code == NO_ROOM_CODE => None,
+        ForwardEnd::TryElsewhere(error) if error.code == NO_CAPACITY_CODE => None,
         ForwardEnd::TryElsewhere(error) => Some(RunEnd::TryElsewhere(error)),
     }
 }
@@ -195,7 +195,7 @@
     for place in others.take(PLACES_LOOKED_AT_AGAIN) {
         match try_there(cx, ask, place, sink) {
             Some(RunEnd::Answered) => return true,
-            Some(RunEnd::TryElsewhere(error)) if error.ran != RanMark::No => {
+            Some(RunEnd::TryElsewhere(error)) if error.ran != RanStatus::No => {
                 sink.fail(&error);
                 return true;
             }
@@ -214,7 +214,7 @@
 ) {
     cx.shared.seen.count("requests.busy");
     if let Some(claim) = held.take() {
-        claim.end(claim_end_of(RanMark::No));
+        claim.end(claim_end_of(RanStatus::No));
     }
     sink.fail(&busy_error(retry_after_ms));
 }
@@ -256,7 +256,7 @@
     let fleet = FleetKey::of(&decision.fleet);
     let import_from = target.import_from;
     let ask = HomeAsk { request, decision, chat: chat_key(request), fleet, import_from };
-    let no_room = CallerError::not_run(503, NO_ROOM_CODE, "The engine has no room.");
+    let no_room = CallerError::not_run(503, NO_CAPACITY_CODE, "The engine has no room.");
     let slot = admit(&cx.shared, &cx.view, &ask, target.engine, target.cached_tokens);
     let Ok(slot) = slot else { return sink.fail(&no_room) };
     serve_on_slot(cx, &ask, &slot, &mut None, sink);
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -12,7 +12,7 @@
 use crate::coordination::plain_choice::choose_by_own;
 use crate::coordination::retry::may_retry;
 use crate::coordination::upstream_candidate::{ChoiceFault, UpstreamCandidate};
-use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
+use crate::protocol::caller::{CallerError, CallerRequest, RanStatus};
 use crate::protocol::http::HttpReply;
 use crate::protocol::peer_wire::RouteDecision;
 use crate::protocol::plain;
@@ -73,7 +73,7 @@
             PlainEnd::Unknown(text) => {
                 let message = format!("The upstream failed before its answer was whole ({text}).");
                 let error = CallerError::not_run(502, "upstream_failed", message);
-                last = error.with_ran(RanMark::Unknown);
+                last = error.with_ran(RanStatus::Unknown);
                 end = ClaimEnd::Unknown;
                 if !may_retry(true, repeatable, false) {
                     break;
@@ -156,7 +156,7 @@
             let times = CallTimes { connect: Duration::from_millis(1000), read };
             let reply = shared.client.call(sight.address, &call, times, LONGEST_ANSWER, "plain");
             match reply {
-                Ok(reply) if plain::says_not_run(&reply.headers) => {
+                Ok(reply) if plain::was_not_run(&reply.headers) => {
                     let text = format!("status {}", reply.status);
                     match hear_rest(shared, upstream, &reply) {
                         true => PlainEnd::Resting(text),
@@ -166,7 +166,7 @@
                 Ok(reply) => {
                     hear_rest(shared, upstream, &reply);
                     sink.set_upstream(&sight.name);
-                    sink.pass(reply, RanMark::Yes);
+                    sink.pass(reply, RanStatus::Yes);
                     PlainEnd::Answered
                 }
                 Err(CallFailure::NotSent { text }) => PlainEnd::NotRun(text),
@@ -192,7 +192,7 @@
 
 /// Notes the rest that an upstream asks for; false where it doesn't.
 fn hear_rest(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
-    let Some(rest_ms) = plain::asked_rest(reply) else { return false };
+    let Some(rest_ms) = plain::requested_backoff_ms(reply) else { return false };
     lock(&shared.desk).notices.note_rest(upstream, rest_ms, shared.clock.next_ms());
     true
 }
--- a/lib/src/transport/router_relay.rs
+++ b/lib/src/transport/router_relay.rs
@@ -7,7 +7,7 @@
 use super::http_server::ResponseWriter;
 use crate::coordination::relay::{PieceOrder, PieceStep};
 use crate::protocol::caller::{
-    event_id, whole_answer, CallerError, RanMark, HOPS_HEADER, RAN_HEADER, REQUEST_ID_HEADER,
+    event_id, whole_answer, CallerError, RanStatus, HOPS_HEADER, RAN_HEADER, REQUEST_ID_HEADER,
     UPSTREAM_HEADER, USE_HEADER,
 };
 use crate::protocol::engine::{piece_text, read_piece, EnginePiece};
@@ -79,7 +79,7 @@
         self.text.clear();
     }
 
-    fn headers(&self, ran: RanMark, kind: &str) -> Vec<(String, String)> {
+    fn headers(&self, ran: RanStatus, kind: &str) -> Vec<(String, String)> {
         let mut headers = vec![
             ("content-type".to_string(), kind.to_string()),
             (REQUEST_ID_HEADER.to_string(), self.request_id.clone()),
@@ -100,7 +100,7 @@
             return Ok(());
         }
         self.begun = true;
-        let headers = self.headers(RanMark::Yes, "text/event-stream");
+        let headers = self.headers(RanStatus::Yes, "text/event-stream");
         self.writer.begin(200, &headers).map_err(|_| SinkGone)
     }
 
@@ -121,7 +121,7 @@
         if !self.stream {
             let body = whole_answer(&self.request_id, &self.upstream, &self.text, "stop");
             let mut reply = HttpReply::json(200, &body);
-            reply.headers = self.headers(RanMark::Yes, "application/json");
+            reply.headers = self.headers(RanStatus::Yes, "application/json");
             self.begun = true;
             return self.writer.send(&reply).map_err(|_| SinkGone);
         }
@@ -147,14 +147,14 @@
         self.begun = true;
         let mut reply = error.to_reply(&self.request_id);
         reply.headers.push((HOPS_HEADER.to_string(), self.hops.to_string()));
-        if !self.upstream.is_empty() && error.ran != RanMark::No {
+        if !self.upstream.is_empty() && error.ran != RanStatus::No {
             reply.headers.push((UPSTREAM_HEADER.to_string(), self.upstream.clone()));
         }
         let _ = self.writer.send(&reply);
     }
 
     /// Passes an upstream's own refusal on as it is.
-    pub(super) fn pass(&mut self, mut reply: HttpReply, ran: RanMark) {
+    pub(super) fn pass(&mut self, mut reply: HttpReply, ran: RanStatus) {
         self.begun = true;
         let kind = reply.header("content-type").unwrap_or("application/octet-stream").to_string();
         let kept = ["retry-after", "location", "etag", "cache-control", "content-encoding"];
--- a/lib/src/transport/router_serve.rs
+++ b/lib/src/transport/router_serve.rs
@@ -24,7 +24,7 @@
     SERVICE_HEADER, WORKSPACE_HEADER,
 };
 use crate::protocol::http::HttpCall;
-use crate::protocol::peer_wire::{ForwardAim, RouteDecision, FORWARD_PATH};
+use crate::protocol::peer_wire::{ForwardPurpose, RouteDecision, FORWARD_PATH};
 use crate::state::configuration::{hash_key, FleetKind, WorkspaceEntry};
 use crate::state::ids::{ChatKey, FleetKey, RouterId, WorkspaceKey};
 
@@ -256,7 +256,7 @@
     let session = session.and_then(|home| cx.view.roster.routers.get(&home));
     if let Some(session) = session {
         cx.shared.seen.count("requests.hopped");
-        let aim = ForwardAim::ToChatHome(decision.clone());
+        let aim = ForwardPurpose::ToChatHome(decision.clone());
         match forward(cx, session.address, request, aim, sink) {
             ForwardEnd::Answered => return,
             // The home is gone or has no lease: this router stands in for it.
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -363,7 +363,12 @@
         desk.memory.note(chat, engine, life, tokens);
         // The chat's home is notified once for each engine; it need not know of each turn.
         if let Some(home) = home.filter(|home| *home != self.settings.id && !known) {
-            desk.notes.entry(home).or_default().push(ChatNote { chat, engine, life, tokens });
+            desk.notes.entry(home).or_default().push(ChatNote {
+                chat,
+                engine,
+                incarnation: life,
+                tokens,
+            });
         }
     }
 
@@ -392,7 +397,7 @@
             let mut desk = lock(&self.desk);
             let was_leaving = desk.leaving.is_leaving(upstream);
             if desk.leaving.life(upstream) < life {
-                desk.memory.set_life(upstream, life);
+                desk.memory.set_incarnation(upstream, life);
                 desk.events_seen.remove(&upstream);
                 desk.notices.forget(upstream);
             }
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -11,7 +11,7 @@
 use crate::coordination::upstream_choice::{choose_engine, EngineRules, UpstreamPick};
 use crate::state::ids::UpstreamKey;
 use crate::state::route_table::{RouteRule, ServiceEntry};
-use crate::state::upstream_list::{EntryDoubt, UpstreamEntry};
+use crate::state::upstream_list::{EntryDefect, UpstreamEntry};
 
 /// From this part of the bound on an engine's load VMs report loads more often.
 const OVERLOADED_PART: f64 = 0.75;
@@ -85,7 +85,7 @@
         let rate = memory.fleet_rate(&self.caller.prompt, vms, now_ms);
         let hold_ms = self.node.with_room(&service.name, |room| room.hold_ms());
         let rules = EngineRules {
-            moves: engine.moves,
+            moves: engine.kv_transfer,
             spread,
             load_limit: self.node.settings.borrow().bounds.load_limit,
             part_load: rate * hold_ms / 1000.0,
@@ -173,7 +173,7 @@
         let notices = node.pool.notices().borrow();
         let settings = node.settings.borrow();
         let listed = |(key, entry, first_seen_ms): (UpstreamKey, &UpstreamEntry, u64)| {
-            let withheld = entry.doubt != EntryDoubt::None
+            let withheld = entry.defect != EntryDefect::None
                 || versions.withholds(entry)
                 || node.is_withheld(entry, service.cold_per_s);
             UpstreamCandidate {
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -124,13 +124,13 @@
             roster,
             list,
             holders,
-            holders_heard,
+            holders_received: holders_heard,
             health_reports: self.health.borrow_mut().outbox.take(),
-            zone_orders: self.zones.borrow().watch.orders.taken(),
-            doubts,
-            dark,
+            zone_orders: self.zones.borrow().watch.orders.accepted(),
+            unreachable: doubts,
+            unresponsive: dark,
             rollout_changes: self.rollouts.borrow().watch().table().changes(),
-            life: self.rollouts.borrow().life(),
+            incarnation: self.rollouts.borrow().life(),
             rollouts: self.rollout_notes(),
             quarantine_changes,
             crashes,
@@ -219,7 +219,7 @@
             VmDatagram::Renew(note) => self.answer_renewal(from, note),
             VmDatagram::Grant(grant) => self.take_grant(from, grant),
             VmDatagram::Leads { term } => self.take_leadership(from, term),
-            VmDatagram::Dark { term, upstreams } => {
+            VmDatagram::Unresponsive { term, upstreams } => {
                 if term >= self.view.borrow().term {
                     self.take_dark(upstreams);
                 }
@@ -234,9 +234,9 @@
                     self.take_quarantine(table);
                 }
             }
-            VmDatagram::AskNews(ask) => self.answer_ask(from, ask),
-            VmDatagram::PeerNews(note) => self.take_peer_news(from, note),
-            VmDatagram::Elsewhere { leader, keepers, vms } => {
+            VmDatagram::RequestUpdate(ask) => self.answer_ask(from, ask),
+            VmDatagram::PeerUpdate(note) => self.take_peer_news(from, note),
+            VmDatagram::Redirect { leader, keepers, vms } => {
                 let now_ms = self.now_ms();
                 let mut view = self.view.borrow_mut();
                 view.vms = view.vms.max(vms as usize);
--- a/lib/src/transport/vm_control.rs
+++ b/lib/src/transport/vm_control.rs
@@ -31,10 +31,12 @@
     match node.adapter.control_call(request.method(), request.uri()) {
         ControlCall::Put => put_document(&node, request).await,
         ControlCall::Get => get_document(&node).await,
-        ControlCall::Zone { zone, emptied } => order_zone(node, request, zone, emptied).await,
+        ControlCall::Zone { zone, evacuate: emptied } => {
+            order_zone(node, request, zone, emptied).await
+        }
         ControlCall::StartRollout => start_rollout(node, request).await,
         ControlCall::GetRollout { service } => get_rollout(node, service).await,
-        ControlCall::Faulty(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
+        ControlCall::Malformed(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
         ControlCall::Unknown => serve_fleet_call(node, request).await,
     }
 }
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -16,7 +16,7 @@
 use super::vm_pool::ConnectFault;
 use super::vm_task::CallerTask;
 use crate::coordination::crash_outbox::SeenCrash;
-use crate::state::ids::{RequestMark, UpstreamKey};
+use crate::state::ids::{RequestFingerprint, UpstreamKey};
 
 /// A process that ends closes its connections and its listener one after the other, so that one which
 /// is reached is looked at again after these times; it is back after seconds at the earliest. Looks at
@@ -34,10 +34,10 @@
 
 impl CallerTask {
     /// The request by its content; `workspace` is whose key the caller gave.
-    pub(super) fn mark(&self, workspace: Option<&str>) -> RequestMark {
+    pub(super) fn mark(&self, workspace: Option<&str>) -> RequestFingerprint {
         let path = self.head.uri.path_and_query().map_or("/", |path| path.as_str());
         let (method, host) = (self.head.method.as_str(), self.caller.host.as_str());
-        *self.mark.get_or_init(|| RequestMark::of(method, host, path, workspace, &self.body))
+        *self.mark.get_or_init(|| RequestFingerprint::of(method, host, path, workspace, &self.body))
     }
 
     /// Whether upstreams ended under this request so often that it is sent nowhere. Asked before each
@@ -72,7 +72,7 @@
         let broken = BrokenSend {
             seen,
             address: place.address,
-            life: place.send.life.clone(),
+            life: place.send.name.clone(),
             attempt: self.caller.attempt.clone(),
         };
         spawn_local(self.node.clone().look_after(broken));
@@ -86,7 +86,7 @@
             return;
         }
         self.outliers.borrow_mut().note_gone(seen.upstream);
-        self.figures.borrow_mut().ended_under += 1;
+        self.figures.borrow_mut().crashes += 1;
         self.note_ended_under(seen);
         info!(
             target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
--- a/lib/src/transport/vm_disk.rs
+++ b/lib/src/transport/vm_disk.rs
@@ -14,7 +14,7 @@
 
 pub use crate::coordination::durable_core::DiskJob;
 use crate::state::ids::{Incarnation, KeeperId};
-use crate::state::kept_list::{read_kept, write_kept, KeptList};
+use crate::state::kept_list::{load_list, store_list, StoredList};
 use crate::state::log_store::{LogStore, StoreError, StoredState};
 
 /// The pause before a folder that can't be opened is tried again.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub enum DiskReport {
     /// The folder is open; the list of upstreams, if one was kept.
-    Opened(Incarnation, Box<StoredState>, Option<KeptList>),
+    Opened(Incarnation, Box<StoredState>, Option<StoredList>),
     /// The last job of the consensus is on disk.
     Done,
     /// The last job of the consensus failed.
@@ -61,7 +61,7 @@
     loop {
         match LogStore::open(folder, keeper, new_life) {
             Ok((store, state)) => {
-                let kept = read_kept(folder).unwrap_or_else(|error| {
+                let kept = load_list(folder).unwrap_or_else(|error| {
                     warn!(target: "disk", "the list that was kept cannot be read: {error}");
                     None
                 });
@@ -117,7 +117,7 @@
                 to_report(store.install(&snapshot, hard_state, &entries))
             }
             DiskJob::KeepList(list) => {
-                if let Err(error) = write_kept(folder, &list) {
+                if let Err(error) = store_list(folder, &list) {
                     warn!(target: "disk", "the list cannot be kept: {error}");
                 }
                 DiskReport::ListKept
--- a/lib/src/transport/vm_fleet_calls.rs
+++ b/lib/src/transport/vm_fleet_calls.rs
@@ -31,8 +31,10 @@
         FleetCall::GetRollout { service } => get(&node, &service).await,
         FleetCall::AbortRollout { service } => abort(&node, service).await,
         FleetCall::ListZones => list_zones(&node).await,
-        FleetCall::Zone { zone, emptied } => order_zone(node, request, zone, emptied).await,
-        FleetCall::Faulty(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
+        FleetCall::Zone { zone, evacuate: emptied } => {
+            order_zone(node, request, zone, emptied).await
+        }
+        FleetCall::Malformed(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
         FleetCall::Unknown => own_answer(StatusCode::NOT_FOUND, ""),
     }
 }
@@ -89,7 +91,7 @@
     let desk = node.zones.borrow();
     let orders = &desk.watch.orders;
     let view = |zone: String| ZoneView {
-        emptied: orders.is_emptied(&zone),
+        evacuated: orders.is_evacuated(&zone),
         number: orders.last_number(&zone),
         zone,
     };
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -212,7 +212,7 @@
                     let failed = answer.head.status.is_server_error();
                     // Without an upstream left for a repeat its caller gets the upstream's own failure, not ours.
                     let repeats = failed
-                        && count.repeats_failure(rule.kind, rule.most_upstreams)
+                        && count.repeats_failure(rule.kind, rule.max_upstreams)
                         && self.may_spend_repeat(&service.name)
                         && self.choose(service, rule, room.as_ref(), &tried).is_ok();
                     if !repeats {
@@ -224,7 +224,7 @@
             };
             count.note(outcome);
             self.record.note(count.knowledge());
-            match count.next(outcome, rule.kind, rule.most_upstreams) {
+            match count.next(outcome, rule.kind, rule.max_upstreams) {
                 NextStep::Repeat | NextStep::Elsewhere => {}
                 NextStep::Refuse => return self.refuse_not_run(&count, service, "not run"),
                 NextStep::TimeOut => return self.time_out(&count),
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -54,10 +54,10 @@
     ) -> GrantNote {
         let (term, record) = (keeper.term(), &keeper.record);
         let (holders, holders_heard) =
-            self.exchange_holders(term, &note.holders, note.holders_heard, now_ms);
+            self.exchange_holders(term, &note.holders, note.holders_received, now_ms);
         let failing = self.take_health_reports(term, &note.health_reports, now_ms);
-        self.take_doubts(term, from, &note.doubts);
-        self.take_rollout_notes(term, from, note.life, note.rollouts);
+        self.take_doubts(term, from, &note.unreachable);
+        self.take_rollout_notes(term, from, note.incarnation, note.rollouts);
         self.take_crashes(term, &note.crashes, &record.quarantine, now_ms);
         let upstreams = self.upstreams.borrow();
         GrantNote {
@@ -76,13 +76,13 @@
                 now_ms,
             ),
             holders,
-            holders_heard,
+            holders_received: holders_heard,
             failing,
-            zones: record.zones.news(note.zone_orders),
-            dark: self.dark_news(note.dark),
-            rollouts: record.rollouts.news(note.rollout_changes),
-            quarantine: record.quarantine.news(note.quarantine_changes),
-            crashes_heard: note.crashes.last(),
+            zones: record.zones.update_since(note.zone_orders),
+            unresponsive: self.dark_news(note.unresponsive),
+            rollouts: record.rollouts.update_since(note.rollout_changes),
+            quarantine: record.quarantine.update_since(note.quarantine_changes),
+            last_crash: note.crashes.last(),
         }
     }
 
@@ -90,7 +90,7 @@
     fn point_as_keeper(&self, keeper: &KeeperDriver, from: VmId) -> VmDatagram {
         let mut seekers = self.seekers.borrow_mut();
         seekers.insert(from);
-        VmDatagram::Elsewhere {
+        VmDatagram::Redirect {
             leader: keeper.leader().map(|id| id.0),
             keepers: keeper.members().iter().map(|id| id.0).collect(),
             vms: self.view.borrow().vms.max(seekers.len()) as u32,
@@ -101,7 +101,7 @@
     fn point_elsewhere(&self, now_ms: u64) -> VmDatagram {
         let view = self.view.borrow();
         let fresh = view.heard_ms + LEADER_SILENT_MS > now_ms;
-        VmDatagram::Elsewhere {
+        VmDatagram::Redirect {
             leader: view.leader.filter(|_| fresh),
             keepers: view.keepers.clone(),
             vms: view.vms as u32,
@@ -173,15 +173,15 @@
     pub(super) fn take_grant(&self, from: VmId, mut grant: GrantNote) {
         let now_ms = self.now_ms();
         self.learn_holders(&grant.holders, now_ms);
-        self.holders.borrow_mut().heard = grant.holders_heard;
+        self.holders.borrow_mut().heard = grant.holders_received;
         self.take_list_age(grant.list, grant.sent_ms, grant.list_age_ms);
-        match grant.dark.take() {
+        match grant.unresponsive.take() {
             Some(dark) => self.take_dark(dark),
             None => self.silence.borrow_mut().view.confirm(now_ms),
         }
         self.take_orders(grant.zones.take(), grant.rollouts.take(), grant.sent_ms);
         grant.quarantine.take().into_iter().for_each(|table| self.take_quarantine(table));
-        self.quarantine.borrow_mut().confirm(grant.term, grant.crashes_heard);
+        self.quarantine.borrow_mut().confirm(grant.term, grant.last_crash);
         let (sent_ms, version, list) = (grant.sent_ms, grant.version, grant.list);
         self.take_view(from, grant, now_ms);
         self.contact.borrow_mut().note_grant(sent_ms, version);
@@ -279,9 +279,9 @@
         view.roster.take(news);
         view.vms = view.roster.rows.len();
         view.reports.note(&keeper.roster.loads(), &loads);
-        let zones = keeper.record.zones.news(self.zones.borrow().watch.orders.taken());
+        let zones = keeper.record.zones.update_since(self.zones.borrow().watch.orders.accepted());
         let known = self.rollouts.borrow().watch().table().changes();
-        self.take_orders(zones, keeper.record.rollouts.news(known), now_ms);
+        self.take_orders(zones, keeper.record.rollouts.update_since(known), now_ms);
         self.contact.borrow_mut().note_grant(now_ms, keeper.record.document.version);
         self.contact_changed.notify_waiters();
         true
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -16,7 +16,9 @@
 use crate::coordination::raft::RaftCore;
 use crate::coordination::raft_message::{RaftMessage, RaftOutput, RaftRole, WAKE_MS};
 use crate::coordination::vm_roster::VmRoster;
-use crate::state::fleet_record::{FleetCommand, FleetRecord, HeldDocument, RecordChange, SeatRow};
+use crate::state::fleet_record::{
+    FleetCommand, FleetRecord, RecordChange, RingSlotRow, VersionedDocument,
+};
 use crate::state::ids::{Incarnation, KeeperId};
 use crate::state::log_store::{
     EntryPayload, GroupMember, GroupMembership, LogBatch, LogEntry, StoredState,
@@ -230,7 +232,7 @@
             let _ = reply.send(true);
             return (receiver, outcome);
         }
-        let document = HeldDocument { version, text: document.clone() };
+        let document = VersionedDocument { version, text: document.clone() };
         let receiver = self.propose(FleetCommand::Document(document), &mut outcome, now_ms);
         (receiver, outcome)
     }
@@ -275,9 +277,9 @@
 
     /// Records the seats, if this keeper leads; what isn't committed is recorded with the next
     /// change.
-    pub fn record_seats(&mut self, seats: Vec<SeatRow>, now_ms: u64) -> KeeperOutcome {
+    pub fn record_seats(&mut self, seats: Vec<RingSlotRow>, now_ms: u64) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
-        let payload = EntryPayload::Command(FleetCommand::Seats(seats).encode());
+        let payload = EntryPayload::Command(FleetCommand::RingSlots(seats).encode());
         self.step(now_ms, &mut outcome, |core, output| {
             if let Err(refusal) = core.propose(payload, output) {
                 info!(target: "keeper", "seats are not recorded: {refusal:?}");
--- a/lib/src/transport/vm_links.rs
+++ b/lib/src/transport/vm_links.rs
@@ -18,7 +18,8 @@
 use super::vm_sockets::set_stream;
 use super::wire_count::WireCount;
 use crate::protocol::vm_wire::{
-    decode_frame_body, decode_frame_head, encode_frame, vm_address, VmId, VmMessage, FRAME_HEAD,
+    decode_frame_body, decode_frame_head, encode_frame, vm_address, VmId, VmMessage,
+    FRAME_HEAD_BYTES,
 };
 
 /// Frames that wait for one link.
@@ -162,7 +163,7 @@
 
     async fn read_link(self, mut stream: TcpStream, take: Rc<dyn Fn(VmId, VmMessage)>) {
         loop {
-            let mut head = [0; FRAME_HEAD];
+            let mut head = [0; FRAME_HEAD_BYTES];
             if stream.read_exact(&mut head).await.is_err() {
                 return;
             }
@@ -181,7 +182,7 @@
             drop(incoming);
             match decode_frame_body(head, body) {
                 Ok(message) => {
-                    self.wire.received(message.kind(), (FRAME_HEAD + head.length) as u64);
+                    self.wire.received(message.kind(), (FRAME_HEAD_BYTES + head.length) as u64);
                     take(head.from, message);
                 }
                 Err(error) => {
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -251,7 +251,7 @@
         let now_ms = self.now_ms();
         let led = match &*self.keeper.borrow() {
             Some(keeper) if keeper.may_vouch(now_ms) => {
-                Some((keeper.term(), keeper.record.seats.clone(), keeper.roster.loads()))
+                Some((keeper.term(), keeper.record.ring_slots.clone(), keeper.roster.loads()))
             }
             _ => None,
         };
--- a/lib/src/transport/vm_list_desk.rs
+++ b/lib/src/transport/vm_list_desk.rs
@@ -5,7 +5,7 @@
 use crossbeam::channel::Sender;
 
 use super::vm_disk::DiskJob;
-use crate::protocol::vm_wire::{NewsAsk, VmId};
+use crate::protocol::vm_wire::{UpdateRequest, VmId};
 use crate::state::upstream_list::ListRevision;
 
 /// Who waits for the list or for news of it, and what was done for that.
@@ -14,7 +14,7 @@
     /// Who wants a newer state than this VM holds, and what they hold.
     pub(super) wanting: BTreeMap<VmId, ListRevision>,
     /// Questions that could not be answered yet, and when they came.
-    pub(super) asking: BTreeMap<VmId, (NewsAsk, u64)>,
+    pub(super) asking: BTreeMap<VmId, (UpdateRequest, u64)>,
     /// When this VM asked last, and how often in a row.
     pub(super) asked_ms: u64,
     pub(super) round: usize,
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -12,8 +12,8 @@
 use super::vm_node::VmNode;
 use crate::coordination::list_reader::{reader_order, whom_to_ask, ASK_MS};
 use crate::coordination::news_source::asks_holder;
-use crate::protocol::vm_wire::{NewsAsk, PeerNote, VmDatagram, VmId, VmMessage};
-use crate::state::kept_list::KeptList;
+use crate::protocol::vm_wire::{PeerState, UpdateRequest, VmDatagram, VmId, VmMessage};
+use crate::state::kept_list::StoredList;
 use crate::state::upstream_list::{ListDelta, ListRevision, UpstreamEntry};
 
 /// The list isn't asked for again within this time while one is held, in milliseconds: whole lists
@@ -82,7 +82,7 @@
         }
         let ask = {
             let upstreams = self.upstreams.borrow();
-            NewsAsk {
+            UpdateRequest {
                 sent_ms: now_ms,
                 list: upstreams.revision,
                 list_age_ms: sent_age_ms(upstreams.confirmed_ms, now_ms),
@@ -94,21 +94,21 @@
             order.extend(self.settings.borrow().seeds.iter().map(|ip| VmId::from(*ip)));
         }
         let asked = whom_to_ask(&order, self.id, round, self.draw() as usize);
-        self.send_datagrams(asked, &VmDatagram::AskNews(ask));
+        self.send_datagrams(asked, &VmDatagram::RequestUpdate(ask));
     }
 
     /// Answers a question at once if this VM knows more, or remembers it.
-    pub(super) fn answer_ask(&self, from: VmId, ask: NewsAsk) {
+    pub(super) fn answer_ask(&self, from: VmId, ask: UpdateRequest) {
         let now_ms = self.now_ms();
         if !self.answer_if_known(from, ask, now_ms) {
             self.list_desk.borrow_mut().asking.insert(from, (ask, now_ms));
         }
     }
 
-    fn answer_if_known(&self, to: VmId, ask: NewsAsk, came_ms: u64) -> bool {
+    fn answer_if_known(&self, to: VmId, ask: UpdateRequest, came_ms: u64) -> bool {
         let note = {
             let (upstreams, contact) = (self.upstreams.borrow(), self.contact.borrow());
-            PeerNote {
+            PeerState {
                 sent_ms: ask.sent_ms,
                 list: upstreams.revision,
                 list_age_ms: sent_age_ms(upstreams.confirmed_ms, came_ms),
@@ -121,13 +121,13 @@
             || note.list == ask.list && younger(note.list_age_ms, ask.list_age_ms)
             || younger(note.version_age_ms, ask.version_age_ms);
         if knows {
-            self.send_datagram(to, &VmDatagram::PeerNews(note));
+            self.send_datagram(to, &VmDatagram::PeerUpdate(note));
         }
         knows
     }
 
     /// Takes what another VM knows.
-    pub(super) fn take_peer_news(&self, from: VmId, note: PeerNote) {
+    pub(super) fn take_peer_news(&self, from: VmId, note: PeerState) {
         let now_ms = self.now_ms();
         self.take_list_age(note.list, note.sent_ms, note.list_age_ms);
         if note.version > 0 && note.version_age_ms < u32::MAX {
@@ -196,7 +196,7 @@
             }
             None => {
                 self.links.send_shared(to, "list", upstreams.revision, &self.list_frame, || {
-                    VmMessage::List { mark: upstreams.revision, rows: upstreams.rows() }
+                    VmMessage::List { revision: upstreams.revision, rows: upstreams.rows() }
                 })
             }
         }
@@ -230,7 +230,7 @@
         let not_own = |id: &VmId| *id != self.id;
         let keepers = view.keepers.iter().copied().filter(not_own);
         if step.from.change == 0 {
-            let whole = VmMessage::List { mark: step.to, rows: self.upstreams.borrow().rows() };
+            let whole = VmMessage::List { revision: step.to, rows: self.upstreams.borrow().rows() };
             self.links.send_all(keepers, &whole);
         } else if changed > MOST_PUSHED_ROWS {
             self.links.send_all(keepers, &VmMessage::ListDelta(step));
@@ -280,7 +280,7 @@
         if desk.keeping || !upstreams.is_held() || desk.kept == upstreams.revision {
             return;
         }
-        let list = KeptList { mark: upstreams.revision, rows: upstreams.rows() };
+        let list = StoredList { revision: upstreams.revision, rows: upstreams.rows() };
         let sent =
             desk.disk.as_ref().is_some_and(|disk| disk.send(DiskJob::KeepList(list)).is_ok());
         if sent {
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -19,7 +19,7 @@
 use crate::state::body_end::{BodyEnd, BodyFraming};
 use crate::state::connect_count::{ConnectCause, ConnectCount};
 use crate::state::rollout_order::{RolloutPhase, RolloutRow};
-use crate::state::vm_figures::{RequestEnd, VmFigures, BUCKETS_MS};
+use crate::state::vm_figures::{RequestEnd, VmCounters, BUCKETS_MS};
 
 /// One figure: name, kind, meaning and unit.
 pub type FigureEntry = (&'static str, &'static str, &'static str);
@@ -129,7 +129,7 @@
         }
     }
 
-    fn plain_figure(&self, figures: &VmFigures, name: &str) -> u64 {
+    fn plain_figure(&self, figures: &VmCounters, name: &str) -> u64 {
         let now_ms = self.now_ms();
         let keeper = self.keeper.borrow();
         let upstreams = self.upstreams.borrow();
@@ -138,11 +138,11 @@
             "wingshed_resumed_total" => figures.resumed,
             "wingshed_cut_total" => figures.cut,
             "wingshed_late_total" => figures.late,
-            "wingshed_left_total" => figures.left,
-            "wingshed_signs_total" => figures.signs,
-            "wingshed_ended_under_total" => figures.ended_under,
+            "wingshed_left_total" => figures.abandoned,
+            "wingshed_signs_total" => figures.failure_signs,
+            "wingshed_ended_under_total" => figures.crashes,
             "wingshed_requests_held" => self.quarantine.borrow().held() as u64,
-            "wingshed_rests_asked_total" => figures.rests_asked,
+            "wingshed_rests_asked_total" => figures.backoffs,
             "wingshed_upstreams_at_rest" => self.pool.notices().borrow().resting(now_ms) as u64,
             "wingshed_upstreams_leaving" => self.pool.notices().borrow().leaving() as u64,
             "wingshed_serving" => u64::from(self.serving.get()),
@@ -157,7 +157,7 @@
             "wingshed_upstreams_dark" => self.silence.borrow().view.published(now_ms).len() as u64,
             "wingshed_zones_emptied" => {
                 let zones = self.zones.borrow();
-                zones.watch.orders.rows().iter().filter(|row| row.emptied).count() as u64
+                zones.watch.orders.rows().iter().filter(|row| row.evacuated).count() as u64
             }
             "wingshed_leader_silent_ms" => now_ms.saturating_sub(self.view.borrow().heard_ms),
             "wingshed_roster" => self.view.borrow().roster.rows.len() as u64,
@@ -239,14 +239,14 @@
     }
 }
 
-fn write_ends(text: &mut String, figures: &VmFigures) {
+fn write_ends(text: &mut String, figures: &VmCounters) {
     for end in RequestEnd::ALL {
         let (name, count) = (end.name(), figures.ended(end));
         let _ = writeln!(text, "wingshed_requests_total{{end=\"{name}\"}} {count}");
     }
 }
 
-fn write_body_ends(text: &mut String, figures: &VmFigures) {
+fn write_body_ends(text: &mut String, figures: &VmCounters) {
     for framing in BodyFraming::ALL {
         for end in BodyEnd::ALL {
             let label = format!("framing=\"{}\",end=\"{}\"", framing.name(), end.name());
@@ -285,7 +285,7 @@
     (heap.uordblks as u64 + heap.hblkhd as u64, heap.arena as u64 + heap.hblkhd as u64)
 }
 
-fn write_first_bytes(text: &mut String, figures: &VmFigures) {
+fn write_first_bytes(text: &mut String, figures: &VmCounters) {
     for (workspace, histogram) in figures.first_bytes() {
         let label = format!("workspace=\"{workspace}\"");
         let mut sum = 0;
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -44,12 +44,12 @@
 use crate::protocol::vm_wire::{VmId, VmMessage};
 use crate::protocol::wire_adapter::WireAdapter;
 use crate::state::document_change::DocumentChange;
-use crate::state::fleet_record::HeldDocument;
+use crate::state::fleet_record::VersionedDocument;
 use crate::state::ids::{Incarnation, KeeperId, UpstreamKey};
 use crate::state::packed_text::PackedText;
 use crate::state::route_table::RouteTable;
 use crate::state::upstream_list::{ListRevision, UpstreamList};
-use crate::state::vm_figures::VmFigures;
+use crate::state::vm_figures::VmCounters;
 use crate::state::vm_settings::VmSettings;
 
 /// The loop's own pace; heartbeats are the shortest thing that it must keep.
@@ -156,7 +156,7 @@
     /// Passive health checks.
     pub outliers: RefCell<OutlierTable>,
     /// What it has counted.
-    pub figures: RefCell<VmFigures>,
+    pub figures: RefCell<VmCounters>,
     /// Where its figures are asked for.
     pub figures_path: RefCell<String>,
     /// What this VM sent where.
@@ -404,7 +404,7 @@
 
     /// Sends a new document to the VMs that are no keepers, against the one before if there was
     /// one; keepers hear of it by the consensus itself.
-    fn send_document(&self, before: Option<&RoutesInForce>, held: HeldDocument) {
+    fn send_document(&self, before: Option<&RoutesInForce>, held: VersionedDocument) {
         let view = self.view.borrow();
         let others = view.roster.rows.iter().map(|row| row.id);
         let others = others.filter(|id| *id != self.id && !view.keepers.contains(id));
@@ -466,10 +466,10 @@
                     let _ = asker.send(committed);
                 }
             }
-            VmMessage::Order { question, order } => {
+            VmMessage::Order { number: question, order } => {
                 spawn_local(self.clone().answer_order(from, question, order));
             }
-            VmMessage::OrderReply { question, verdict } => {
+            VmMessage::OrderReply { number: question, verdict } => {
                 self.take_order_reply(question, verdict);
             }
             VmMessage::WantDocument => self.give_document(from),
@@ -479,7 +479,7 @@
             }
             VmMessage::WantList { have } => self.give_list(from, have),
             VmMessage::ListDelta(step) => self.take_list_step(from, step),
-            VmMessage::List { mark, rows } => self.take_list(mark, rows),
+            VmMessage::List { revision: mark, rows } => self.take_list(mark, rows),
         }
     }
 
@@ -535,7 +535,7 @@
         let Some(DiskReport::Opened(life, stored, kept)) = reports.recv().await else { return };
         if let Some(kept) = kept {
             info!(target: "list", upstreams = kept.rows.len(), "is used as it was kept on disk");
-            self.take_list(kept.mark, kept.rows);
+            self.take_list(kept.revision, kept.rows);
         }
         self.list_desk.borrow_mut().disk = Some(jobs.clone());
         let keeper = KeeperDriver::new(identity, life, *stored, jobs, self.now_ms());
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -13,22 +13,22 @@
 impl CallerTask {
     /// Takes the notices of the head of an answer to this request.
     pub(super) fn hear_notices(&self, place: &SendPlace, facts: &UpstreamAnswer) {
-        if facts.other_life {
+        if facts.other_incarnation {
             return;
         }
         let now_ms = self.node.now_ms();
         let drain_ms = self.node.settings.borrow().bounds.drain_ms;
         let mut notices = self.node.pool.notices().borrow_mut();
-        match facts.rest_ms {
+        match facts.backoff_ms {
             Some(rest_ms) => {
                 notices.note_rest(place.upstream, rest_ms, self.node.clock.next_ms());
-                self.node.figures.borrow_mut().rests_asked += 1;
+                self.node.figures.borrow_mut().backoffs += 1;
             }
             None if facts.not_run => notices.note_turned_away(place.upstream, now_ms),
             None => notices.note_taken(place.upstream, now_ms),
         }
         if facts.leaving && notices.note_leaving(place.upstream, drain_ms, now_ms) {
-            info!(target: "upstream", life = place.send.life, "says that it leaves");
+            info!(target: "upstream", life = place.send.name, "says that it leaves");
         }
     }
 
@@ -42,8 +42,8 @@
     ) {
         let rests_ms = self.node.pool.notices().borrow().rest_ms(place.upstream, place.sent_ms);
         info!(
-            target: "upstream", life = place.send.life, attempt = self.caller.attempt,
-            status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
+            target: "upstream", life = place.send.name, attempt = self.caller.attempt,
+            status = head.status.as_u16(), asks_ms = facts.backoff_ms, rests_ms,
             kept, "did not run it",
         );
     }
--- a/lib/src/transport/vm_orders.rs
+++ b/lib/src/transport/vm_orders.rs
@@ -61,7 +61,7 @@
         let (sender, receiver) = oneshot::channel();
         let question = self.draw() ^ self.now_ms();
         self.orders.borrow_mut().asked.insert(question, sender);
-        self.links.send(leader, &VmMessage::Order { question, order });
+        self.links.send(leader, &VmMessage::Order { number: question, order });
         let verdict = tokio::time::timeout(REPLY_TIME, receiver).await;
         self.orders.borrow_mut().asked.remove(&question);
         verdict.ok()?.ok()
@@ -120,7 +120,7 @@
     /// Another VM asks this one to take an order.
     pub(super) async fn answer_order(self: Rc<Self>, from: VmId, question: u64, order: FleetOrder) {
         let verdict = self.order_here(order).await;
-        self.links.send(from, &VmMessage::OrderReply { question, verdict });
+        self.links.send(from, &VmMessage::OrderReply { number: question, verdict });
     }
 
     /// The leader answers.
--- a/lib/src/transport/vm_place.rs
+++ b/lib/src/transport/vm_place.rs
@@ -51,7 +51,7 @@
         let rank = workspace.map_or(0, |workspace| workspace.priority);
         let engine_priority = rule.prompt_parts.then(|| engine_rank(rank, rule.priority));
         let send = UpstreamSend {
-            life: entry.name.clone(),
+            name: entry.name.clone(),
             left_ms,
             workspace: workspace.map(|workspace| workspace.name.clone()),
             engine_priority,
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -115,7 +115,7 @@
     /// Why it can't be used, if so.
     fn fault(&self, silent: fn(&TcpStream) -> bool, now_ms: u64) -> Option<ConnectCause> {
         if self.until_ms <= now_ms {
-            return Some(ConnectCause::Rested);
+            return Some(ConnectCause::IdleTimeout);
         }
         (!silent(&self.stream)).then_some(ConnectCause::Closed)
     }
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -12,7 +12,7 @@
 use crate::coordination::vm_roster::overloaded_renew_ms;
 use crate::protocol::vm_wire::VmDatagram;
 use crate::state::fleet_record::FleetCommand;
-use crate::state::ids::RequestMark;
+use crate::state::ids::RequestFingerprint;
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 impl VmNode {
@@ -24,7 +24,7 @@
     }
 
     /// A request ran to its end and its upstream lives: likewise, where that is asked for.
-    pub(super) fn note_ran_well(self: &Rc<Self>, mark: RequestMark) {
+    pub(super) fn note_ran_well(self: &Rc<Self>, mark: RequestFingerprint) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_well(mark, pause_ms, now_ms));
@@ -62,7 +62,7 @@
             let own = desk.take_report(now_ms);
             desk.hear(term, &own, recorded, now_ms);
             desk.confirm(term, own.last());
-            recorded.news(desk.changes())
+            recorded.update_since(desk.changes())
         };
         news.into_iter().for_each(|table| self.take_quarantine(table));
     }
@@ -81,7 +81,7 @@
         for command in wanted {
             match &command {
                 QuarantineCommand::Set(row) => info!(
-                    target: "quarantine", request = %row.mark, held = row.held, times = row.times,
+                    target: "quarantine", request = %row.fingerprint, held = row.quarantined, times = row.times,
                     ended = row.ended.len(), "decides",
                 ),
                 QuarantineCommand::Clear(mark) => {
--- a/lib/src/transport/vm_reply.rs
+++ b/lib/src/transport/vm_reply.rs
@@ -108,7 +108,7 @@
         if own.is_none() || (head.status.is_success() && !facts.stamped) {
             return self.take_foreign(place);
         }
-        match (head.status.is_server_error(), facts.rest_ms) {
+        match (head.status.is_server_error(), facts.backoff_ms) {
             (true, Some(_)) => place.trial.end_unsaid(),
             (true, None) => place.trial.end_bad(),
             (false, _) => {}
@@ -120,7 +120,7 @@
         }
         let short = body.size_hint().exact().is_some_and(|length| length <= HELD_BYTES);
         if rule.kind.is_stream() || !short {
-            let asks_rest = facts.rest_ms.is_some();
+            let asks_rest = facts.backoff_ms.is_some();
             let success = head.status.is_success();
             let framing = body_framing(&head, &body);
             let tracker = BodyTracker::new(framing, rule.kind.is_stream() && success);
@@ -148,7 +148,7 @@
         lease: ConnectionLease,
     ) -> SendResult {
         place.trial.end_unsaid();
-        match facts.other_life {
+        match facts.other_incarnation {
             true => self.note_gone(place.upstream, "another life listens there"),
             false => self.log_turned_away(place, facts, head, lease.is_kept()),
         }
@@ -178,7 +178,8 @@
             Waited::Done(Ok(body)) => {
                 self.note_ran(place, true);
                 lease.finish(facts.closes, facts.idle_ms, self.node.now_ms()).await;
-                let (body, asks_rest) = (GoodBody::Whole(body.to_bytes()), facts.rest_ms.is_some());
+                let (body, asks_rest) =
+                    (GoodBody::Whole(body.to_bytes()), facts.backoff_ms.is_some());
                 SendResult::Answer(Box::new(GoodAnswer { head, body, asks_rest }))
             }
             Waited::Done(Err(_)) => {
@@ -218,7 +219,7 @@
         }
         info!(
             target: "request", attempt = self.caller.attempt, took_ms, goal_ms = rule.goal_ms,
-            life = place.send.life, left_ms = place.send.left_ms,
+            life = place.send.name, left_ms = place.send.left_ms,
             own, others, fetched = place.send.fetch_from.is_some(), "late {what}",
         );
     }
--- a/lib/src/transport/vm_request_record.rs
+++ b/lib/src/transport/vm_request_record.rs
@@ -57,7 +57,7 @@
     /// Logs that the caller left before it had the whole answer.
     pub(super) fn log_left(&self) {
         self.left.set(true);
-        self.node.figures.borrow_mut().left += 1;
+        self.node.figures.borrow_mut().abandoned += 1;
         let ran = self.ran.get().name();
         info!(target: "request", attempt = self.attempt, ran, "its caller left");
     }
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -20,7 +20,7 @@
 use crate::coordination::rollout_share::{sharing_vms, ExposureBound};
 use crate::coordination::rollout_watch::{RolloutLane, RolloutNote, TrialTag, VersionRule};
 use crate::coordination::vm_roster::overloaded_renew_ms;
-use crate::protocol::vm_wire::{FleetOrder, OrderEnd, RolloutWish, VmDatagram, VmId};
+use crate::protocol::vm_wire::{FleetOrder, OrderEnd, RolloutRequest, VmDatagram, VmId};
 use crate::protocol::wire_adapter::RolloutCall;
 use crate::state::finding::Finding;
 use crate::state::fleet_record::FleetCommand;
@@ -108,13 +108,13 @@
             .is_some_and(|routes| routes.table.services.iter().any(|s| s.name == service))
     }
 
-    fn wish_of(&self, call: &RolloutCall) -> RolloutWish {
+    fn wish_of(&self, call: &RolloutCall) -> RolloutRequest {
         let desk = self.rollouts.borrow();
-        RolloutWish {
+        RolloutRequest {
             service: call.service.clone(),
             target: call.target.clone(),
             duration_ms: call.duration_ms,
-            after: desk.watch().table().row(&call.service).map_or(0, |row| row.order.number),
+            last_number: desk.watch().table().row(&call.service).map_or(0, |row| row.order.number),
         }
     }
 
@@ -123,7 +123,7 @@
     pub(super) fn rollout_command(
         &self,
         keeper: &KeeperDriver,
-        wish: RolloutWish,
+        wish: RolloutRequest,
     ) -> Result<FleetCommand, OrderEnd> {
         let now_ms = self.now_ms();
         let repeat_ms = self.settings.borrow().bounds.ack_ms + ORDER_MS;
@@ -141,7 +141,7 @@
             }
         }
         let number = row.map_or(0, |row| row.order.number);
-        if wish.after != number {
+        if wish.last_number != number {
             return Err(OrderEnd::NotTaken);
         }
         Ok(FleetCommand::Rollout(RolloutCommand::Start(RolloutOrder {
@@ -149,7 +149,7 @@
             number: number + 1,
             target: wish.target,
             duration_ms: wish.duration_ms,
-            vms: sharing_vms(keeper.roster.rows().len(), keeper.led_ms(now_ms)),
+            sharing_vms: sharing_vms(keeper.roster.rows().len(), keeper.led_ms(now_ms)),
         })))
     }
 
@@ -176,7 +176,7 @@
 
     fn exposure_bound(&self) -> ExposureBound {
         let bounds = self.settings.borrow().bounds;
-        ExposureBound { share: bounds.expose_share, slack: bounds.expose_slack }
+        ExposureBound { share: bounds.exposure_share, slack: bounds.exposure_slack }
     }
 
     /// Takes the roll-outs as a leader sent them.
@@ -194,7 +194,7 @@
     /// What this VM reports to the leader of roll-outs that run.
     pub(super) fn rollout_notes(&self) -> Vec<RolloutNote> {
         let desk = self.rollouts.borrow();
-        if !desk.watch().table().any_runs() {
+        if !desk.watch().table().any_running() {
             return Vec::new();
         }
         let upstreams = self.upstreams.borrow();
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -72,7 +72,7 @@
                 Waited::Dark => {
                     place.trial.end_unsaid();
                     info!(
-                        target: "upstream", life = place.send.life,
+                        target: "upstream", life = place.send.name,
                         attempt = self.caller.attempt, "is dark, is not waited for",
                     );
                     return SendResult::Bad(SendOutcome::Broken);
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -193,7 +193,7 @@
         if dark.len() > MOST_SENT_AT_ONCE {
             return;
         }
-        self.send_others(&VmDatagram::Dark { term, upstreams: dark });
+        self.send_others(&VmDatagram::Unresponsive { term, upstreams: dark });
     }
 
     /// What a leader answers to a VM that received the dark upstreams `known`.
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -157,7 +157,7 @@
             let service = pick_share(&rule.shares, self.draw)?;
             let entry = &routes.table.services[service];
             let left = deadline_ms.saturating_sub(self.node.now_ms());
-            if count.sent >= rule.most_upstreams || left < LEAST_LEFT_MS {
+            if count.sent >= rule.max_upstreams || left < LEAST_LEFT_MS {
                 return None;
             }
             // What was begun goes on whatever room there is.
@@ -260,7 +260,7 @@
         self.node.figures.borrow_mut().note_body_end(framing, end);
         if end != BodyEnd::Boundary {
             info!(
-                target: "upstream", life = place.send.life, attempt = self.caller.attempt,
+                target: "upstream", life = place.send.name, attempt = self.caller.attempt,
                 framing = framing.name(), end = end.name(), "stream ended",
             );
         }
@@ -268,7 +268,7 @@
 
     fn log_broken_body(&self, place: &SendPlace, tracker: &BodyTracker, error: &hyper::Error) {
         info!(
-            target: "upstream", life = place.send.life, attempt = self.caller.attempt,
+            target: "upstream", life = place.send.name, attempt = self.caller.attempt,
             framing = tracker.framing().name(), end = tracker.end().name(), %error, "stream broke off",
         );
     }
--- a/lib/src/transport/vm_task.rs
+++ b/lib/src/transport/vm_task.rs
@@ -10,7 +10,7 @@
 use super::vm_node::VmNode;
 use super::vm_request_record::{ConnectionRecord, RequestRecord};
 use crate::protocol::wire_adapter::CallerRequest;
-use crate::state::ids::RequestMark;
+use crate::state::ids::RequestFingerprint;
 
 /// A request with less than this left isn't sent any more, in milliseconds.
 pub(super) const LEAST_LEFT_MS: u64 = 10;
@@ -30,7 +30,7 @@
     pub(super) record: Rc<RequestRecord>,
     pub(super) connection: ConnectionRecord,
     /// The request by its content, once anybody asked; see [`CallerTask::mark`].
-    pub(super) mark: OnceCell<RequestMark>,
+    pub(super) mark: OnceCell<RequestFingerprint>,
     pub(super) _serving: ServingGuard,
 }
 
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -38,7 +38,7 @@
     }
     let order = || {
         let number = node.zones.borrow().watch.orders.last_number(&zone) + 1;
-        FleetOrder::Zone(ZoneOrder { zone: zone.clone(), number, emptied })
+        FleetOrder::Zone(ZoneOrder { zone: zone.clone(), number, evacuated: emptied })
     };
     if node.order_until(arrived_ms, order).await == OrderEnd::Taken {
         info!(target: "control", zone, emptied, "an order of a zone is taken");
--- a/lib/tests/test_broken_answers.rs
+++ b/lib/tests/test_broken_answers.rs
@@ -7,7 +7,7 @@
 
 use testutils::raw_answer::{raw_answer, RawEnd, RawPace};
 use testutils::{returning_chat, system_with, SystemFixture};
-use wingshed_lib::protocol::caller::RanMark;
+use wingshed_lib::protocol::caller::RanStatus;
 use wingshed_standin::caller::{chat_call, plain_call, send};
 use wingshed_standin::system::SystemMake;
 
@@ -47,7 +47,7 @@
         let answer = send(&system.client, system.router_addresses()[0], &call, None);
 
         assert_eq!((answer.status, answer.code().as_str()), (502, "upstream_failed"), "{answer:?}");
-        assert_eq!(answer.ran, Some(RanMark::Unknown));
+        assert_eq!(answer.ran, Some(RanStatus::Unknown));
     }
 }
 
@@ -75,7 +75,7 @@
     let answer = send(&system.client, system.router_addresses()[0], &call, None);
 
     assert!(answer.status >= 500 && !answer.code().is_empty(), "{answer:?}");
-    assert_eq!(answer.ran, Some(RanMark::No));
+    assert_eq!(answer.ran, Some(RanStatus::No));
 }
 
 #[test]
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -22,7 +22,7 @@
 use wingshed_lib::protocol::seal::{SealChecker, SealMaker, SealRefusal, SEAL_AGE_MS};
 use wingshed_lib::state::chat_memory::{ChatMemory, HolderCertainty};
 use wingshed_lib::state::claim_table::*;
-use wingshed_lib::state::configuration::{MoveRates, WorkspaceEntry, NO_IMPORT_RATES};
+use wingshed_lib::state::configuration::{KvRates, WorkspaceEntry, NO_IMPORT_RATES};
 use wingshed_lib::state::ids::{
     ChatKey, FleetKey, Incarnation, RouterId, UpstreamKey, WorkspaceKey,
 };
@@ -406,14 +406,14 @@
     let mut memory = ChatMemory::new(2);
     memory.note(chat, engine, Incarnation(1), 1000);
     let holder = |memory: &ChatMemory| memory.holders(chat)[0];
-    assert_eq!(memory.certainty(&holder(&memory)), Some(HolderCertainty::Surely));
+    assert_eq!(memory.certainty(&holder(&memory)), Some(HolderCertainty::Certain));
 
     memory.note_gap(engine);
-    assert_eq!(memory.certainty(&holder(&memory)), Some(HolderCertainty::Perhaps));
+    assert_eq!(memory.certainty(&holder(&memory)), Some(HolderCertainty::Uncertain));
     assert!(memory.expected_tokens(&holder(&memory)) < 1000);
     memory.note(chat, engine, Incarnation(1), 1200);
-    assert_eq!(memory.certainty(&holder(&memory)), Some(HolderCertainty::Surely));
-    memory.set_life(engine, Incarnation(2));
+    assert_eq!(memory.certainty(&holder(&memory)), Some(HolderCertainty::Certain));
+    memory.set_incarnation(engine, Incarnation(2));
     assert_eq!(memory.certainty(&holder(&memory)), None);
 
     memory.note(ChatKey(2), engine, Incarnation(2), 1);
@@ -424,8 +424,8 @@
 
 #[test]
 fn the_cheapest_of_waiting_importing_and_computing_wins() {
-    let imports = MoveRates { import_per_ms: 40.0, ..NO_IMPORT_RATES };
-    let rows: [(MoveRates, u32, Option<f64>, MoveChoice); 6] = [
+    let imports = KvRates { import_per_ms: 40.0, ..NO_IMPORT_RATES };
+    let rows: [(KvRates, u32, Option<f64>, MoveChoice); 6] = [
         (NO_IMPORT_RATES, 4000, None, MoveChoice::Recompute),
         (NO_IMPORT_RATES, 4000, Some(200.0), MoveChoice::Wait(500)),
         (NO_IMPORT_RATES, 4000, Some(800.0), MoveChoice::Recompute),
--- a/lib/tests/test_explaining.rs
+++ b/lib/tests/test_explaining.rs
@@ -8,7 +8,7 @@
 use wingshed_lib::coordination::log_story::{
     read_log, request_story, span_story, LogLine, StoryReason,
 };
-use wingshed_lib::state::vm_figures::{RequestEnd, VmFigures, MOST_WORKSPACES, OTHER_WORKSPACES};
+use wingshed_lib::state::vm_figures::{RequestEnd, VmCounters, MAX_WORKSPACES, OTHER_WORKSPACES};
 use wingshed_lib::transport::vm_metrics::FIGURES;
 
 fn count(verdicts: &[LineVerdict], wanted: fn(&LineVerdict) -> bool) -> usize {
@@ -47,19 +47,19 @@
 
 #[test]
 fn histograms_are_bounded_and_lose_nothing() {
-    let mut figures = VmFigures::default();
-    for number in 0..MOST_WORKSPACES * 2 {
+    let mut figures = VmCounters::default();
+    for number in 0..MAX_WORKSPACES * 2 {
         figures.note_first_byte(Some(&format!("w{number}")), 10 * number as u64);
     }
     figures.note_first_byte(None, 1_000_000);
     figures.note_end(RequestEnd::Refused);
 
     let rows: Vec<_> = figures.first_bytes().collect();
-    assert!(rows.len() <= MOST_WORKSPACES + 1, "{}", rows.len());
+    assert!(rows.len() <= MAX_WORKSPACES + 1, "{}", rows.len());
     let all: u64 = rows.iter().map(|(_, histogram)| histogram.count()).sum();
-    assert_eq!(all, MOST_WORKSPACES as u64 * 2 + 1);
+    assert_eq!(all, MAX_WORKSPACES as u64 * 2 + 1);
     let (_, other) = rows.iter().find(|(name, _)| *name == OTHER_WORKSPACES).unwrap();
-    assert_eq!(other.count(), MOST_WORKSPACES as u64 + 1);
+    assert_eq!(other.count(), MAX_WORKSPACES as u64 + 1);
     assert_eq!(*other.counts.last().unwrap(), 1, "the longest is beyond all buckets");
     assert_eq!(figures.ended(RequestEnd::Refused), 1);
 }
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -17,7 +17,7 @@
 use wingshed_lib::state::ids::UpstreamKey;
 use wingshed_lib::state::rollout_order::VersionKey;
 use wingshed_lib::state::upstream_list::{
-    EntryDoubt, ListDelta, ListRevision, UpstreamEntry, UpstreamList,
+    EntryDefect, ListDelta, ListRevision, UpstreamEntry, UpstreamList,
 };
 use wingshed_lib::state::zero_runs::{pack_zeros, unpack_zeros};
 
@@ -32,7 +32,7 @@
         cold: false,
         version: VersionKey::default(),
         started_ms: None,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     }
 }
 
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -22,7 +22,7 @@
 use wingshed_lib::state::ids::UpstreamKey;
 use wingshed_lib::state::prompt_part::PromptPart;
 use wingshed_lib::state::upstream_list::{
-    EntryDoubt, ListChange, ListDelta, ListRevision, UpstreamEntry, UpstreamList,
+    EntryDefect, ListChange, ListDelta, ListRevision, UpstreamEntry, UpstreamList,
 };
 
 const ZONES: u32 = 5;
@@ -46,7 +46,7 @@
         cold: false,
         version: Default::default(),
         started_ms: None,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     }
 }
 
--- a/lib/tests/test_fuzz.rs
+++ b/lib/tests/test_fuzz.rs
@@ -5,11 +5,11 @@
 use wingshed_lib::coordination::policy::compile_policy;
 use wingshed_lib::coordination::policy_cases::read_cases;
 use wingshed_lib::coordination::trace::read_trace;
-use wingshed_lib::protocol::caller::{read_request, CallerRequest, ChatFacts, ResumePlace};
+use wingshed_lib::protocol::caller::{read_request, CallerRequest, ChatFacts, ResumePosition};
 use wingshed_lib::protocol::engine::{read_head, read_piece, read_state};
 use wingshed_lib::protocol::http::HttpCall;
 use wingshed_lib::protocol::keeper_wire::{decode, encode, Datagram, KeeperCall, KeeperReply};
-use wingshed_lib::protocol::peer_wire::{ForwardAim, ForwardRequest};
+use wingshed_lib::protocol::peer_wire::{ForwardPurpose, ForwardRequest};
 use wingshed_lib::protocol::seal::{SealChecker, SealMaker};
 use wingshed_lib::protocol::sse::{write_event, SseEvent, SseReader};
 use wingshed_lib::protocol::vm_list::read_list;
@@ -211,9 +211,9 @@
             service: "s".into(), run_once: true, deadline_ms: 5, labels: Default::default(),
             method: "POST".into(), target: "/x".into(), content_type: None, body,
             facts: Some(ChatFacts { stream: true, max_tokens: None, prompt_tokens: 3, fresh: true }),
-            resume: Some(ResumePlace { upstream: "e".into(), last: 4 }),
+            resume: Some(ResumePosition { upstream: "e".into(), last: 4 }),
         };
-        let passed = ForwardRequest { from: RouterId(1), hops: 1, aim: ForwardAim::AsEntry, request };
+        let passed = ForwardRequest { from: RouterId(1), hops: 1, purpose: ForwardPurpose::AsEntry, request };
         prop_assert_eq!(decode::<ForwardRequest>(&encode(&passed)).unwrap(), passed);
     }
 }
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -9,11 +9,11 @@
 use wingshed_lib::coordination::upstream_load::{LoadReports, UpstreamLoad};
 use wingshed_lib::coordination::upstream_seats::SeatTable;
 use wingshed_lib::state::finding::Finding;
-use wingshed_lib::state::kept_list::{read_kept, write_kept, KeptList};
+use wingshed_lib::state::kept_list::{load_list, store_list, StoredList};
 use wingshed_lib::state::list_reading::{ListReading, UnreadEntry};
 use wingshed_lib::state::prompt_part::PromptPart;
 use wingshed_lib::state::rollout_order::VersionKey;
-use wingshed_lib::state::upstream_list::{EntryDoubt, UpstreamEntry, UpstreamList};
+use wingshed_lib::state::upstream_list::{EntryDefect, UpstreamEntry, UpstreamList};
 
 const READER: u32 = 9;
 const PART: u64 = 77;
@@ -29,7 +29,7 @@
         cold: false,
         version: VersionKey::default(),
         started_ms: born,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     }
 }
 
@@ -41,8 +41,8 @@
     UpstreamEntry { leaving: true, ..row }
 }
 
-fn doubtful(doubt: EntryDoubt, row: UpstreamEntry) -> UpstreamEntry {
-    UpstreamEntry { doubt, ..row }
+fn doubtful(doubt: EntryDefect, row: UpstreamEntry) -> UpstreamEntry {
+    UpstreamEntry { defect: doubt, ..row }
 }
 
 /// A list as it was read once.
@@ -135,9 +135,10 @@
     let folder = tempfile::tempdir().unwrap();
     let known = list(&[entry("i", Some(7))]);
 
-    write_kept(folder.path(), &KeptList { mark: known.revision, rows: known.rows() }).unwrap();
+    store_list(folder.path(), &StoredList { revision: known.revision, rows: known.rows() })
+        .unwrap();
 
-    let kept = read_kept(folder.path()).unwrap().unwrap();
+    let kept = load_list(folder.path()).unwrap().unwrap();
     assert_eq!(kept.rows, known.rows());
 }
 
@@ -280,7 +281,7 @@
 
     let rows = settled(&reading(std::slice::from_ref(&b), &[unread(Some("a"), None)]), &known);
 
-    assert_eq!(rows, [doubtful(EntryDoubt::Unread, a), b]);
+    assert_eq!(rows, [doubtful(EntryDefect::Unread, a), b]);
 }
 
 #[test]
@@ -292,7 +293,7 @@
 
     let rows = settled(&reading(std::slice::from_ref(&b), &[nameless]), &known);
 
-    assert_eq!(rows, [doubtful(EntryDoubt::Unread, a), b]);
+    assert_eq!(rows, [doubtful(EntryDefect::Unread, a), b]);
 }
 
 #[test]
@@ -350,7 +351,7 @@
 
 #[test]
 fn a_doubt_ends_with_the_next_entry_that_is_read() {
-    for doubt in [EntryDoubt::State, EntryDoubt::Unread] {
+    for doubt in [EntryDefect::State, EntryDefect::Unread] {
         let mut known = list(&[doubtful(doubt, entry("i", Some(1)))]);
         let before = known.accepting("s").count();
 
@@ -368,7 +369,7 @@
     let (seat, known) = (rows[0].ring_slot, list(&rows));
     let mut rows = vec![
         at("10.0.0.9:1", entry("b", Some(2))),
-        doubtful(EntryDoubt::Unread, entry("a", Some(1))),
+        doubtful(EntryDefect::Unread, entry("a", Some(1))),
     ];
 
     table.seat(&mut rows, &known, &BTreeSet::new(), 90_000);
@@ -379,7 +380,7 @@
 #[test]
 fn one_in_doubt_that_has_no_seat_gets_none() {
     let mut table = SeatTable::default();
-    let mut rows = vec![doubtful(EntryDoubt::State, entry("a", Some(1)))];
+    let mut rows = vec![doubtful(EntryDefect::State, entry("a", Some(1)))];
 
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
 
--- a/lib/tests/test_list_keeping.rs
+++ b/lib/tests/test_list_keeping.rs
@@ -4,13 +4,13 @@
 
 use proptest::prelude::*;
 use wingshed_lib::protocol::vm_wire::{
-    decode_frame_body, decode_frame_head, encode_frame, VmMessage, FRAME_HEAD,
+    decode_frame_body, decode_frame_head, encode_frame, VmMessage, FRAME_HEAD_BYTES,
 };
-use wingshed_lib::state::kept_list::{read_kept, write_kept, KeptList};
+use wingshed_lib::state::kept_list::{load_list, store_list, StoredList};
 use wingshed_lib::state::rollout_order::VersionKey;
-use wingshed_lib::state::upstream_list::{EntryDoubt, ListRevision, UpstreamEntry};
+use wingshed_lib::state::upstream_list::{EntryDefect, ListRevision, UpstreamEntry};
 
-fn list(upstreams: u16, change: u64) -> KeptList {
+fn list(upstreams: u16, change: u64) -> StoredList {
     let row = |number: u16| UpstreamEntry {
         name: format!("i-{:010x}", u64::from(number) * 0x9e37_79b9),
         service: "engines-of-one-kind".to_string(),
@@ -21,38 +21,38 @@
         cold: false,
         version: VersionKey::default(),
         started_ms: None,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     };
     let mark = ListRevision { term: 3, change, reader: 5 };
-    KeptList { mark, rows: (0..upstreams).map(row).collect() }
+    StoredList { revision: mark, rows: (0..upstreams).map(row).collect() }
 }
 
 #[test]
 fn a_kept_list_is_read_as_it_was_and_replaced_whole() {
     let folder = tempfile::tempdir().unwrap();
-    assert_eq!(read_kept(folder.path()).unwrap(), None, "there is none yet");
+    assert_eq!(load_list(folder.path()).unwrap(), None, "there is none yet");
 
-    write_kept(folder.path(), &list(250, 1)).unwrap();
-    write_kept(folder.path(), &list(20, 2)).unwrap();
+    store_list(folder.path(), &list(250, 1)).unwrap();
+    store_list(folder.path(), &list(20, 2)).unwrap();
 
-    assert_eq!(read_kept(folder.path()).unwrap(), Some(list(20, 2)));
+    assert_eq!(load_list(folder.path()).unwrap(), Some(list(20, 2)));
 }
 
 #[test]
 fn a_list_that_was_cut_while_it_replaced_another_leaves_that_one() {
     let folder = tempfile::tempdir().unwrap();
-    write_kept(folder.path(), &list(20, 1)).unwrap();
+    store_list(folder.path(), &list(20, 1)).unwrap();
     std::fs::write(folder.path().join("upstreams.next"), b"half").unwrap();
 
-    assert_eq!(read_kept(folder.path()).unwrap(), Some(list(20, 1)));
-    write_kept(folder.path(), &list(20, 2)).unwrap();
-    assert_eq!(read_kept(folder.path()).unwrap(), Some(list(20, 2)));
+    assert_eq!(load_list(folder.path()).unwrap(), Some(list(20, 1)));
+    store_list(folder.path(), &list(20, 2)).unwrap();
+    assert_eq!(load_list(folder.path()).unwrap(), Some(list(20, 2)));
 }
 
 #[test]
 fn a_damaged_list_is_an_error_and_no_list() {
     let folder = tempfile::tempdir().unwrap();
-    write_kept(folder.path(), &list(20, 1)).unwrap();
+    store_list(folder.path(), &list(20, 1)).unwrap();
     let path = folder.path().join("upstreams");
     let good = std::fs::read(&path).unwrap();
     let flipped = |at: usize| {
@@ -70,23 +70,23 @@
     for (case, bytes) in cases {
         std::fs::write(&path, bytes).unwrap();
 
-        assert!(read_kept(folder.path()).is_err(), "{case}");
+        assert!(load_list(folder.path()).is_err(), "{case}");
     }
 }
 
 fn frame_of(message: &VmMessage) -> (usize, Result<VmMessage, String>) {
     let frame = encode_frame(9, message);
-    let head = decode_frame_head(frame[..FRAME_HEAD].try_into().unwrap()).unwrap();
-    assert_eq!((head.from, head.length), (9, frame.len() - FRAME_HEAD));
-    (frame.len(), decode_frame_body(head, frame[FRAME_HEAD..].to_vec()))
+    let head = decode_frame_head(frame[..FRAME_HEAD_BYTES].try_into().unwrap()).unwrap();
+    assert_eq!((head.from, head.length), (9, frame.len() - FRAME_HEAD_BYTES));
+    (frame.len(), decode_frame_body(head, frame[FRAME_HEAD_BYTES..].to_vec()))
 }
 
 #[test]
 fn a_list_travels_packed_and_comes_whole() {
-    let KeptList { mark, rows } = list(250, 1);
+    let StoredList { revision: mark, rows } = list(250, 1);
     let plain = rmp_serde::to_vec(&rows).unwrap().len();
 
-    let (bytes, read) = frame_of(&VmMessage::List { mark, rows: rows.clone() });
+    let (bytes, read) = frame_of(&VmMessage::List { revision: mark, rows: rows.clone() });
 
     // 14,375 bytes before, 3,255 packed.
     assert!(bytes * 2 < plain, "{bytes} of {plain} bytes");
@@ -95,11 +95,13 @@
 
 #[test]
 fn a_body_that_unpacks_to_nothing_of_ours_is_an_error() {
-    let KeptList { mark, rows } = list(250, 1);
-    let frame = encode_frame(9, &VmMessage::List { mark, rows });
-    let head = decode_frame_head(frame[..FRAME_HEAD].try_into().unwrap()).unwrap();
+    let StoredList { revision: mark, rows } = list(250, 1);
+    let frame = encode_frame(9, &VmMessage::List { revision: mark, rows });
+    let head = decode_frame_head(frame[..FRAME_HEAD_BYTES].try_into().unwrap()).unwrap();
 
-    for body in [Vec::new(), b"no frame".to_vec(), frame[FRAME_HEAD..frame.len() / 2].to_vec()] {
+    for body in
+        [Vec::new(), b"no frame".to_vec(), frame[FRAME_HEAD_BYTES..frame.len() / 2].to_vec()]
+    {
         assert!(decode_frame_body(head, body).is_err());
     }
 }
--- a/lib/tests/test_promises.rs
+++ b/lib/tests/test_promises.rs
@@ -7,9 +7,9 @@
 
 use testutils::{returning_chat, system_with, SystemFixture};
 use wingshed_lib::coordination::outlier::FIRST_ASIDE_MS;
-use wingshed_lib::protocol::caller::RanMark;
+use wingshed_lib::protocol::caller::RanStatus;
 use wingshed_lib::protocol::engine::run_id;
-use wingshed_lib::protocol::vm_list::{VmEntry, VmStanding};
+use wingshed_lib::protocol::vm_list::{VmEntry, VmStatus};
 use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatAsk};
 use wingshed_standin::engine::{whole_text, EngineFaults};
 use wingshed_standin::platform::PlatformStandIn;
@@ -128,7 +128,7 @@
 
             let answer = ask(system, &returning_chat(&id, service));
 
-            assert_eq!(answer.ran, Some(RanMark::No), "{case}, {service}: {answer:?}");
+            assert_eq!(answer.ran, Some(RanStatus::No), "{case}, {service}: {answer:?}");
             assert!(!system.starts().contains_key(&run_id("w0", &id)), "{case}");
             assert!(started.elapsed() < Duration::from_secs(4), "the refusal comes at once");
         }
@@ -160,7 +160,7 @@
     each_engine(system, clear);
     let again = ask(system, &returning_chat("lost", "alert"));
 
-    assert_eq!(answer.ran, Some(RanMark::Unknown), "{answer:?}");
+    assert_eq!(answer.ran, Some(RanStatus::Unknown), "{answer:?}");
     assert_eq!(again.status, 409, "{again:?}");
     assert_eq!(system.starts().get(&run_id("w0", "lost")), Some(&1));
 }
@@ -198,7 +198,7 @@
         ("by its own word", |system, _| system.engines[0].as_ref().unwrap().leave()),
         ("by the VM list", |system, platform| {
             let address = system.engines[0].as_ref().unwrap().address;
-            platform.set_list(vec![VmEntry { address, state: VmStanding::Leaving }]);
+            platform.set_list(vec![VmEntry { address, state: VmStatus::Leaving }]);
         }),
         ("by an operator's order", |system, _| {
             let mut document = system.document();
@@ -260,7 +260,7 @@
     let answer = call("all-rest");
 
     assert_eq!((served, beside), (12, vec![1, 0]), "it is asked once");
-    assert_eq!((answer.status, answer.ran), (503, Some(RanMark::No)), "{answer:?}");
+    assert_eq!((answer.status, answer.ran), (503, Some(RanStatus::No)), "{answer:?}");
     assert_eq!(refused(), before, "nobody is asked while all rest");
     let wait_ms = retry_after_ms(&answer.body);
     // The clock reads whole milliseconds: asked for within this one, a rest ends within the last of these.
@@ -294,14 +294,14 @@
     tired.faults().rest_s.store(1, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(FIRST_ASIDE_MS + 100));
     call_often("tried");
-    let asked_rest = counts();
+    let requested_backoff_ms = counts();
     tired.faults().refuse.store(false, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(1500));
 
     call_often("rested");
 
     assert!((1..10).contains(&set_aside.0), "set aside after a few: {set_aside:?}");
-    assert_eq!(asked_rest, (set_aside.0, 1), "one request tries it");
+    assert_eq!(requested_backoff_ms, (set_aside.0, 1), "one request tries it");
     assert!(counts().0 > set_aside.0, "it has rested and serves: {:?}", counts());
 }
 
@@ -331,9 +331,9 @@
     let receipt = call("cut-receipt", "receipts", "POST");
     let resent = call("cut-receipt", "receipts", "POST");
 
-    assert_eq!(posted.ran, Some(RanMark::Unknown), "{posted:?}");
+    assert_eq!(posted.ran, Some(RanStatus::Unknown), "{posted:?}");
     assert_eq!(runs("cut-post"), 1, "a POST whose answer was cut is not repeated");
-    assert_eq!(receipt.ran, Some(RanMark::Unknown), "{receipt:?}");
+    assert_eq!(receipt.ran, Some(RanStatus::Unknown), "{receipt:?}");
     assert_eq!(resent.status, 409, "{resent:?}");
     assert_eq!(runs("cut-receipt"), 1);
 }
@@ -352,7 +352,7 @@
     system.wait_ready();
     let later = send(&system.client, router, &chat_call(&returning_chat("back", "chat")), None);
 
-    assert_eq!((answer.status, answer.ran), (503, Some(RanMark::No)), "{answer:?}");
+    assert_eq!((answer.status, answer.ran), (503, Some(RanStatus::No)), "{answer:?}");
     assert_eq!(answer.code(), "no_lease");
     assert!(!listed.is_empty(), "the directory still answers");
     assert!(later.whole, "{later:?}");
@@ -372,7 +372,7 @@
     let lapsed = send(&system.client, router, &chat_call(&unknown), None);
 
     assert_eq!((leased.status, leased.code().as_str()), (401, "bad_key"), "{leased:?}");
-    assert_eq!((lapsed.status, lapsed.ran), (503, Some(RanMark::No)), "{lapsed:?}");
+    assert_eq!((lapsed.status, lapsed.ran), (503, Some(RanStatus::No)), "{lapsed:?}");
     assert_eq!(lapsed.code(), "no_lease");
 }
 
--- a/lib/tests/test_replay.rs
+++ b/lib/tests/test_replay.rs
@@ -3,7 +3,7 @@
 use wingshed_lib::coordination::placement::BEST_RULE;
 use wingshed_lib::coordination::replay::{replay, ReplayRule};
 use wingshed_lib::coordination::trace::{read_trace, Trace, TraceExpectation};
-use wingshed_lib::state::configuration::{MoveRates, NO_IMPORT_RATES};
+use wingshed_lib::state::configuration::{KvRates, NO_IMPORT_RATES};
 use wingshed_standin::trace::{make_trace, write_trace, TraceCase, TraceDeployment, TraceMake};
 
 const HOME: ReplayRule = ReplayRule::Home(BEST_RULE, Some(NO_IMPORT_RATES));
@@ -56,7 +56,7 @@
 #[test]
 fn imports_bring_the_prefix_where_the_holder_is_busy() {
     let trace = short_trace(TraceCase::Quiet);
-    let rates = MoveRates { import_per_ms: 40.0, ..NO_IMPORT_RATES };
+    let rates = KvRates { import_per_ms: 40.0, ..NO_IMPORT_RATES };
 
     let without = replay(&trace, HOME, 1);
     let with = replay(&trace, ReplayRule::Home(BEST_RULE, Some(rates)), 1);
--- a/lib/tests/test_rollout_lead.rs
+++ b/lib/tests/test_rollout_lead.rs
@@ -65,7 +65,7 @@
         let steps = self.lead.next_steps(&rows, &self.vms, |_| standing.clone(), 5000, now_ms);
         let proposed = steps.into_iter().next()?;
         let phase = proposed.step.phase;
-        assert!(self.table.take(RolloutCommand::Step(proposed.step)));
+        assert!(self.table.apply(RolloutCommand::Step(proposed.step)));
         (phase != rows[0].phase).then_some(phase)
     }
 
@@ -253,7 +253,7 @@
     let mut restarted = RolloutLead::default();
     let mut noted = started.clone();
     let note = RolloutStep { spent_ms: 2000, ..step(1, 1, RolloutPhase::Trial) };
-    assert!(noted.take(RolloutCommand::Step(note)));
+    assert!(noted.apply(RolloutCommand::Step(note)));
     restarted.observe(noted.rows(), 500);
     let elapsed_ms = restarted.elapsed_ms("s1", 500).unwrap();
     assert!(elapsed_ms >= 2000 + 2000, "{elapsed_ms}: the next note may have been lost");
@@ -291,7 +291,7 @@
 fn of_two_services_rolled_out_at_once_the_unsound_one_alone_is_rolled_back() {
     let mut both = table(&[]);
     let second = RolloutOrder { service: "s2".to_string(), ..order(1) };
-    assert!(both.take(RolloutCommand::Start(second)));
+    assert!(both.apply(RolloutCommand::Start(second)));
     let (mut lead, mut watch) = (RolloutLead::default(), RolloutWatch::default());
     lead.observe(&[], 900);
     watch.take(both.clone(), BOUND, 1);
@@ -314,7 +314,7 @@
         let steps = lead.next_steps(both.rows(), &vms, |_| standing.clone(), 5000, now_ms);
         for proposed in steps.into_iter().filter(|proposed| proposed.step.phase.is_end()) {
             ended.push((proposed.step.service.clone(), proposed.step.phase));
-            assert!(both.take(RolloutCommand::Step(proposed.step)));
+            assert!(both.apply(RolloutCommand::Step(proposed.step)));
         }
     }
 
--- a/lib/tests/test_rollouts.rs
+++ b/lib/tests/test_rollouts.rs
@@ -11,7 +11,7 @@
 use wingshed_lib::coordination::rollout_watch::{RolloutLane, RolloutWatch, PROOF_MS};
 use wingshed_lib::state::fleet_record::{FleetCommand, FleetRecord, RecordChange};
 use wingshed_lib::state::rollout_order::{RolloutCommand, RolloutPhase, VersionKey};
-use wingshed_lib::state::upstream_list::{EntryDoubt, UpstreamEntry};
+use wingshed_lib::state::upstream_list::{EntryDefect, UpstreamEntry};
 
 use testutils::rollouts::{order, step, table, BOUND, ROUTE};
 
@@ -26,7 +26,7 @@
         cold: false,
         version: VersionKey::of(version),
         started_ms: None,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     }
 }
 
@@ -79,10 +79,13 @@
 fn a_trial_is_never_complete_without_its_traffic_moved() {
     let mut table = table(&[]);
 
-    assert!(!table.take(RolloutCommand::Step(step(1, 1, RolloutPhase::Complete))));
-    assert!(table.take(RolloutCommand::Step(step(1, 1, RolloutPhase::Shift))));
-    assert!(!table.take(RolloutCommand::Step(step(1, 2, RolloutPhase::Trial))), "nor a trial anew");
-    assert!(table.take(RolloutCommand::Step(step(1, 2, RolloutPhase::Complete))));
+    assert!(!table.apply(RolloutCommand::Step(step(1, 1, RolloutPhase::Complete))));
+    assert!(table.apply(RolloutCommand::Step(step(1, 1, RolloutPhase::Shift))));
+    assert!(
+        !table.apply(RolloutCommand::Step(step(1, 2, RolloutPhase::Trial))),
+        "nor a trial anew"
+    );
+    assert!(table.apply(RolloutCommand::Step(step(1, 2, RolloutPhase::Complete))));
 }
 
 #[test]
@@ -251,8 +254,8 @@
     watch.take(orders.clone(), BOUND, 1);
     let after_end = watch.counts("s1");
 
-    assert!(orders.take(RolloutCommand::Start(order(2))));
-    assert!(orders.take(RolloutCommand::Step(step(2, 1, RolloutPhase::RolledBack))));
+    assert!(orders.apply(RolloutCommand::Start(order(2))));
+    assert!(orders.apply(RolloutCommand::Step(step(2, 1, RolloutPhase::RolledBack))));
     watch.take(orders, BOUND, 1);
 
     let expected = RolloutCounts {
--- a/lib/tests/test_vm_decisions.rs
+++ b/lib/tests/test_vm_decisions.rs
@@ -26,14 +26,14 @@
 use wingshed_lib::coordination::upstream_seats::{patient_services, SeatTable, WAIT_MS};
 use wingshed_lib::coordination::vm_roster::{RosterRow, VmRoster};
 use wingshed_lib::state::fleet_record::{
-    FleetCommand, FleetRecord, HeldDocument, RecordChange, SeatRow,
+    FleetCommand, FleetRecord, RecordChange, RingSlotRow, VersionedDocument,
 };
 use wingshed_lib::state::ids::{Incarnation, KeeperId, UpstreamKey};
 use wingshed_lib::state::packed_text::PackedText;
 use wingshed_lib::state::prompt_part::PromptPart;
 use wingshed_lib::state::rollout_order::VersionKey;
 use wingshed_lib::state::route_table::{pick_share, RequestKind, ServiceShare};
-use wingshed_lib::state::upstream_list::{EntryDoubt, UpstreamEntry, UpstreamList};
+use wingshed_lib::state::upstream_list::{EntryDefect, UpstreamEntry, UpstreamList};
 
 const LATE: u64 = 10 * NEW_ENGINE_MS;
 /// A spread that leaves no engine out.
@@ -339,7 +339,7 @@
         cold: false,
         version: VersionKey::default(),
         started_ms: None,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     }
 }
 
@@ -454,8 +454,8 @@
     let after = table.rows();
 
     assert_eq!(before.len(), usize::from(MANY), "each has one, none has two");
-    let places = |rows: &[SeatRow]| -> Vec<(u64, SocketAddr)> {
-        rows.iter().map(|row| (row.seat, row.address)).collect()
+    let places = |rows: &[RingSlotRow]| -> Vec<(u64, SocketAddr)> {
+        rows.iter().map(|row| (row.ring_slot, row.address)).collect()
     };
     assert_eq!(places(&after), places(&before), "each restart keeps its seat");
     assert!(after.iter().zip(&before).all(|(new, old)| new.holder != old.holder));
@@ -479,7 +479,7 @@
     let mut record = FleetRecord::default();
     let put = |version, text: &str| {
         let text = PackedText::pack(text.as_bytes());
-        FleetCommand::Document(HeldDocument { version, text }).encode()
+        FleetCommand::Document(VersionedDocument { version, text }).encode()
     };
     use RecordChange::{Document, Other};
     let steps = [(3, "c", Document), (2, "b", Other), (3, "other", Other), (9, "d", Document)];
--- a/lib/tests/test_vm_links.rs
+++ b/lib/tests/test_vm_links.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, LocalSet};
 use wingshed_lib::protocol::vm_wire::{encode_frame, VmId, VmMessage};
-use wingshed_lib::state::upstream_list::{EntryDoubt, ListRevision, UpstreamEntry};
+use wingshed_lib::state::upstream_list::{EntryDefect, ListRevision, UpstreamEntry};
 use wingshed_lib::transport::vm_links::LinkTable;
 use wingshed_lib::transport::wire_count::WireCount;
 
@@ -38,9 +38,9 @@
         cold: false,
         version: Default::default(),
         started_ms: None,
-        doubt: EntryDoubt::None,
+        defect: EntryDefect::None,
     };
-    VmMessage::List { mark: ListRevision::default(), rows: (0..upstreams).map(row).collect() }
+    VmMessage::List { revision: ListRevision::default(), rows: (0..upstreams).map(row).collect() }
 }
 
 /// A VM that gives one whole list to another, whose end of the link a test reads by itself.
--- a/lib/tests/test_whole_path.rs
+++ b/lib/tests/test_whole_path.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use testutils::{returning_chat, system_with};
-use wingshed_lib::protocol::caller::RanMark;
+use wingshed_lib::protocol::caller::RanStatus;
 use wingshed_lib::protocol::engine::run_id;
 use wingshed_standin::caller::{chat_call, directory, plain_call, send, ChatAsk};
 use wingshed_standin::engine::whole_text;
@@ -28,7 +28,7 @@
             assert_eq!(answer.status, 200, "{answer:?}");
             assert!(answer.whole, "{answer:?}");
             assert_eq!(answer.text, whole_text(&run_id("w0", &id), 12));
-            assert_eq!(answer.ran, Some(RanMark::Yes));
+            assert_eq!(answer.ran, Some(RanStatus::Yes));
             assert!(answer.upstream.starts_with("engine-"));
         }
     }
@@ -87,7 +87,7 @@
 
     assert!(answer.whole, "{answer:?}");
     assert!(answer.body.contains("/optout/7?x=1"));
-    assert_eq!(answer.ran, Some(RanMark::Yes));
+    assert_eq!(answer.ran, Some(RanStatus::Yes));
 }
 
 #[test]
--- a/lib/tests/test_zones.rs
+++ b/lib/tests/test_zones.rs
@@ -15,12 +15,12 @@
 use wingshed_lib::state::zone_order::{ZoneOrder, ZoneOrders};
 
 fn order(zone: &str, number: u64, emptied: bool) -> ZoneOrder {
-    ZoneOrder { zone: zone.to_string(), number, emptied }
+    ZoneOrder { zone: zone.to_string(), number, evacuated: emptied }
 }
 
 fn orders(rows: &[ZoneOrder]) -> ZoneOrders {
     let mut orders = ZoneOrders::default();
-    rows.iter().for_each(|row| assert!(orders.take(row.clone()), "{row:?}"));
+    rows.iter().for_each(|row| assert!(orders.apply(row.clone()), "{row:?}"));
     orders
 }
 
@@ -38,7 +38,7 @@
     assert_eq!(apply(1, true), RecordChange::Overtaken);
     assert_eq!(apply(5, true), RecordChange::Overtaken, "a number that nobody can know");
 
-    assert!(!record.zones.is_emptied("a"));
+    assert!(!record.zones.is_evacuated("a"));
     assert_eq!(record.zones.last_number("a"), 2);
 }
 
@@ -51,7 +51,7 @@
     let image = record.image();
 
     record.restore(&older).unwrap();
-    assert!(record.zones.is_emptied("a"));
+    assert!(record.zones.is_evacuated("a"));
     let mut other = FleetRecord::default();
     other.restore(&image).unwrap();
     assert_eq!(other.zones, record.zones);
--- a/lib/tests/testutils/keeper_bench.rs
+++ b/lib/tests/testutils/keeper_bench.rs
@@ -438,7 +438,7 @@
             let mut asked = None;
             self.act(at, |driver| {
                 let number = driver.record.zones.last_number("a") + 1;
-                let order = ZoneOrder { zone: "a".to_string(), number, emptied };
+                let order = ZoneOrder { zone: "a".to_string(), number, evacuated: emptied };
                 let (answer, outcome) = driver.order(FleetCommand::Zone(order.clone()), now_ms);
                 asked = Some((order, answer));
                 outcome
@@ -543,7 +543,8 @@
             if let Some(order) = &self.ordered {
                 let zones = &driver.record.zones;
                 let last = zones.last_number(&order.zone);
-                let same = last > order.number || zones.is_emptied(&order.zone) == order.emptied;
+                let same =
+                    last > order.number || zones.is_evacuated(&order.zone) == order.evacuated;
                 assert!(last >= order.number && same, "{:?} lost {order:?}: {zones:?}", peer.id);
             }
             if let Some((place, phase)) = self.rolled {
@@ -577,7 +578,7 @@
             let number = row.map_or(0, |row| row.order.number) + 1;
             let target = format!("v{}", draw % 7);
             let service = "s".to_string();
-            let order = RolloutOrder { service, number, target, duration_ms: 9000, vms: 3 };
+            let order = RolloutOrder { service, number, target, duration_ms: 9000, sharing_vms: 3 };
             (RolloutCommand::Start(order), (number, 0), RolloutPhase::Trial)
         }
     }
--- a/lib/tests/testutils/rollouts.rs
+++ b/lib/tests/testutils/rollouts.rs
@@ -14,7 +14,7 @@
 /// An order of 10 s for `s1`, from `v1` to `v2`.
 pub fn order(number: u64) -> RolloutOrder {
     let (service, target) = ("s1".to_string(), "v2".to_string());
-    RolloutOrder { service, number, target, duration_ms: 10_000, vms: 4 }
+    RolloutOrder { service, number, target, duration_ms: 10_000, sharing_vms: 4 }
 }
 
 /// One of its steps.
@@ -26,9 +26,9 @@
 /// A table with one order that went through these phases.
 pub fn table(phases: &[RolloutPhase]) -> RolloutTable {
     let mut table = RolloutTable::default();
-    assert!(table.take(RolloutCommand::Start(order(1))));
+    assert!(table.apply(RolloutCommand::Start(order(1))));
     for (at, phase) in phases.iter().enumerate() {
-        assert!(table.take(RolloutCommand::Step(step(1, at as u64 + 1, *phase))), "{phase:?}");
+        assert!(table.apply(RolloutCommand::Step(step(1, at as u64 + 1, *phase))), "{phase:?}");
     }
     table
 }
--- a/standin/src/caller.rs
+++ b/standin/src/caller.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 use wingshed_lib::protocol::caller::{
-    RanMark, CHAT_HEADER, CHAT_PATH, HOPS_HEADER, ISSUED_HEADER, RAN_HEADER, REQUEST_ID_HEADER,
+    RanStatus, CHAT_HEADER, CHAT_PATH, HOPS_HEADER, ISSUED_HEADER, RAN_HEADER, REQUEST_ID_HEADER,
     RUN_ONCE_HEADER, SERVICE_HEADER, UPSTREAM_HEADER, USE_HEADER, WORKSPACE_HEADER,
 };
 use wingshed_lib::protocol::engine::piece_text;
@@ -29,7 +29,7 @@
     /// A stream's explicit error event.
     pub error_event: Option<String>,
     /// What the head said of running; `None` without a head.
-    pub ran: Option<RanMark>,
+    pub ran: Option<RanStatus>,
     /// The upstream that served it.
     pub upstream: String,
     /// Routers passed after the first.
@@ -153,7 +153,7 @@
         }
     };
     answer.status = open.status;
-    answer.ran = Some(RanMark::of(find_header(&open.headers, RAN_HEADER)));
+    answer.ran = Some(RanStatus::of(find_header(&open.headers, RAN_HEADER)));
     answer.upstream = find_header(&open.headers, UPSTREAM_HEADER).unwrap_or("").to_string();
     let hops = find_header(&open.headers, HOPS_HEADER).and_then(|text| text.parse().ok());
     answer.hops = hops.unwrap_or(0);
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -32,7 +32,9 @@
                     let list = shown.lock().unwrap_or_else(|poison| poison.into_inner());
                     HttpReply::json(200, &json!({ "vms": *list }))
                 }
-                "/weights/state" => HttpReply::json(200, &StoreState { most_loads, loads: 0 }),
+                "/weights/state" => {
+                    HttpReply::json(200, &StoreState { max_loads: most_loads, loads: 0 })
+                }
                 _ => HttpReply { status: 404, ..HttpReply::default() },
             };
             let _ = exchange.writer.send(&reply);
--- a/standin/src/verdict.rs
+++ b/standin/src/verdict.rs
@@ -4,7 +4,7 @@
 //! run may be sent again, and that second send may run: so a run is held against the first
 //! answer only as far as no second one accounts for it.
 
-use wingshed_lib::protocol::caller::RanMark;
+use wingshed_lib::protocol::caller::RanStatus;
 
 use crate::caller::CallerAnswer;
 
@@ -43,7 +43,7 @@
         if self.is_whole(first) {
             return AnswerVerdict::Whole;
         }
-        if first.ran == Some(RanMark::No) {
+        if first.ran == Some(RanStatus::No) {
             return match self.starts <= u64::from(self.second_may_have_run()) {
                 true => AnswerVerdict::Refused,
                 false => AnswerVerdict::Wrong,
@@ -60,7 +60,7 @@
     /// first was refused as not run.
     pub fn second_holds(&self) -> bool {
         let Some(second) = self.second else { return true };
-        let first_refused = self.first.ran == Some(RanMark::No) && !self.is_whole(self.first);
+        let first_refused = self.first.ran == Some(RanStatus::No) && !self.is_whole(self.first);
         second.status == 409 || first_refused
     }
 
@@ -77,7 +77,7 @@
 
     fn second_may_have_run(&self) -> bool {
         self.second.is_some_and(|second| {
-            second.status != 409 && (second.whole || second.ran != Some(RanMark::No))
+            second.status != 409 && (second.whole || second.ran != Some(RanStatus::No))
         })
     }
 }
