--- a/standin/tests/test_verdict.rs
+++ b/standin/tests/test_verdict.rs
@@ -1,21 +1,21 @@
 //! How a caller's count judges answers: strict on promises, fair to a request sent again.
 
-use wingshed_lib::protocol::caller::RanMark;
+use wingshed_lib::protocol::caller::RanStatus;
 use wingshed_standin::caller::CallerAnswer;
 use wingshed_standin::verdict::{AnswerVerdict, RequestView};
 
 fn whole() -> CallerAnswer {
-    let (text, ran) = ("abc".to_string(), Some(RanMark::Yes));
+    let (text, ran) = ("abc".to_string(), Some(RanStatus::Yes));
     CallerAnswer { status: 200, text, whole: true, ran, ..CallerAnswer::default() }
 }
 
 fn refused() -> CallerAnswer {
     let body = r#"{"error":{"code":"busy"}}"#.to_string();
-    CallerAnswer { status: 503, body, ran: Some(RanMark::No), ..CallerAnswer::default() }
+    CallerAnswer { status: 503, body, ran: Some(RanStatus::No), ..CallerAnswer::default() }
 }
 
 fn dropped() -> CallerAnswer {
-    CallerAnswer { status: 409, ran: Some(RanMark::Yes), ..CallerAnswer::default() }
+    CallerAnswer { status: 409, ran: Some(RanStatus::Yes), ..CallerAnswer::default() }
 }
 
 fn view<'a>(
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_stream_that_ends_without_a_word_is_wrong() {
-    let cut = CallerAnswer { status: 200, ran: Some(RanMark::Yes), ..CallerAnswer::default() };
+    let cut = CallerAnswer { status: 200, ran: Some(RanStatus::Yes), ..CallerAnswer::default() };
     let told = CallerAnswer { error_event: Some("engine died".to_string()), ..cut.clone() };
 
     assert_eq!(view(&cut, None, 1).verdict(), AnswerVerdict::Wrong);
@@ -70,7 +70,7 @@
 #[test]
 fn a_plain_answer_that_is_cut_or_another_is_not_whole() {
     let verdict = |body: &str| {
-        let (body, ran) = (body.to_string(), Some(RanMark::Yes));
+        let (body, ran) = (body.to_string(), Some(RanStatus::Yes));
         let first = CallerAnswer { status: 200, body, whole: true, ran, ..CallerAnswer::default() };
         let view = RequestView { expected: "/x/3", exact: false, ..view(&first, None, 1) };
         view.verdict()
