--- a/lib/src/protocol/engine.rs
+++ b/lib/src/protocol/engine.rs
@@ -1,8 +1,8 @@
-//! The engines' interface: chats as server-sent events with numbered pieces, runs
-//! that can be resumed and cancelled, state with cache events, KV moves, orders.
+//! The interface of the engines: chats as server-sent events with numbered pieces, runs that can be
+//! resumed and cancelled, state with cache events, KV cache transfers, and orders.
 //!
-//! `docs/interfaces/engine.md` gives the wire. Every run has an id that the router
-//! chooses, so that resuming and cancelling need no answer first.
+//! `docs/interfaces/engine.md` describes the protocol. The router chooses the id of each run, so
+//! that it can resume or cancel a run whose answer has not arrived.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -13,27 +13,28 @@
 use crate::state::ids::{ChatKey, Incarnation};
 use crate::state::keeper_machine::OrderAction;
 
-/// The run's id.
+/// The id of the run.
 pub const RUN_HEADER: &str = "x-run-id";
-/// Higher goes first.
+/// The priority of the run; a higher one is served first.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// The chat, as the key of the prefix cache.
+/// The key of the chat, which identifies it in the prefix cache.
 pub const CACHE_KEY_HEADER: &str = "x-cache-key";
-/// The engine's life.
+/// The incarnation of the engine.
 pub const INCARNATION_HEADER: &str = "x-incarnation";
-/// `true` when the engine leaves.
+/// `true` if the engine is leaving.
 pub const LEAVING_HEADER: &str = "x-leaving";
-/// Rises with each reader of a run; a cancel by an earlier reader is ignored.
+/// The number of the reader, which rises with each reader of a run. A cancellation by an earlier
+/// reader is ignored.
 pub const READER_HEADER: &str = "x-reader";
-/// Prompt tokens that the engine found in its cache.
+/// The number of prompt tokens that the engine found in its cache.
 pub const CACHED_HEADER: &str = "x-cached-tokens";
 
-/// A run's id from the caller's request: unguessable by other workspaces, equal on all routers.
+/// The id of a caller's run: unguessable for other workspaces, and equal at all routers.
 pub fn run_id(workspace: &str, request_id: &str) -> String {
     format!("{:032x}", crate::state::claim_table::ClaimKey::of(workspace, request_id).0)
 }
 
-/// Starts a run.
+/// A call that starts a run.
 pub fn start_call(run: &str, priority: u8, chat: ChatKey, body: &[u8]) -> HttpCall {
     HttpCall::post("/v1/chat/completions", streamed_body(body))
         .with(RUN_HEADER, run)
@@ -42,30 +43,31 @@
         .with("content-type", "application/json")
 }
 
-/// Engines are always asked for a stream: only numbered pieces show that an answer is whole.
+/// Sets `stream` in the body of a chat. Engines are always asked for a stream, since only numbered
+/// pieces show that an answer is complete.
 fn streamed_body(body: &[u8]) -> Vec<u8> {
     let Ok(Value::Object(mut chat)) = serde_json::from_slice(body) else { return body.to_vec() };
     chat.insert("stream".to_string(), Value::Bool(true));
     serde_json::to_vec(&chat).unwrap_or_else(|_| body.to_vec())
 }
 
-/// Reads on in a run after a piece.
+/// A call that resumes reading a run after a piece.
 pub fn resume_call(run: &str, after: u64) -> HttpCall {
     HttpCall::get(format!("/v1/runs/{run}?after={after}"))
 }
 
-/// Cancels a run, unless a later reader has taken it up.
+/// A call that cancels a run, unless a later reader has resumed it.
 pub fn cancel_call(run: &str, reader: u64) -> HttpCall {
     HttpCall::post(format!("/v1/runs/{run}/cancel"), Vec::new())
         .with(READER_HEADER, reader.to_string())
 }
 
-/// Asks for state and the cache events after a number.
+/// A call for the engine's state and the cache events after a number.
 pub fn state_call(events_after: u64) -> HttpCall {
     HttpCall::get(format!("/v1/state?events_after={events_after}"))
 }
 
-/// Has an engine import a chat's KV from another.
+/// A call that makes an engine import a chat's KV cache from another one.
 pub fn import_call(chat: ChatKey, from: SocketAddr, tokens: u32) -> HttpCall {
     let body = serde_json::json!({
         "cache_key": format!("{:x}", chat.0), "from": from.to_string(), "tokens": tokens,
@@ -74,27 +76,27 @@
         .with("content-type", "application/json")
 }
 
-/// Sends a fenced order.
+/// A call that sends an order with its fencing token.
 pub fn order_call(fence: u64, action: &OrderAction) -> HttpCall {
     let body = serde_json::json!({ "fence": fence, "action": action });
     HttpCall::post("/v1/orders", body.to_string().into_bytes())
         .with("content-type", "application/json")
 }
 
-/// What the head of an engine's answer holds.
+/// The headers of an engine's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineHead {
-    /// The engine's life.
+    /// The incarnation of the engine.
     pub incarnation: Incarnation,
-    /// It leaves.
+    /// Whether the engine is leaving.
     pub leaving: bool,
-    /// This reader's number.
+    /// The number assigned to this reader of the run.
     pub reader: u64,
-    /// Prompt tokens found in its cache.
+    /// The number of prompt tokens found in the cache.
     pub cached_tokens: u32,
 }
 
-/// Reads the head of an engine's answer; what is absent or malformed reads as zero.
+/// Parses the headers of an engine's answer; an absent or malformed value is read as zero.
 pub fn read_head(headers: &[(String, String)]) -> EngineHead {
     let number = |name| find_header(headers, name).and_then(|text| text.parse::<u64>().ok());
     EngineHead {
@@ -105,18 +107,18 @@
     }
 }
 
-/// One piece of an answer.
+/// A piece of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EnginePiece {
-    /// A piece with its number and its data, to be passed on as it is.
+    /// The number and data of a piece; the data is forwarded unchanged.
     Data(u64, String),
-    /// The end, with the number after the last piece.
+    /// The end of the answer, with the number after the last piece.
     End(u64),
-    /// The engine says that the run failed.
+    /// The error with which the run failed.
     Failed(String),
 }
 
-/// Reads an event of an engine's stream; `None` for what is not a piece.
+/// Parses an event of an engine's stream; `None` if it isn't a piece.
 pub fn read_piece(event: &SseEvent) -> Option<EnginePiece> {
     if event.event.as_deref() == Some("error") {
         return Some(EnginePiece::Failed(event.data.clone()));
@@ -128,7 +130,7 @@
     }
 }
 
-/// The text that a piece's data adds to the answer.
+/// The text that a piece appends to the answer.
 pub fn piece_text(data: &str) -> String {
     let value: Value = serde_json::from_str(data).unwrap_or_default();
     let content = value.pointer("/choices/0/delta/content").and_then(Value::as_str);
@@ -138,40 +140,40 @@
 /// A change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Rises by one; a jump means that events were lost.
+    /// Rises by one with each event; a gap means that events were lost.
     pub number: u64,
-    /// The chat, in hex.
+    /// The key of the chat, in hex.
     pub cache_key: String,
-    /// Tokens held from now on; 0 when dropped.
+    /// The number of tokens of the chat that are cached from now on; 0 if it was dropped.
     pub tokens: u32,
 }
 
-/// What an engine reports of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Its life.
+    /// The incarnation of the engine.
     pub incarnation: u64,
-    /// It leaves.
+    /// Whether the engine is leaving.
     pub leaving: bool,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// Work in flight, in tokens.
+    /// The work in flight, in tokens.
     pub work: u64,
-    /// The events asked for, as far as they were kept.
+    /// The requested events, as far as the engine still has them.
     pub events: Vec<CacheEvent>,
     /// The number of the latest event.
     pub latest_event: u64,
 }
 
-/// Reads an engine's state, or says what is wrong with it.
+/// Parses an engine's state; the error text says what is wrong with it.
 pub fn read_state(body: &[u8]) -> Result<EngineState, String> {
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
 impl CacheEvent {
-    /// The chat's key, if the event's is well formed.
+    /// The key of the chat; `None` if it is malformed.
     pub fn chat(&self) -> Option<ChatKey> {
         u64::from_str_radix(&self.cache_key, 16).ok().map(ChatKey)
     }
--- a/lib/src/protocol/fleet_calls.rs
+++ b/lib/src/protocol/fleet_calls.rs
@@ -1,8 +1,8 @@
-//! The product's own operators' interface of a VM, beside the platform's calls: roll-outs and zones.
+//! The operators' interface of a VM that doesn't depend on the platform: roll-outs and zones.
 //!
-//! Paths and JSON forms stand here alone; what is asked is served from the same replicated state as the
-//! platform's calls. An answer that refuses is one sentence of text. See `docs/operators/rollouts.md`
-//! and `docs/operators/zones.md`.
+//! All paths and JSON formats of it are in this module. The calls act on the same replicated state
+//! as the platform's calls. The body of a refusal is one sentence of text. See
+//! `docs/operators/rollouts.md` and `docs/operators/zones.md`.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,44 +12,44 @@
 use crate::state::finding::{parse_document, Finding, FindingList, ObjectReader};
 use crate::state::rollout_order::{RolloutPhase, RolloutRow};
 
-/// The path under which roll-outs stand.
+/// The path of the roll-outs.
 pub const ROLLOUTS_PATH: &str = "/v1/rollouts";
-/// The path under which zones stand.
+/// The path of the zones.
 pub const ZONES_PATH: &str = "/v1/zones";
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetCall {
-    /// Return all roll-outs.
+    /// Lists all roll-outs.
     ListRollouts,
-    /// Begin a roll-out; the body says which.
+    /// Begins the roll-out that the body describes.
     StartRollout,
-    /// Return a service's last roll-out.
+    /// Returns a service's last roll-out.
     GetRollout {
         /// The service's name.
         service: String,
     },
-    /// Roll a service's running roll-out back.
+    /// Rolls back a service's roll-out that is in progress.
     AbortRollout {
         /// The service's name.
         service: String,
     },
-    /// Return all zones.
+    /// Lists all zones.
     ListZones,
-    /// Send nothing more to a zone's upstreams, or take the zone back.
+    /// Evacuates a zone or returns it to service.
     Zone {
         /// The zone's name.
         zone: String,
-        /// Whether it is emptied.
+        /// Whether to evacuate the zone; `false` returns it to service.
         evacuate: bool,
     },
-    /// It is none of these, but meant as one; the text says what is wrong.
+    /// An invalid call to one of these paths; the text says what is wrong.
     Malformed(String),
-    /// None of these.
+    /// Any other call.
     Unknown,
 }
 
-/// Reads the head of a call; names in the path are percent-encoded.
+/// Parses the method and path of a call; names in the path are percent-encoded.
 pub fn read_fleet_call(method: &str, path: &str) -> FleetCall {
     let rollouts = path.strip_prefix(ROLLOUTS_PATH);
     if let Some(rest) = rollouts.filter(|rest| rest.is_empty() || rest.starts_with('/')) {
@@ -90,7 +90,8 @@
     }
 }
 
-/// Reads the body of [`FleetCall::StartRollout`]; all findings in one go, each with its line.
+/// Parses the body of [`FleetCall::StartRollout`]; returns all findings with their lines if it is
+/// invalid.
 pub fn read_start(bytes: &[u8]) -> Result<RolloutCall, Vec<Finding>> {
     let text = String::from_utf8_lossy(bytes);
     let mut list = FindingList::default();
@@ -120,46 +121,47 @@
     })
 }
 
-/// The findings as the body of a refusal.
+/// The body of a refusal that lists findings.
 pub fn write_findings(findings: &[Finding]) -> String {
     let rows: Vec<String> = findings.iter().map(Finding::to_string).collect();
     rows.join("; ")
 }
 
-/// The body that asks for a roll-out.
+/// The body of a call that begins a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RolloutRequestBody {
     /// The service's name.
     pub service: String,
-    /// The version that its traffic is to be moved to.
+    /// The name of the version that the traffic moves to.
     pub version: String,
-    /// How long that may take.
+    /// How long the roll-out may take, in seconds.
     pub seconds: f64,
 }
 
-/// How far the last roll-out of a service has come, as one VM reports it.
+/// The progress of a service's last roll-out, as reported by one VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutView {
     /// The service's name.
     pub service: String,
-    /// The order's place among those of the service.
+    /// The number of the order among those of the service.
     pub number: u64,
-    /// The version that the traffic is moved to.
+    /// The name of the version that the traffic moves to.
     pub version: String,
-    /// `trial`, `shift`, `complete` or `rolled_back`.
+    /// The phase: `trial`, `shift`, `complete` or `rolled_back`.
     pub phase: String,
-    /// How long it may take, in seconds.
+    /// How long the roll-out may take, in seconds.
     pub granted_s: f64,
-    /// How long it had run when the leader noted it last, at most some two seconds ago.
+    /// How long it had run when the leader last recorded it, in seconds; the record is at most
+    /// about two seconds old.
     pub spent_s: f64,
-    /// Requests that this VM sent to the target.
+    /// The requests that this VM has sent to the target.
     pub sent_target: u64,
-    /// All requests of the service that this VM sent since it knew of the order.
+    /// All requests of the service that this VM has sent since it received the order.
     pub sent_all: u64,
 }
 
 impl RolloutView {
-    /// A row as operators see it.
+    /// The view of a row of the replicated table.
     pub fn new(row: &RolloutRow, counts: &RolloutCounts) -> RolloutView {
         RolloutView {
             service: row.order.service.clone(),
@@ -173,12 +175,12 @@
         }
     }
 
-    /// Whether it has ended.
+    /// Whether the roll-out has ended.
     pub fn is_end(&self) -> bool {
         self.is_complete() || self.phase == phase_name(RolloutPhase::RolledBack)
     }
 
-    /// Whether the traffic is moved.
+    /// Whether all traffic has moved to the target.
     pub fn is_complete(&self) -> bool {
         self.phase == phase_name(RolloutPhase::Complete)
     }
@@ -194,14 +196,14 @@
     }
 }
 
-/// How a zone stands.
+/// The state of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneView {
     /// The zone's name.
     pub zone: String,
-    /// Whether nothing more is sent to its upstreams.
+    /// Whether the zone is evacuated, so that nothing is sent to its upstreams.
     #[serde(rename = "emptied")]
     pub evacuated: bool,
-    /// How many orders it got; 0 when none.
+    /// The number of orders that it has had.
     pub number: u64,
 }
--- a/lib/src/protocol/http.rs
+++ b/lib/src/protocol/http.rs
@@ -1,30 +1,30 @@
-//! HTTP messages as plain data, between the interface modules and the transport.
+//! HTTP messages as plain data, exchanged between the protocol modules and the transport.
 
-/// A request to send, or one that came in.
+/// A request, either to be sent or received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpCall {
-    /// The method, in capitals.
+    /// The method, in upper case.
     pub method: String,
     /// The path with its query.
     pub target: String,
-    /// Names in lower case, with values.
+    /// The headers, with their names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// A response, whole.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpReply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Names in lower case, with values.
+    /// The headers, with their names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Finds a header among name and value pairs.
+/// The value of the first header with this name, ignoring case.
 pub fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
     found.map(|(_, value)| value.as_str())
@@ -42,13 +42,13 @@
         HttpCall { method, target, headers: Vec::new(), body }
     }
 
-    /// The call with a header more.
+    /// Adds a header.
     pub fn with(mut self, name: &str, value: impl Into<String>) -> HttpCall {
         self.headers.push((name.to_string(), value.into()));
         self
     }
 
-    /// A header's value.
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
@@ -58,7 +58,7 @@
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// A value of the query, percent-decoded.
+    /// The percent-decoded value of a query parameter.
     pub fn query(&self, name: &str) -> Option<String> {
         let query = self.target.split_once('?')?.1;
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -75,19 +75,19 @@
         HttpReply { status, headers, body }
     }
 
-    /// The reply with a header more.
+    /// Adds a header.
     pub fn with(mut self, name: &str, value: impl Into<String>) -> HttpReply {
         self.headers.push((name.to_string(), value.into()));
         self
     }
 
-    /// A header's value.
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 }
 
-/// The text that a percent-encoded one stands for.
+/// Decodes a percent-encoded text; a plus sign becomes a space.
 pub fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
--- a/lib/src/protocol/mod.rs
+++ b/lib/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Wire forms. Each outside interface has one module that alone knows its wire and
-//! turns it into typed messages; none of them opens a socket.
+//! Message formats. Each external interface has one module that alone implements its format and
+//! converts it to typed messages. None of the modules opens a socket.
 
 pub mod caller;
 pub mod engine;
--- a/lib/src/protocol/operator.rs
+++ b/lib/src/protocol/operator.rs
@@ -1,7 +1,7 @@
-//! The operators' interface: JSON over HTTP at the keepers.
+//! The operators' interface of the keepers: JSON over HTTP.
 //!
-//! An operator shows its name and key. While a configuration names no operator yet,
-//! the fleet key does for the first change. See `docs/operators/changes.md`.
+//! An operator authenticates with its name and key. As long as the configuration has no operator,
+//! the fleet key is accepted instead, for the first change. See `docs/operators/changes.md`.
 
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
@@ -12,135 +12,135 @@
 use crate::state::ids::{Incarnation, KeeperId, RouterId};
 use crate::state::keeper_machine::OrderAction;
 
-/// The operator's name.
+/// The header with the operator's name.
 pub const OPERATOR_HEADER: &str = "wingshed-operator";
-/// The name under which the fleet key acts while there is no operator.
+/// The name of the operator that uses the fleet key while the configuration has no operator.
 pub const FIRST_OPERATOR: &str = "first";
 
-/// A change as submitted.
+/// A change of the configuration, as an operator submits it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmittedChange {
-    /// Chosen by the submitter.
+    /// Chosen by the submitter; a resend has the same id.
     pub id: String,
-    /// The version that it builds on.
+    /// The version that the change is based on.
     pub base: u64,
-    /// What it does.
+    /// The operations on entries of the configuration.
     pub operations: Vec<EntryOperation>,
 }
 
-/// An order as submitted.
+/// An order to an engine, as an operator submits it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmittedOrder {
-    /// Chosen by the submitter.
+    /// Chosen by the submitter; a resend has the same id.
     pub id: String,
     /// The upstream's name.
     pub upstream: String,
-    /// What to do.
+    /// What the engine is to do.
     pub action: OrderAction,
 }
 
-/// A router that should drain.
+/// A request to drain a router.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmittedLeave {
-    /// Its number.
+    /// The number of the router.
     pub router: RouterId,
 }
 
-/// A step of repair.
+/// A change of the group of keepers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "step")]
 pub enum MemberStep {
-    /// Adds a keeper that only receives.
+    /// Adds a keeper as a learner, which receives the log but has no vote.
     Add {
-        /// Its number.
+        /// The number of the keeper.
         id: KeeperId,
-        /// Where it listens.
+        /// The address on which the keeper listens.
         address: std::net::SocketAddr,
     },
-    /// Gives it its vote.
+    /// Gives a learner its vote.
     Promote {
-        /// Its number.
+        /// The number of the keeper.
         id: KeeperId,
     },
-    /// Removes a member.
+    /// Removes a keeper from the group.
     Remove {
-        /// Its number.
+        /// The number of the keeper.
         id: KeeperId,
     },
-    /// Hands leadership over.
+    /// Transfers the leadership to another keeper.
     Transfer,
 }
 
-/// One member of the group, for status pages.
+/// The status of one member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its number.
     pub id: KeeperId,
-    /// The life of its disk.
+    /// The incarnation of its disk.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: std::net::SocketAddr,
     /// Whether it votes.
     pub votes: bool,
-    /// The last entry it is known to hold; the leader knows.
+    /// The index of the last log entry that it is known to hold; set by the leader only.
     pub held: Option<u64>,
-    /// The age of its last answer, in milliseconds; the leader knows.
+    /// The age of its last answer, in milliseconds; set by the leader only.
     pub age_ms: Option<u64>,
 }
 
-/// What a keeper reports of itself and the system.
+/// The status of a keeper and of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperStatus {
     /// Its number.
     pub id: KeeperId,
-    /// Its role.
+    /// Its Raft role.
     pub role: RaftRole,
-    /// The leader that it knows.
+    /// The leader that it knows, if any.
     pub leader: Option<KeeperId>,
-    /// The term.
+    /// Its current term.
     pub term: u64,
-    /// The last committed entry.
+    /// The index of the last committed entry.
     pub commit: u64,
-    /// The last entry.
+    /// The index of the last entry.
     pub last: u64,
-    /// The group.
+    /// The members of the group.
     pub members: Vec<MemberStatus>,
-    /// The version in force.
+    /// The current version of the configuration.
     pub version: u64,
-    /// The roster's epoch.
+    /// The current epoch of the roster.
     pub epoch: u64,
-    /// The routers with the versions that they have applied, as the leader knows.
+    /// The routers with the versions that they have applied, as known to the leader.
     pub routers: Vec<RouterStatus>,
-    /// Claims kept.
+    /// The number of claims that are kept.
     pub claims: usize,
-    /// Syncs of the log since the start.
+    /// The number of log syncs since the start.
     pub syncs: u64,
-    /// Bytes sent and received for control, by kind.
+    /// The control traffic by kind of message.
     pub wire: Vec<WireRow>,
 }
 
-/// One router, as the leader knows it.
+/// The status of a router, as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterStatus {
     /// Its number.
     pub id: RouterId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: std::net::SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// It drains.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// The version that it has applied.
+    /// The version that it has applied, if known.
     pub version: Option<u64>,
 }
 
-/// Bytes on the wire of one kind of message, heads of the packets included by estimate.
+/// The traffic of one kind of message. The bytes include an estimate for packet headers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireRow {
-    /// The kind.
+    /// The kind of message.
     pub kind: String,
     /// Messages sent.
     pub sent: u64,
@@ -152,7 +152,7 @@
     pub received_bytes: u64,
 }
 
-/// The operator of a call, if its key is good.
+/// The name of the operator that sent a call; `None` unless its key is valid.
 pub fn operator_of(
     call: &HttpCall,
     configuration: &Configuration,
--- a/lib/src/protocol/peer_wire.rs
+++ b/lib/src/protocol/peer_wire.rs
@@ -1,4 +1,5 @@
-//! Messages between routers: a request passed on to a home or to a peer with a lease.
+//! Messages between routers: requests that are forwarded to a home router or to a peer with a
+//! lease.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,59 +7,62 @@
 use crate::coordination::fair_queue::RequestClass;
 use crate::state::ids::{RouterId, UpstreamKey};
 
-/// The path of a passed request.
+/// The path of forwarded requests.
 pub const FORWARD_PATH: &str = "/router/forward";
-/// A request passes at most this many routers after the first.
+/// The most routers that a request passes after the first; it is refused beyond that, so that it
+/// can't circulate.
 pub const MAX_HOPS: u8 = 3;
-/// The code of a home's answer that an engine has no room; the sender tries elsewhere.
+/// The error code with which a home router answers that an engine has no capacity; the sender then
+/// tries another engine.
 pub const NO_CAPACITY_CODE: &str = "no_room";
 
-/// What the policy decided at the entry, so that it runs once.
+/// The policy's decision at the first router, forwarded so that the policy runs only once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteDecision {
-    /// The fleet.
+    /// The name of the fleet.
     pub fleet: String,
-    /// The class.
+    /// The class of the request.
     pub class: RequestClass,
     /// How long it may wait, in milliseconds.
     pub wait_ms: u64,
-    /// At most one run.
+    /// Whether the request must run at most once.
     pub run_once: bool,
-    /// Output tokens to reckon with.
+    /// The expected number of output tokens.
     pub expected_output: u32,
-    /// The workspace's share.
+    /// The weight of the workspace.
     pub weight: u64,
 }
 
-/// Why a request is passed on.
+/// The purpose for which a request is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardPurpose {
-    /// The receiver should serve it as if the caller had come there.
+    /// The receiver should handle the request as if it came from the caller.
     AsEntry,
-    /// The receiver is the chat's home.
+    /// The receiver is the home router of the chat.
     ToChatHome(RouteDecision),
-    /// The receiver is home to this engine; serve it there, or say that there is no room.
+    /// The receiver is the home router of this engine, and should run the request there or answer
+    /// that the engine has no capacity.
     ToEngine {
-        /// What was decided.
+        /// The decision of the policy.
         decision: RouteDecision,
         /// The engine.
         engine: UpstreamKey,
-        /// Tokens of the prompt that it should hold.
+        /// The number of prompt tokens that the engine should have in its cache.
         cached_tokens: u32,
-        /// The engine that holds the prefix, when it should be imported from there.
+        /// The engine from which to import the KV cache of the prompt, if any.
         import_from: Option<UpstreamKey>,
     },
 }
 
-/// A request on its way between routers.
+/// A request that is forwarded between routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardRequest {
     /// The sender.
     pub from: RouterId,
-    /// Routers passed after the first.
+    /// The number of routers passed after the first.
     pub hops: u8,
-    /// Why.
+    /// The purpose of forwarding it.
     pub purpose: ForwardPurpose,
-    /// The caller's request, its key already checked.
+    /// The caller's request, whose key has already been checked.
     pub request: CallerRequest,
 }
--- a/lib/src/protocol/retry_after.rs
+++ b/lib/src/protocol/retry_after.rs
@@ -1,7 +1,9 @@
-//! `Retry-After`, as HTTP has it: a number of seconds, or a date. Fractions of seconds are read too.
+//! `Retry-After` as defined by HTTP: a number of seconds or a date. Fractions of seconds are
+//! accepted too.
 
-/// The wait that is asked for, in milliseconds: the longest of `values`. `date` is when the answer says
-/// that it was made, since our own time of day may be another. `None` where nothing readable asks for any.
+/// The longest wait that any of `values` requests, in milliseconds; `None` if none is valid. A date
+/// is compared with `date`, the time at which the answer was made, since the local clock may differ
+/// from the sender's.
 pub fn read_retry_after<'a>(
     values: impl Iterator<Item = &'a str>,
     date: Option<&str>,
@@ -10,8 +12,9 @@
     waits.max().filter(|wait_ms| *wait_ms > 0)
 }
 
-/// Digits alone, so that no word and no sign passes for a number; what no count of milliseconds holds is the
-/// largest.
+/// Parses a number of seconds. Only digits and a point are accepted, so that words such as `inf`
+/// and signs are not parsed as numbers. A number that exceeds the range of milliseconds gives the
+/// largest one.
 fn read_seconds(value: &str) -> Option<u64> {
     let value = value.trim();
     let plain = value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
--- a/lib/src/protocol/seal.rs
+++ b/lib/src/protocol/seal.rs
@@ -1,9 +1,9 @@
-//! Messages between wingshed's own processes are authenticated with the fleet key,
-//! and a message seen before is refused.
+//! Authentication of messages between wingshed's own processes with the fleet key, and protection
+//! against replay.
 //!
-//! Each process life has a random session number and counts its messages; a
-//! receiver keeps a window of counts for each session, and refuses messages made
-//! too long ago or before it was itself started. See `docs/operators/security.md`.
+//! Each incarnation of a process has a random session number and counts its messages. A receiver
+//! keeps a window of counts for each session, and refuses messages that were made too long ago or
+//! before the receiver started. See `docs/operators/security.md`.
 
 use std::collections::HashMap;
 
@@ -12,28 +12,29 @@
 use sha2::Sha256;
 use snafu::Snafu;
 
-/// The header that carries a seal on HTTP.
+/// The HTTP header that carries the seal.
 pub const SEAL_HEADER: &str = "wingshed-seal";
-/// A message may be this old or this far ahead, in milliseconds; clocks must agree better.
+/// The largest difference between a message's time and the receiver's clock, in milliseconds.
+/// Clocks that differ by more make all messages between their VMs be refused.
 pub const SEAL_AGE_MS: u64 = 30_000;
 /// The length to which the HMAC is truncated, in bytes.
 const MAC_BYTES: usize = 16;
 /// How many of the last counts of a session are checked for repetition; an older one is refused.
 const WINDOW: u64 = 4096;
 
-/// Why a message is refused.
+/// The reason why a message is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SealRefusal {
-    /// It has no seal or one of another form.
+    /// The seal is missing or malformed.
     #[snafu(display("the seal is missing or malformed"))]
     Malformed,
-    /// Another key made it, or it was altered.
+    /// The seal was made with another key, or the message was altered.
     #[snafu(display("the seal does not match"))]
     Mismatch,
-    /// Made too long ago, too far ahead, or before this process started.
+    /// The message was made too long ago, too far ahead, or before this process started.
     #[snafu(display("the seal's time is out of range"))]
     OutOfTime,
-    /// Seen before.
+    /// The message was received before.
     #[snafu(display("the message was seen before"))]
     Replayed,
 }
@@ -45,7 +46,7 @@
     time_ms: u64,
 }
 
-/// Makes seals for one process life.
+/// Makes the seals of one incarnation of a process.
 #[derive(Debug)]
 pub struct SealMaker {
     key: Vec<u8>,
@@ -54,7 +55,7 @@
 }
 
 impl SealMaker {
-    /// A maker for a life with this random session number.
+    /// A maker for an incarnation with this random session number.
     pub fn new(fleet_key: &str, session: u64) -> SealMaker {
         let count = std::sync::atomic::AtomicU64::new(1);
         SealMaker { key: fleet_key.as_bytes().to_vec(), session, count }
@@ -141,7 +142,7 @@
     }
 }
 
-/// Checks seals at one process.
+/// Checks the seals of the messages that a process receives.
 #[derive(Debug)]
 pub struct SealChecker {
     key: Vec<u8>,
@@ -150,13 +151,13 @@
 }
 
 impl SealChecker {
-    /// A checker that started at `wall_ms`.
+    /// A checker of a process that starts at `wall_ms`, in milliseconds since 1970.
     pub fn new(fleet_key: &str, wall_ms: u64) -> SealChecker {
         let key = fleet_key.as_bytes().to_vec();
         SealChecker { key, started_ms: wall_ms, sessions: HashMap::new() }
     }
 
-    /// Checks a message's seal header.
+    /// Checks the seal header of an HTTP message to `target`.
     pub fn check_header(
         &mut self,
         header: Option<&str>,
@@ -173,7 +174,7 @@
         self.check(&stamp, &mac, target.as_bytes(), body, wall_ms)
     }
 
-    /// Checks a datagram and returns its body.
+    /// Checks the seal of a datagram and returns its body.
     pub fn open_datagram<'a>(
         &mut self,
         bytes: &'a [u8],
--- a/lib/src/protocol/sse.rs
+++ b/lib/src/protocol/sse.rs
@@ -1,17 +1,17 @@
-//! Server-sent events, as engines and callers speak them.
+//! Server-sent events, as used by engines and callers.
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its id, if it has one.
+    /// The id, if any.
     pub id: Option<String>,
-    /// Its type, if it has one.
+    /// The type, if any.
     pub event: Option<String>,
-    /// Its data.
+    /// The data; several lines are joined by line feeds.
     pub data: String,
 }
 
-/// Collects lines into events.
+/// Parses lines into events.
 #[derive(Debug, Default)]
 pub struct SseReader {
     event: SseEvent,
@@ -19,7 +19,7 @@
 }
 
 impl SseReader {
-    /// Takes a line without its end; a blank line completes an event.
+    /// Adds a line without its line end; a blank line completes an event.
     pub fn take_line(&mut self, line: &str) -> Option<SseEvent> {
         if line.is_empty() {
             let complete = std::mem::take(&mut self.begun);
@@ -43,7 +43,7 @@
     }
 }
 
-/// An event as bytes.
+/// Encodes an event.
 pub fn write_event(event: &SseEvent) -> Vec<u8> {
     let mut text = String::with_capacity(event.data.len() + 32);
     if let Some(id) = &event.id {
--- a/lib/src/protocol/vm_list.rs
+++ b/lib/src/protocol/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs: which are live and which are leaving. It lags.
+//! The platform's list of VMs, with their status. The list lags behind the actual status.
 
 use std::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 
 use super::http::HttpCall;
 
-/// How a VM stands.
+/// The status of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmStatus {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed.
     Leaving,
 }
 
-/// One VM.
+/// An entry of the list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Where its server listens.
+    /// The address on which its server listens.
     pub address: SocketAddr,
-    /// How it stands.
+    /// The status of the VM.
     pub state: VmStatus,
 }
 
@@ -30,12 +30,12 @@
     vms: Vec<serde_json::Value>,
 }
 
-/// Asks for the list.
+/// The call for the list.
 pub fn list_call() -> HttpCall {
     HttpCall::get("/vms")
 }
 
-/// Reads the list. A malformed entry is left out and counted: the rest still counts.
+/// Parses the list; returns the entries and the number of malformed ones, which are skipped.
 pub fn read_list(body: &[u8]) -> Result<(Vec<VmEntry>, usize), String> {
     let document: VmDocument = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let total = document.vms.len();
--- a/lib/src/protocol/wire_adapter.rs
+++ b/lib/src/protocol/wire_adapter.rs
@@ -1,7 +1,7 @@
-//! What a platform's adapter translates, and the typed forms on this side of it.
+//! The interface to a platform's protocol, and the typed messages on this side of it.
 //!
-//! An adapter holds names, formats and calls and decides nothing. Everything that a
-//! VM knows of a platform's wire passes through [`WireAdapter`]; see
+//! An adapter implements names, formats and calls, and makes no decisions. Everything that a VM
+//! exchanges in a platform's protocol passes through [`WireAdapter`]; see
 //! `docs/design/platform.md`.
 
 use std::net::SocketAddr;
@@ -16,175 +16,177 @@
 use crate::state::rollout_order::RolloutRow;
 use crate::state::route_table::RouteTable;
 
-/// What the head of a caller's request holds.
+/// The content of the head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// The caller's name for this attempt.
+    /// The caller's identifier of this attempt.
     pub attempt: String,
     /// The host, in lower case and without a port.
     pub host: String,
     /// The path without its query.
     pub path: String,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller will wait, in milliseconds.
+    /// How long the caller waits, in milliseconds.
     pub wait_ms: Option<u64>,
     /// The parts of its prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// The most tokens that it asks for.
+    /// The most output tokens that the caller requests.
     pub max_output: u32,
-    /// The caller's guess of the tokens out.
+    /// The caller's estimate of the number of output tokens.
     pub expected_output: Option<u32>,
-    /// The last event that the caller has seen of this stream.
+    /// The id of the last event of the stream that the caller has received.
     pub last_event: Option<String>,
 }
 
-/// Why a head is not a proper request.
+/// The reason why the head of a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// It names no host, or several.
+    /// The request names no host, or several.
     Host,
-    /// It frames its body in two ways.
+    /// The request has two framings of its body.
     Framing,
-    /// It carries no name for the attempt, or one that cannot be passed on.
+    /// The request has no identifier of the attempt, or one that cannot be forwarded.
     Attempt,
-    /// A number or the list of parts cannot be read.
+    /// A number or the list of prompt parts cannot be parsed.
     Value,
 }
 
-/// What a VM adds to a request that it sends to an upstream.
+/// The values that a VM adds to a request when it sends it to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamSend {
-    /// The life that the request is for; another must not run it.
+    /// The name of the upstream that the request is for; another upstream at the address must not
+    /// run it.
     pub name: String,
     /// How long the upstream may work on it, in milliseconds.
     pub left_ms: u64,
-    /// The workspace whose key the caller gave.
+    /// The workspace that the caller's key belongs to.
     pub workspace: Option<String>,
-    /// The rank at an engine, 0 to 9.
+    /// The priority at an engine, from 0 to 9.
     pub engine_priority: Option<u8>,
-    /// Where the engine should first take what is kept there of the prompt.
+    /// The address of the engine from which to fetch cached parts of the prompt first.
     pub fetch_from: Option<SocketAddr>,
-    /// Go on after this event; `None` leaves what the caller said.
+    /// The event after which the stream is resumed; `None` keeps the caller's value.
     pub resume_after: Option<String>,
 }
 
-/// What an upstream's load was when it answered.
+/// The load of an upstream at the time of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: u32,
 }
 
-/// What the head of an upstream's answer holds.
+/// The content of the head of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamAnswer {
-    /// The attempt that it answers.
+    /// The identifier of the attempt that it answers.
     pub attempt: Option<String>,
-    /// Whether the upstream vouches for it.
+    /// Whether the answer carries the upstream's stamp, which shows that the upstream itself made
+    /// it.
     pub stamped: bool,
-    /// The upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
-    /// Another life listens there than the request was for.
+    /// Whether another incarnation than the request was for listens at the address.
     pub other_incarnation: bool,
-    /// Its load.
+    /// The load of the upstream.
     pub load: Option<LoadReport>,
-    /// The connection ends with this answer.
+    /// Whether the connection ends with this answer.
     pub closes: bool,
-    /// How long the connection may rest, in milliseconds.
+    /// How long the connection may stay idle, in milliseconds.
     pub idle_ms: Option<u64>,
-    /// The upstream turns this VM away and wants nothing from it for so long, in milliseconds.
+    /// How long the upstream requests this VM not to send anything, in milliseconds.
     pub backoff_ms: Option<u64>,
-    /// The upstream leaves.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
 }
 
 /// A page of the list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamPage {
-    /// What it lists.
+    /// The entries of the page.
     pub reading: ListReading,
-    /// The name of the page that follows.
+    /// The name of the next page, if any.
     pub next: Option<String>,
 }
 
-/// What an operator asks.
+/// A call of an operator in the platform's protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlCall {
-    /// Take a configuration.
+    /// Submits a configuration.
     Put,
-    /// Give the newest.
+    /// Returns the newest configuration.
     Get,
-    /// Send nothing more to a zone's upstreams, or take the zone back.
+    /// Evacuates a zone or returns it to service.
     Zone {
         /// The zone's name.
         zone: String,
-        /// Whether it is emptied.
+        /// Whether to evacuate the zone; `false` returns it to service.
         evacuate: bool,
     },
-    /// Begin a roll-out; the body says which.
+    /// Begins the roll-out that the body describes.
     StartRollout,
-    /// Return how far the last roll-out of a service has come.
+    /// Returns the progress of the last roll-out of a service.
     GetRollout {
         /// The service's name.
         service: String,
     },
-    /// It is none of these, but meant as one; the text says what is wrong.
+    /// An invalid call to one of these paths; the text says what is wrong.
     Malformed(String),
-    /// None of these.
+    /// Any other call.
     Unknown,
 }
 
-/// A roll-out that an operator asks for.
+/// A roll-out that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutCall {
     /// The service's name.
     pub service: String,
-    /// The name of the version that its traffic is to be moved to.
+    /// The name of the version that the traffic moves to.
     pub target: String,
-    /// How long that may take, in milliseconds.
+    /// How long the roll-out may take, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// The longest that a roll-out may be granted, in seconds: a day.
+/// The longest time that a roll-out may take, in seconds: one day.
 pub const LONGEST_GRANT_S: f64 = 86_400.0;
 
-/// The time that a roll-out is granted, in milliseconds; `None` for one that can't be granted.
+/// The time that a roll-out may take, in milliseconds; `None` if it is not above 0 or too long.
 pub fn granted_ms(seconds: f64) -> Option<u64> {
     let granted = seconds > 0.0 && seconds <= LONGEST_GRANT_S;
     granted.then(|| ((seconds * 1000.0) as u64).max(1))
 }
 
-/// A platform's wire, in this project's types.
+/// Converts between a platform's protocol and the types of this crate.
 pub trait WireAdapter {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     fn read_request(&self, head: &request::Parts) -> Result<CallerRequest, HeadError>;
-    /// The headers under which a caller's request goes to an upstream.
+    /// The headers with which a caller's request is sent to an upstream.
     fn write_send(&self, head: &request::Parts, send: &UpstreamSend) -> HeaderMap;
-    /// Reads the head of an upstream's answer.
+    /// Parses the head of an upstream's answer.
     fn read_answer(&self, head: &response::Parts) -> UpstreamAnswer;
-    /// The headers under which an upstream's answer goes back to the caller.
+    /// The headers with which an upstream's answer is returned to the caller.
     fn write_answer(&self, head: &response::Parts) -> HeaderMap;
-    /// Reads a configuration; all findings in one go.
+    /// Parses a configuration; returns all findings if it is invalid.
     fn read_document(&self, bytes: &[u8]) -> Result<RouteTable, Vec<Finding>>;
-    /// The call for a page of the list of upstreams.
+    /// The target of the call for a page of the list of upstreams; `None` is the first page.
     fn list_call(&self, page: Option<&str>) -> String;
-    /// Reads a page of the list of upstreams.
+    /// Parses a page of the list of upstreams.
     fn read_list(&self, bytes: &[u8]) -> Result<UpstreamPage, String>;
-    /// What a call to the operator's address asks.
+    /// Parses a call to the operators' address.
     fn control_call(&self, method: &Method, uri: &Uri) -> ControlCall;
-    /// Reads the body of [`ControlCall::StartRollout`]; all findings in one go.
+    /// Parses the body of [`ControlCall::StartRollout`]; returns all findings if it is invalid.
     fn read_rollout(&self, bytes: &[u8]) -> Result<RolloutCall, Vec<Finding>>;
-    /// How far a roll-out has come, as the answer to [`ControlCall::GetRollout`].
+    /// The answer to [`ControlCall::GetRollout`].
     fn write_rollout(&self, row: &RolloutRow) -> String;
-    /// The zone of a caller that asks for addresses; `None` when it asks something else.
+    /// The zone of a caller that requests router addresses; `None` for any other call.
     fn address_call(&self, method: &Method, uri: &Uri) -> Option<String>;
-    /// The answer to it.
+    /// The answer to a request for addresses.
     fn write_addresses(&self, addresses: &[SocketAddr], ttl_s: f64) -> String;
-    /// Whether the platform asks if this VM is ready.
+    /// Whether a call is the platform's check if this VM is ready.
     fn ready_call(&self, method: &Method, uri: &Uri) -> bool;
-    /// What is wrong with a configuration, as the body of a refusal.
+    /// The body of a refusal that lists the findings of a configuration.
     fn write_findings(&self, findings: &[Finding]) -> String;
 }
--- a/lib/tests/test_clock.rs
+++ b/lib/tests/test_clock.rs
@@ -1,9 +1,10 @@
-//! What a VM that was suspended goes by afterwards.
+//! The clock that a VM uses after it was suspended.
 //!
-//! `CLOCK_MONOTONIC`, and so every `Instant`, stands still while a VM is suspended. A leader that goes by
-//! it believes after its wake that it still leads; a VM that proved its configuration a moment before
-//! serves keys that were taken away meanwhile. No test can suspend its machine, so that this one holds
-//! two things: the node's clock is the one that counts, and nothing that decides reads another.
+//! `CLOCK_MONOTONIC`, and so every `Instant`, stands still while a VM is suspended. A leader that used
+//! it would assume after the suspension that it still leads, and a VM that had confirmed its
+//! configuration just before would accept keys that were revoked meanwhile. A test can't suspend its
+//! machine, so these tests check that the node's clock counts up from its start, and that no code
+//! that makes decisions reads another clock.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,8 +13,8 @@
 
 use wingshed_lib::transport::clock::NodeClock;
 
-/// Files that measure, or wait for, something of their own: a timer that stands still with its VM
-/// comes late and decides nothing.
+/// Files that use `Instant` only to measure or to wait: if the clock stands still with the VM, a
+/// timer in them fires late, but no decision depends on it.
 const MEASURING: [&str; 9] = [
     "clock.rs",
     "router_engines.rs",
@@ -52,7 +53,7 @@
 
     assert!(clock.now_ms() >= first_ms + 5);
     assert!(clock.age_ms() >= age_ms + 5);
-    assert!(first_ms > age_ms, "so that 0 is never a time");
+    assert!(first_ms > age_ms, "no time of the clock is 0");
 }
 
 #[test]
--- a/lib/tests/test_fleet_calls.rs
+++ b/lib/tests/test_fleet_calls.rs
@@ -1,4 +1,4 @@
-//! How calls to the product's own operators' interface are read.
+//! Parsing of calls to the operators' interface that doesn't depend on the platform.
 
 use wingshed_lib::protocol::fleet_calls::{read_fleet_call, read_start, write_findings, FleetCall};
 
@@ -44,7 +44,7 @@
 fn the_shortest_order_is_not_cut_to_nothing() {
     let text = br#"{"service":"s1","version":"v2","seconds":0.0001}"#;
 
-    let call = read_start(text).expect("it makes sense");
+    let call = read_start(text).expect("the order is valid");
 
     assert_eq!(call.duration_ms, 1);
 }
--- a/lib/tests/test_fuzz.rs
+++ b/lib/tests/test_fuzz.rs
@@ -1,4 +1,4 @@
-//! The parsers of every interface take anything: they answer or refuse, and never panic.
+//! Property tests of the parsers of all interfaces: they accept or refuse any input and never panic.
 
 use proptest::prelude::*;
 use wingshed_lib::coordination::check::check_text;
@@ -19,7 +19,7 @@
 use wingshed_lib::state::keeper_machine::KeeperMachine;
 use wingshed_lib::state::settings::{read_keeper_settings, read_router_settings};
 
-/// JSON that looks like our documents, with keys and values mixed up.
+/// JSON with keys and values of valid documents in random combinations.
 fn documents() -> impl Strategy<Value = String> {
     let keys = prop::sample::select(vec![
         "role",
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -1,4 +1,4 @@
-//! Who an upstream is: its name and its birth together.
+//! The identity of an upstream, which is its name together with its start time.
 
 use std::collections::BTreeSet;
 
@@ -18,9 +18,9 @@
 const READER: u32 = 9;
 const PART: u64 = 77;
 
-fn entry(life: &str, born: Option<u64>) -> UpstreamEntry {
+fn entry(name: &str, started_ms: Option<u64>) -> UpstreamEntry {
     UpstreamEntry {
-        name: life.to_string(),
+        name: name.to_string(),
         service: "s".to_string(),
         address: "10.0.0.1:1".parse().unwrap(),
         zone: "z".to_string(),
@@ -28,7 +28,7 @@
         ring_slot: None,
         cold: false,
         version: VersionKey::default(),
-        started_ms: born,
+        started_ms,
         defect: EntryDefect::None,
     }
 }
@@ -41,37 +41,39 @@
     UpstreamEntry { leaving: true, ..row }
 }
 
-fn doubtful(doubt: EntryDefect, row: UpstreamEntry) -> UpstreamEntry {
-    UpstreamEntry { defect: doubt, ..row }
+fn defective(defect: EntryDefect, row: UpstreamEntry) -> UpstreamEntry {
+    UpstreamEntry { defect, ..row }
 }
 
-/// A list as it was read once.
+/// A list after its first read.
 fn list(rows: &[UpstreamEntry]) -> UpstreamList {
     let mut list = UpstreamList::default();
     list.update_from_read(rows.to_vec(), Some(1), READER, 1000);
     list
 }
 
-fn unread(life: Option<&str>, born: Option<u64>) -> UnreadEntry {
+fn unread(name: Option<&str>, started_ms: Option<u64>) -> UnreadEntry {
     let finding = Finding { path: "$".to_string(), line: None, text: "is odd".to_string() };
-    UnreadEntry { finding, name: life.map(str::to_string), started_ms: born, address: None }
+    UnreadEntry { finding, name: name.map(str::to_string), started_ms, address: None }
 }
 
 fn reading(rows: &[UpstreamEntry], unread: &[UnreadEntry]) -> ListReading {
     ListReading { rows: rows.to_vec(), unread: unread.to_vec(), findings: Vec::new() }
 }
 
-/// The rows that a reading leaves, by name.
-fn settled(reading: &ListReading, known: &UpstreamList) -> Vec<UpstreamEntry> {
-    let mut rows = reading.resolve(known).expect("something of it was read").rows;
+/// The rows that result from a read, sorted by name.
+fn resolved_rows(reading: &ListReading, known: &UpstreamList) -> Vec<UpstreamEntry> {
+    let mut rows = reading.resolve(known).expect("the read has readable entries").rows;
     rows.sort_by(|a, b| a.name.cmp(&b.name));
     rows
 }
 
 #[test]
 fn a_name_with_another_birth_is_another_incarnation() {
-    let keys: BTreeSet<_> =
-        [None, Some(1), Some(2)].into_iter().map(|born| entry("i", born).key()).collect();
+    let keys: BTreeSet<_> = [None, Some(1), Some(2)]
+        .into_iter()
+        .map(|started_ms| entry("i", started_ms).key())
+        .collect();
 
     assert_eq!(keys.len(), 3);
 }
@@ -87,12 +89,12 @@
 
 #[test]
 fn an_upstream_that_left_is_not_taken_back_without_another_birth() {
-    for born in [None, Some(1)] {
-        let mut known = list(&[leaving(entry("i", born))]);
+    for started_ms in [None, Some(1)] {
+        let mut known = list(&[leaving(entry("i", started_ms))]);
 
-        known.update_from_read(vec![entry("i", born)], Some(1), READER, 2000);
+        known.update_from_read(vec![entry("i", started_ms)], Some(1), READER, 2000);
 
-        assert_eq!(known.accepting("s").count(), 0, "born {born:?}");
+        assert_eq!(known.accepting("s").count(), 0, "started {started_ms:?}");
     }
 }
 
@@ -101,9 +103,9 @@
     let mut leader = list(&[leaving(entry("i", Some(1)))]);
     let mut follower = UpstreamList::default();
     follower.take_whole(leader.revision, leader.rows(), 1000);
-    let step = leader.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000).unwrap();
+    let delta = leader.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000).unwrap();
 
-    assert!(follower.apply_delta(step, 2000));
+    assert!(follower.apply_delta(delta, 2000));
 
     assert_eq!(follower.rows(), [entry("i", Some(2))]);
 }
@@ -138,18 +140,18 @@
     store_list(folder.path(), &StoredList { revision: known.revision, rows: known.rows() })
         .unwrap();
 
-    let kept = load_list(folder.path()).unwrap().unwrap();
-    assert_eq!(kept.rows, known.rows());
+    let stored = load_list(folder.path()).unwrap().unwrap();
+    assert_eq!(stored.rows, known.rows());
 }
 
 #[test]
 fn a_row_that_was_kept_before_births_were_known_has_none() {
     let row = entry("i", None);
     let version = VersionKey::default();
-    let kept =
+    let stored =
         (&row.name, &row.service, row.address, &row.zone, false, row.ring_slot, false, version);
 
-    let bytes = rmp_serde::to_vec(&kept).unwrap();
+    let bytes = rmp_serde::to_vec(&stored).unwrap();
 
     assert_eq!(rmp_serde::from_slice::<UpstreamEntry>(&bytes).unwrap(), row);
 }
@@ -157,8 +159,8 @@
 #[test]
 fn a_birth_that_is_read_after_a_list_from_disk_begins_anew() {
     let mut known = UpstreamList::default();
-    let kept = list(&[leaving(entry("i", Some(1)))]);
-    known.take_whole(kept.revision, kept.rows(), 1000);
+    let stored = list(&[leaving(entry("i", Some(1)))]);
+    known.take_whole(stored.revision, stored.rows(), 1000);
 
     known.update_from_read(vec![entry("i", Some(2))], Some(2), READER, 2000);
 
@@ -172,9 +174,9 @@
     let mut table = SeatTable::default();
     let mut rows = vec![a, b];
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
-    let seats: Vec<_> = rows.iter().map(|row| row.ring_slot).collect();
+    let ring_slots: Vec<_> = rows.iter().map(|row| row.ring_slot).collect();
     let known = list(&rows);
-    // A newcomer stands before the two that start again, and one of their seats is the first vacant.
+    // The new upstream comes before the two restarted ones, whose ring slots are the first vacant ones.
     let mut rows = vec![
         at("10.0.0.3:1", entry("c", Some(2))),
         at("10.0.0.1:1", entry("a", Some(2))),
@@ -183,7 +185,7 @@
 
     table.seat(&mut rows, &known, &BTreeSet::new(), 1500);
 
-    assert_eq!(rows[1..].iter().map(|row| row.ring_slot).collect::<Vec<_>>(), seats);
+    assert_eq!(rows[1..].iter().map(|row| row.ring_slot).collect::<Vec<_>>(), ring_slots);
 }
 
 #[test]
@@ -198,11 +200,11 @@
 
 #[test]
 fn loads_of_an_earlier_incarnation_are_not_those_of_the_next() {
-    let mut told = LoadReports::default();
+    let mut received = LoadReports::default();
 
-    told.note(&[UpstreamLoad { upstream: entry("i", Some(1)).key(), requests: 5 }], &[]);
+    received.note(&[UpstreamLoad { upstream: entry("i", Some(1)).key(), requests: 5 }], &[]);
 
-    assert_eq!(told.others(entry("i", Some(2)).key()), 0);
+    assert_eq!(received.others(entry("i", Some(2)).key()), 0);
 }
 
 #[test]
@@ -228,9 +230,9 @@
     let others = ["a", "b", "c", "d"].map(|name| entry(name, None));
     let known = list(&[&others[..], &[entry("i", Some(2))]].concat());
     let fleet = |_| known.accepting("s").map(|(key, _)| key).collect::<Vec<_>>().into_iter();
-    let named = |born| {
+    let named = |started_ms| {
         let mut table = HealthTable::default();
-        let upstream = entry("i", Some(born)).key();
+        let upstream = entry("i", Some(started_ms)).key();
         table.take(1, &[HealthReport { upstream, well: 0, failed: 50 }], fleet, 1000);
         table.named(1001).contains(&entry("i", Some(2)).key())
     };
@@ -244,7 +246,7 @@
     let mut older = newer.clone();
     newer.update_from_read(vec![entry("i", Some(2))], Some(1), READER, 2000);
 
-    assert!(!newer.take_whole(older.revision, older.rows(), 2100), "the older one is not taken");
+    assert!(!newer.take_whole(older.revision, older.rows(), 2100), "the older list is refused");
     older.take_whole(newer.revision, newer.rows(), 2100);
 
     assert_eq!(older.rows(), newer.rows());
@@ -254,9 +256,12 @@
 fn of_two_entries_of_one_name_the_later_born_holds() {
     let (early, late) = (entry("i", Some(1)), entry("i", Some(2)));
     for rows in [[late.clone(), early.clone()], [early, late.clone()]] {
-        let told = reading(&rows, &[]).resolve(&UpstreamList::default()).unwrap();
+        let received = reading(&rows, &[]).resolve(&UpstreamList::default()).unwrap();
 
-        assert_eq!((told.rows, told.duplicates), (vec![late.clone()], vec!["i".to_string()]));
+        assert_eq!(
+            (received.rows, received.duplicates),
+            (vec![late.clone()], vec!["i".to_string()])
+        );
     }
 }
 
@@ -271,7 +276,7 @@
 fn a_reading_without_entries_says_that_there_are_none() {
     let known = list(&[entry("i", Some(1))]);
 
-    assert_eq!(settled(&reading(&[], &[]), &known), []);
+    assert_eq!(resolved_rows(&reading(&[], &[]), &known), []);
 }
 
 #[test]
@@ -279,9 +284,10 @@
     let (a, b) = (entry("a", Some(1)), entry("b", Some(1)));
     let known = list(&[a.clone(), b.clone()]);
 
-    let rows = settled(&reading(std::slice::from_ref(&b), &[unread(Some("a"), None)]), &known);
+    let rows =
+        resolved_rows(&reading(std::slice::from_ref(&b), &[unread(Some("a"), None)]), &known);
 
-    assert_eq!(rows, [doubtful(EntryDefect::Unread, a), b]);
+    assert_eq!(rows, [defective(EntryDefect::Unread, a), b]);
 }
 
 #[test]
@@ -291,9 +297,9 @@
     let known = list(&[a.clone(), b.clone()]);
     let nameless = UnreadEntry { address: Some(a.address), ..unread(None, None) };
 
-    let rows = settled(&reading(std::slice::from_ref(&b), &[nameless]), &known);
+    let rows = resolved_rows(&reading(std::slice::from_ref(&b), &[nameless]), &known);
 
-    assert_eq!(rows, [doubtful(EntryDefect::Unread, a), b]);
+    assert_eq!(rows, [defective(EntryDefect::Unread, a), b]);
 }
 
 #[test]
@@ -302,7 +308,8 @@
     let other = UpstreamEntry { service: "other".to_string(), ..entry("b", Some(1)) };
     let known = list(&[a.clone(), other.clone()]);
 
-    let rows = settled(&reading(std::slice::from_ref(&other), &[unread(Some("a"), None)]), &known);
+    let rows =
+        resolved_rows(&reading(std::slice::from_ref(&other), &[unread(Some("a"), None)]), &known);
 
     assert_eq!(rows, [a, other]);
 }
@@ -312,7 +319,7 @@
     let a = leaving(entry("a", Some(1)));
     let other = UpstreamEntry { service: "other".to_string(), ..entry("b", Some(1)) };
     let mut known = list(&[a, other.clone()]);
-    let rows = settled(&reading(&[other], &[unread(Some("a"), None)]), &known);
+    let rows = resolved_rows(&reading(&[other], &[unread(Some("a"), None)]), &known);
 
     known.update_from_read(rows, Some(1), READER, 2000);
 
@@ -324,7 +331,8 @@
     let b = entry("b", Some(1));
     let known = list(&[entry("a", Some(1)), b.clone()]);
 
-    let rows = settled(&reading(std::slice::from_ref(&b), &[unread(Some("a"), Some(2))]), &known);
+    let rows =
+        resolved_rows(&reading(std::slice::from_ref(&b), &[unread(Some("a"), Some(2))]), &known);
 
     assert_eq!(rows, [b]);
 }
@@ -334,7 +342,8 @@
     let a = entry("a", Some(1));
     let known = list(std::slice::from_ref(&a));
 
-    let rows = settled(&reading(std::slice::from_ref(&a), &[unread(Some("a"), None)]), &known);
+    let rows =
+        resolved_rows(&reading(std::slice::from_ref(&a), &[unread(Some("a"), None)]), &known);
 
     assert_eq!(rows, [a]);
 }
@@ -344,20 +353,21 @@
     let b = entry("b", Some(1));
     let known = list(std::slice::from_ref(&b));
 
-    let rows = settled(&reading(std::slice::from_ref(&b), &[unread(Some("new"), None)]), &known);
+    let rows =
+        resolved_rows(&reading(std::slice::from_ref(&b), &[unread(Some("new"), None)]), &known);
 
     assert_eq!(rows, [b]);
 }
 
 #[test]
 fn a_doubt_ends_with_the_next_entry_that_is_read() {
-    for doubt in [EntryDefect::State, EntryDefect::Unread] {
-        let mut known = list(&[doubtful(doubt, entry("i", Some(1)))]);
+    for defect in [EntryDefect::State, EntryDefect::Unread] {
+        let mut known = list(&[defective(defect, entry("i", Some(1)))]);
         let before = known.accepting("s").count();
 
         known.update_from_read(vec![entry("i", Some(1))], Some(1), READER, 2000);
 
-        assert_eq!((before, known.accepting("s").count()), (0, 1), "{doubt:?} is not sticky");
+        assert_eq!((before, known.accepting("s").count()), (0, 1), "{defect:?} is not sticky");
     }
 }
 
@@ -366,21 +376,21 @@
     let mut table = SeatTable::default();
     let mut rows = vec![entry("a", Some(1))];
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
-    let (seat, known) = (rows[0].ring_slot, list(&rows));
+    let (ring_slot, known) = (rows[0].ring_slot, list(&rows));
     let mut rows = vec![
         at("10.0.0.9:1", entry("b", Some(2))),
-        doubtful(EntryDefect::Unread, entry("a", Some(1))),
+        defective(EntryDefect::Unread, entry("a", Some(1))),
     ];
 
     table.seat(&mut rows, &known, &BTreeSet::new(), 90_000);
 
-    assert_eq!((rows[1].ring_slot, rows[0].ring_slot == seat), (seat, false));
+    assert_eq!((rows[1].ring_slot, rows[0].ring_slot == ring_slot), (ring_slot, false));
 }
 
 #[test]
 fn one_in_doubt_that_has_no_seat_gets_none() {
     let mut table = SeatTable::default();
-    let mut rows = vec![doubtful(EntryDefect::State, entry("a", Some(1)))];
+    let mut rows = vec![defective(EntryDefect::State, entry("a", Some(1)))];
 
     table.seat(&mut rows, &UpstreamList::default(), &BTreeSet::new(), 1000);
 
--- a/lib/tests/test_layers.rs
+++ b/lib/tests/test_layers.rs
@@ -1,5 +1,5 @@
-//! The layers hold: a lower one never imports a higher one, and within a layer files import each other
-//! without a loop.
+//! The layers of the crate: a lower one never imports a higher one, and the files of a layer import
+//! each other without cycles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -26,8 +26,8 @@
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
-/// Loops that stand, by their files; none is added, and one that is dissolved is taken from here.
-const KNOWN_LOOPS: [&[&str]; 3] = [
+/// Import cycles that exist, by their files. A new one fails the test; a removed one is deleted here.
+const KNOWN_CYCLES: [&[&str]; 3] = [
     &["home", "load_spread", "placement"],
     &["keeper_node", "keeper_operator"],
     &[
@@ -40,7 +40,7 @@
     ],
 ];
 
-/// The files of a layer, and which others of it each imports.
+/// The files of a layer, each with the files of the layer that it imports.
 fn imports(layer: &str) -> BTreeMap<String, BTreeSet<String>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src").join(layer);
     let texts: BTreeMap<String, String> = fs::read_dir(folder)
@@ -53,30 +53,30 @@
         .filter(|(name, _)| name != "mod")
         .collect();
     let imported = |text: &str, name: &str| {
-        let ways = [format!("super::{name}"), format!("crate::{layer}::{name}")];
+        let paths = [format!("super::{name}"), format!("crate::{layer}::{name}")];
         let ends = |rest: &str| !rest.starts_with(|c: char| c == '_' || c.is_alphanumeric());
-        let found = |way: &String| text.split(way.as_str()).skip(1).any(ends);
-        ways.iter().any(found)
+        let found = |path: &String| text.split(path.as_str()).skip(1).any(ends);
+        paths.iter().any(found)
     };
     let of = |text: &str| texts.keys().filter(|name| imported(text, name)).cloned().collect();
     texts.iter().map(|(name, text)| (name.clone(), of(text))).collect()
 }
 
-/// All files that one reaches by imports.
+/// All files that a file imports directly or indirectly.
 fn reached(imports: &BTreeMap<String, BTreeSet<String>>, from: &str) -> BTreeSet<String> {
-    let (mut seen, mut open) = (BTreeSet::new(), vec![from.to_string()]);
-    while let Some(name) = open.pop() {
-        let fresh = imports[&name].iter().filter(|other| **other != name && !seen.contains(*other));
-        let fresh: Vec<String> = fresh.cloned().collect();
-        seen.extend(fresh.iter().cloned());
-        open.extend(fresh);
+    let (mut seen, mut pending) = (BTreeSet::new(), vec![from.to_string()]);
+    while let Some(name) = pending.pop() {
+        let added = imports[&name].iter().filter(|other| **other != name && !seen.contains(*other));
+        let added: Vec<String> = added.cloned().collect();
+        seen.extend(added.iter().cloned());
+        pending.extend(added);
     }
     seen
 }
 
 #[test]
 fn files_of_a_layer_import_each_other_without_a_new_loop() {
-    let mut loops = BTreeSet::new();
+    let mut cycles = BTreeSet::new();
     for layer in LAYERS {
         let imports = imports(layer);
         let reaches: BTreeMap<&String, BTreeSet<String>> =
@@ -85,14 +85,14 @@
             let both =
                 |other: &&String| reaches[name].contains(*other) && reaches[other].contains(name);
             let around: Vec<String> = imports.keys().filter(both).cloned().collect();
-            loops.insert(around);
+            cycles.insert(around);
         }
     }
 
-    let known: BTreeSet<Vec<String>> = KNOWN_LOOPS
+    let known: BTreeSet<Vec<String>> = KNOWN_CYCLES
         .iter()
         .map(|names| names.iter().map(|name| name.to_string()).collect())
         .collect();
 
-    assert_eq!(loops, known);
+    assert_eq!(cycles, known);
 }
--- a/lib/tests/test_list_keeping.rs
+++ b/lib/tests/test_list_keeping.rs
@@ -1,4 +1,4 @@
-//! What a VM holds of the list of upstreams on disk and on the wire between VMs.
+//! The list of upstreams on a keeper's disk and in frames between VMs.
 
 use std::net::SocketAddr;
 
@@ -23,14 +23,14 @@
         started_ms: None,
         defect: EntryDefect::None,
     };
-    let mark = ListRevision { term: 3, change, reader: 5 };
-    StoredList { revision: mark, rows: (0..upstreams).map(row).collect() }
+    let revision = ListRevision { term: 3, change, reader: 5 };
+    StoredList { revision, rows: (0..upstreams).map(row).collect() }
 }
 
 #[test]
 fn a_kept_list_is_read_as_it_was_and_replaced_whole() {
     let folder = tempfile::tempdir().unwrap();
-    assert_eq!(load_list(folder.path()).unwrap(), None, "there is none yet");
+    assert_eq!(load_list(folder.path()).unwrap(), None, "no list was stored");
 
     store_list(folder.path(), &list(250, 1)).unwrap();
     store_list(folder.path(), &list(20, 2)).unwrap();
@@ -62,10 +62,10 @@
     };
     let cases = [
         ("empty", Vec::new()),
-        ("shorter than its sum", good[..3].to_vec()),
-        ("cut", good[..good.len() - 1].to_vec()),
-        ("another sum", flipped(0)),
-        ("another byte", flipped(good.len() / 2)),
+        ("shorter than its checksum", good[..3].to_vec()),
+        ("truncated", good[..good.len() - 1].to_vec()),
+        ("wrong checksum", flipped(0)),
+        ("wrong byte", flipped(good.len() / 2)),
     ];
     for (case, bytes) in cases {
         std::fs::write(&path, bytes).unwrap();
@@ -83,20 +83,20 @@
 
 #[test]
 fn a_list_travels_packed_and_comes_whole() {
-    let StoredList { revision: mark, rows } = list(250, 1);
+    let StoredList { revision, rows } = list(250, 1);
     let plain = rmp_serde::to_vec(&rows).unwrap().len();
 
-    let (bytes, read) = frame_of(&VmMessage::List { revision: mark, rows: rows.clone() });
+    let (bytes, read) = frame_of(&VmMessage::List { revision, rows: rows.clone() });
 
-    // 14,375 bytes before, 3,255 packed.
+    // The rows take 14,375 bytes uncompressed, and the frame 3,255.
     assert!(bytes * 2 < plain, "{bytes} of {plain} bytes");
-    assert!(matches!(read, Ok(VmMessage::List { rows: told, .. }) if told == rows));
+    assert!(matches!(read, Ok(VmMessage::List { rows: received, .. }) if received == rows));
 }
 
 #[test]
 fn a_body_that_unpacks_to_nothing_of_ours_is_an_error() {
-    let StoredList { revision: mark, rows } = list(250, 1);
-    let frame = encode_frame(9, &VmMessage::List { revision: mark, rows });
+    let StoredList { revision, rows } = list(250, 1);
+    let frame = encode_frame(9, &VmMessage::List { revision, rows });
     let head = decode_frame_head(frame[..FRAME_HEAD_BYTES].try_into().unwrap()).unwrap();
 
     for body in
--- a/lib/tests/test_log_store.rs
+++ b/lib/tests/test_log_store.rs
@@ -1,4 +1,4 @@
-//! The keeper's files under crashes and damage.
+//! The keeper's log and snapshot files after crashes and damage.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -60,7 +60,7 @@
 
         assert_eq!(indexes(&state), [1, 2], "cut at {cut}");
         assert_eq!(state.torn_bytes as usize, cut - whole);
-        assert_eq!(indexes(&again), [1, 2, 3], "what is appended after the cut stays");
+        assert_eq!(indexes(&again), [1, 2, 3], "entries appended after the cut are kept");
     }
 }
 
@@ -78,7 +78,7 @@
         let error = open(folder.path()).err().unwrap();
 
         assert!(error.contains("is damaged at byte 0"), "byte {offset}: {error}");
-        assert_eq!(fs::read(&path).unwrap(), bytes, "nothing is changed");
+        assert_eq!(fs::read(&path).unwrap(), bytes, "a damaged log is left unchanged");
     }
 }
 
