--- a/lib/src/protocol/caller.rs
+++ b/lib/src/protocol/caller.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// The position in a stream after which a caller wants it resumed.
+/// The position in a stream after which a caller requests to resume it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePosition {
     /// The name of the upstream that sent the stream.
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -116,7 +116,7 @@
         router: RouterId,
         /// Its load.
         rows: Vec<LoadRow>,
-        /// Incarnations that the sender knows to be leaving.
+        /// Incarnations known to the sender to be leaving.
         marks: Vec<LeavingMark>,
     },
 }
--- a/lib/src/protocol/operator.rs
+++ b/lib/src/protocol/operator.rs
@@ -98,7 +98,7 @@
     pub id: KeeperId,
     /// Its Raft role.
     pub role: RaftRole,
-    /// The leader that it knows, if any.
+    /// The leader, if known.
     pub leader: Option<KeeperId>,
     /// Its current term.
     pub term: u64,
--- a/lib/src/protocol/retry_after.rs
+++ b/lib/src/protocol/retry_after.rs
@@ -1,9 +1,9 @@
 //! `Retry-After` as defined by HTTP: a number of seconds or a date. Fractions of seconds are
 //! accepted too.
 
-/// The longest wait that any of `values` requests, in milliseconds; `None` if none is valid. A date
-/// is compared with `date`, the time at which the answer was made, since the local clock may differ
-/// from the sender's.
+/// The longest wait that any of `values` requests, in milliseconds; `None` if none of them is valid
+/// and above 0. A date is compared with `date`, the time at which the answer was made, since the
+/// local clock may differ from the sender's.
 pub fn read_retry_after<'a>(
     values: impl Iterator<Item = &'a str>,
     date: Option<&str>,
--- a/lib/src/protocol/vm_wire.rs
+++ b/lib/src/protocol/vm_wire.rs
@@ -129,7 +129,7 @@
         /// The outcome of the order, and the orders that hold.
         verdict: OrderVerdict,
     },
-    /// Asks a keeper for the newest document that it knows to be committed.
+    /// Asks a keeper for the newest document known to be committed.
     WantDocument,
     /// The newest document.
     Document {
@@ -191,15 +191,15 @@
     /// The answer of a VM that isn't the leader.
     #[serde(rename = "Elsewhere")]
     Redirect {
-        /// The leader, as far as the sender knows.
+        /// The leader, if the sender has contact with one.
         leader: Option<VmId>,
-        /// The keepers that the sender knows.
+        /// The keepers known to the sender.
         keepers: Vec<VmId>,
-        /// The number of VMs that the sender knows, from which the receiver computes a request rate
+        /// The number of VMs known to the sender, from which the receiver computes a request rate
         /// that is sustainable when all of them send requests.
         vms: u32,
     },
-    /// Announces a new leader to all VMs that it knows.
+    /// Announces a new leader to all VMs known to it.
     Leads {
         /// The leader's term.
         term: u64,
@@ -266,8 +266,8 @@
 }
 
 /// The state of a VM at the time it received the request that it answers. Its ages are as of that
-/// time, so that the receiver can add them to the time of its own request to obtain a confirmed
-/// time.
+/// time, so that the receiver subtracts them from the time at which it sent the request to obtain
+/// the time of confirmation on its own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerState {
     /// The time in the request.
@@ -277,7 +277,7 @@
     /// How long ago that revision was last confirmed to be the platform's, in milliseconds;
     /// `u32::MAX` when unknown.
     pub list_age_ms: u32,
-    /// The version of the configuration in force.
+    /// The current version of the configuration.
     pub version: u64,
     /// How long ago that version was last confirmed to be the newest, in milliseconds; `u32::MAX`
     /// when unknown.
--- a/lib/src/state/chat_memory.rs
+++ b/lib/src/state/chat_memory.rs
@@ -1,4 +1,4 @@
-//! The engines that hold a chat's prefix, as far as the chat's home router knows.
+//! The engines that hold a chat's prefix, as recorded by the chat's home router.
 //!
 //! The memory is bounded: the least recently used chats are removed first. Once cache events of an
 //! engine were lost, its holders are uncertain and never count as certain again.
--- a/lib/src/state/packed_text.rs
+++ b/lib/src/state/packed_text.rs
@@ -13,8 +13,8 @@
 use flate2::Compression;
 use serde::{Deserialize, Serialize};
 
-/// The largest decompressed text, in bytes. It is above any document that is accepted, and bounds
-/// the memory that a damaged or forged text can claim.
+/// The largest decompressed text, in bytes; no text that is compressed here is larger. It bounds the
+/// memory that a damaged or forged text can claim.
 pub const MAX_TEXT_BYTES: u64 = 16 << 20;
 /// The first byte of a zlib stream; no configuration begins with it.
 const PACKED_MARK: u8 = 0x78;
--- a/lib/src/state/upstream_list.rs
+++ b/lib/src/state/upstream_list.rs
@@ -154,7 +154,7 @@
 
 impl UpstreamList {
     /// Whether a list has been read or received.
-    pub fn is_held(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.revision.change > 0
     }
 
@@ -171,7 +171,7 @@
         let change = self.replace(rows, began_ms);
         self.confirmed_ms = self.confirmed_ms.max(began_ms);
         let term = term.unwrap_or(self.revision.term).max(self.revision.term);
-        if change.is_empty() && self.revision.term == term && self.is_held() {
+        if change.is_empty() && self.revision.term == term && self.is_loaded() {
             return None;
         }
         let from = self.revision;
@@ -198,15 +198,15 @@
         newer
     }
 
-    /// Records that another VM confirmed revision `revision` to be the platform's list at
-    /// `confirmed_ms` of this VM's clock. Has no effect if this list is at another revision.
+    /// Records that another VM confirmed `revision` to be the platform's list at `confirmed_ms` of
+    /// this VM's clock. Has no effect if this list is at another revision.
     pub fn confirm(&mut self, revision: ListRevision, confirmed_ms: u64) {
-        if revision == self.revision && self.is_held() {
+        if revision == self.revision && self.is_loaded() {
             self.confirmed_ms = self.confirmed_ms.max(confirmed_ms);
         }
     }
 
-    /// Records that another VM holds revision `revision`.
+    /// Records that another VM holds `revision`.
     pub fn note_revision(&mut self, revision: ListRevision) {
         self.highest_change = self.highest_change.max(revision.change);
     }
@@ -214,7 +214,7 @@
     /// Applies a delta from another VM; returns `false` when it doesn't start at the revision held
     /// here.
     pub fn apply_delta(&mut self, delta: ListDelta, now_ms: u64) -> bool {
-        if delta.from != self.revision || !self.is_held() || delta.to <= self.revision {
+        if delta.from != self.revision || !self.is_loaded() || delta.to <= self.revision {
             return false;
         }
         self.apply(&delta.change, now_ms);
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -35,7 +35,7 @@
             self.renew();
             let silent = self.view.borrow().heard_ms + LEADER_SILENT_MS <= self.now_ms();
             // A VM without a list or routes can't serve; the leader may have them by now.
-            let lacks = !self.upstreams.borrow().is_held() || self.routes.borrow().is_none();
+            let lacks = !self.upstreams.borrow().is_loaded() || self.routes.borrow().is_none();
             let young = lacks && self.clock.age_ms() < NO_LIST_MS;
             let pause = match silent || young {
                 true => seek_pause_ms(self.view.borrow().vms),
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -166,7 +166,7 @@
                 first_heard_ms,
                 news_ms: upstreams.confirmed_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
-                has_list: upstreams.is_held(),
+                has_list: upstreams.is_loaded(),
             }
         };
         match list_action(&standing, now_ms, || self.reader_rank()) {
@@ -310,7 +310,7 @@
     fn take_reading_alone(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
         let mut upstreams = self.upstreams.borrow_mut();
         let mut seats = SeatTable::default();
-        if upstreams.is_held() {
+        if upstreams.is_loaded() {
             for row in &mut rows {
                 row.ring_slot = upstreams.entries.get(&row.key()).and_then(|known| known.ring_slot);
             }
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -159,7 +159,7 @@
     /// is asked by a leader, which no other VM can give anything newer.
     pub(super) fn want_list(&self, holder: VmId, now_ms: u64) {
         let have = self.upstreams.borrow().revision;
-        let held = self.upstreams.borrow().is_held();
+        let held = self.upstreams.borrow().is_loaded();
         let again_ms = match (self.links.is_receiving_large(), held) {
             (true, _) => WANT_LARGE_MS,
             (false, true) => WANT_AGAIN_MS,
@@ -277,7 +277,7 @@
     pub(super) fn keep_on_disk(&self) {
         let upstreams = self.upstreams.borrow();
         let mut desk = self.list_desk.borrow_mut();
-        if desk.keeping || !upstreams.is_held() || desk.kept == upstreams.revision {
+        if desk.keeping || !upstreams.is_loaded() || desk.kept == upstreams.revision {
             return;
         }
         let list = StoredList { revision: upstreams.revision, rows: upstreams.rows() };
