--- a/lib/src/protocol/seal.rs
+++ b/lib/src/protocol/seal.rs
@@ -115,23 +115,24 @@
         }
     }
 
+    /// Records a message's count; returns `false` if it was received before or is too old to tell.
     fn accept(&mut self, count: u64) -> bool {
         if count + WINDOW <= self.highest {
             return false;
         }
         if count > self.highest {
             for passed in self.highest + 1..=count.min(self.highest + WINDOW) {
-                self.bit(passed, false);
+                self.set_seen(passed, false);
             }
             self.highest = count;
         } else if self.seen[(count % WINDOW / 64) as usize] >> (count % 64) & 1 == 1 {
             return false;
         }
-        self.bit(count, true);
+        self.set_seen(count, true);
         true
     }
 
-    fn bit(&mut self, count: u64, on: bool) {
+    fn set_seen(&mut self, count: u64, on: bool) {
         let word = &mut self.seen[(count % WINDOW / 64) as usize];
         let bit = 1 << (count % 64);
         if on {
--- a/lib/src/state/keeper_machine.rs
+++ b/lib/src/state/keeper_machine.rs
@@ -267,6 +267,7 @@
         answer
     }
 
+    /// Applies a change if it is based on the current version and the result is valid.
     fn decide_change(&mut self, change: &ConfigChange) -> ChangeAnswer {
         let current = self.configuration.version;
         if change.base != current {
@@ -292,6 +293,7 @@
         }
     }
 
+    /// Adds an order, unless one with this id exists; returns its number.
     fn add_order(
         &mut self,
         id: &str,
--- a/lib/src/state/list_reading.rs
+++ b/lib/src/state/list_reading.rs
@@ -47,6 +47,8 @@
         names
     }
 
+    /// Whether an unreadable entry may refer to this row: its name or address matches, and its start
+    /// time, if readable, is the same.
     fn include(&self, row: &UpstreamEntry) -> bool {
         let same = |started_ms: &Option<u64>| started_ms.is_none() || *started_ms == row.started_ms;
         let by_name = self.by_name.get(row.name.as_str());
@@ -62,7 +64,7 @@
     pub rows: Vec<UpstreamEntry>,
     /// Entries that could not be parsed.
     pub unread: Vec<UnreadEntry>,
-    /// Oddities of entries that were parsed, with their locations.
+    /// Faults that did not prevent entries from being parsed, with their locations.
     pub findings: Vec<Finding>,
 }
 
@@ -94,15 +96,15 @@
             return None;
         }
         let (mut rows, duplicates) = latest_starts(&self.rows);
-        let held = self.held(&rows, known);
-        rows.extend(held);
+        let retained = self.retained(&rows, known);
+        rows.extend(retained);
         Some(ResolvedReading { rows, duplicates })
     }
 
     /// Known upstreams that only unreadable entries refer to. They keep taking work if their
     /// service has no other upstream that does, since withholding them would leave its callers
     /// unserved.
-    fn held(&self, rows: &[UpstreamEntry], known: &UpstreamList) -> Vec<UpstreamEntry> {
+    fn retained(&self, rows: &[UpstreamEntry], known: &UpstreamList) -> Vec<UpstreamEntry> {
         if self.unread.is_empty() {
             return Vec::new();
         }
@@ -111,7 +113,7 @@
             rows.iter().filter(|row| row.takes_work()).map(|row| row.service.as_str()).collect();
         let names = UnreadNames::of(&self.unread);
         let named = |row: &&UpstreamEntry| !read.contains(row.name.as_str()) && names.include(row);
-        let hold = |row: &UpstreamEntry| {
+        let retain = |row: &UpstreamEntry| {
             let defect = match row.defect {
                 EntryDefect::State => EntryDefect::State,
                 _ if served.contains(row.service.as_str()) => EntryDefect::Unread,
@@ -119,7 +121,7 @@
             };
             UpstreamEntry { defect, ..row.clone() }
         };
-        known.entries.values().filter(named).map(hold).collect()
+        known.entries.values().filter(named).map(retain).collect()
     }
 }
 
--- a/lib/src/state/upstream_list.rs
+++ b/lib/src/state/upstream_list.rs
@@ -57,7 +57,8 @@
     /// When it started, in Unix milliseconds; `None` if the list doesn't give it.
     #[serde(default)]
     pub started_ms: Option<u64>,
-    /// What the list leaves undetermined about it; unless this is `None`, it gets no new work.
+    /// What the list leaves undetermined about it; unless this is [`EntryDefect::None`],
+    /// it gets no new work.
     #[serde(default)]
     pub defect: EntryDefect,
 }
