--- a/lib/src/coordination/durable_core.rs
+++ b/lib/src/coordination/durable_core.rs
@@ -13,7 +13,7 @@
 use super::raft::RaftCore;
 use super::raft_message::{RaftBody, RaftMessage, RaftOutput};
 use crate::state::ids::KeeperId;
-use crate::state::kept_list::KeptList;
+use crate::state::kept_list::StoredList;
 use crate::state::log_store::{HardState, LogBatch, LogEntry, LogSnapshot, StoredState};
 
 /// A job for the disk thread.
@@ -24,7 +24,7 @@
     /// Replace the whole log by a snapshot, the term and vote, and the entries after the snapshot.
     Install(Box<LogSnapshot>, HardState, Vec<LogEntry>),
     /// Save the list of upstreams for the next start. It is not part of the consensus.
-    KeepList(KeptList),
+    KeepList(StoredList),
 }
 
 /// A consensus core with its pending disk jobs and the messages that depend on them.
--- a/lib/src/coordination/kv_move.rs
+++ b/lib/src/coordination/kv_move.rs
@@ -4,7 +4,7 @@
 //! Each option delays the first token; the one with the shortest delay is chosen. The rates are
 //! settings of the fleet, to be set from measurements of its engines. See `docs/design/kv-move.md`.
 
-use crate::state::configuration::MoveRates;
+use crate::state::configuration::KvRates;
 
 /// The longest time that a request waits for the engine that holds its prefix, in milliseconds.
 pub const MAX_HOLDER_WAIT_MS: f64 = 1500.0;
@@ -21,18 +21,14 @@
 }
 
 /// The time that an import of `tokens` takes, in milliseconds; `None` if the fleet has no imports.
-pub fn import_ms(rates: &MoveRates, tokens: u32) -> Option<f64> {
+pub fn import_ms(rates: &KvRates, tokens: u32) -> Option<f64> {
     let moves = rates.import_per_ms > 0.0;
     moves.then(|| rates.import_start_ms + tokens as f64 / rates.import_per_ms)
 }
 
 /// Chooses the option with the shortest delay. `holder_wait_ms` is how long the holder is expected
 /// to stay at its bound, if this router has an estimate.
-pub fn choose_move(
-    rates: &MoveRates,
-    cached_tokens: u32,
-    holder_wait_ms: Option<f64>,
-) -> MoveChoice {
+pub fn choose_move(rates: &KvRates, cached_tokens: u32, holder_wait_ms: Option<f64>) -> MoveChoice {
     let recompute = cached_tokens as f64 / rates.prefill_per_ms.max(1e-6);
     let import = import_ms(rates, cached_tokens).unwrap_or(f64::INFINITY);
     let wait = holder_wait_ms.unwrap_or(f64::INFINITY);
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -23,7 +23,7 @@
 use super::router_lease::RENEW_MS;
 use super::trace::{Trace, TraceEvent, TraceRequest, TraceSetup, TraceStatus};
 use crate::state::chat_memory::ChatMemory;
-use crate::state::configuration::MoveRates;
+use crate::state::configuration::KvRates;
 use crate::state::ids::{ChatKey, FleetKey, Incarnation, RouterId, UpstreamKey, WorkspaceKey};
 use crate::state::roster::{RouterRoster, RouterSession};
 
@@ -39,7 +39,7 @@
 pub enum ReplayRule {
     /// Engines and chats have home routers, as in wingshed, with these placement rules. KV caches
     /// are transferred between engines if rates are given.
-    Home(PlacementRule, Option<MoveRates>),
+    Home(PlacementRule, Option<KvRates>),
     /// Each router takes the engine with the lowest reported load, without coordination.
     LeastReported,
     /// Each router takes an engine by hashing, with a bound by the work that it placed itself.
@@ -217,7 +217,7 @@
                 if *status != TraceStatus::Leaving {
                     // The previous incarnation has ended and its cache is lost.
                     let incarnation = Incarnation(self.engines[*engine as usize].incarnation);
-                    view.memory.set_life(engine_key(*engine), incarnation);
+                    view.memory.set_incarnation(engine_key(*engine), incarnation);
                     view.events_reported[*engine as usize] = 0;
                 }
                 self.renew_view(*router);
@@ -308,7 +308,7 @@
         &mut self,
         request: &TraceRequest,
         rule: &PlacementRule,
-        rates: Option<MoveRates>,
+        rates: Option<KvRates>,
     ) {
         let chat = ChatKey(request.chat);
         let cold_work = request_work(request.prompt, request.output, 0);
@@ -332,7 +332,7 @@
         entry: u32,
         request: &TraceRequest,
         rule: &PlacementRule,
-        rates: Option<MoveRates>,
+        rates: Option<KvRates>,
         waited_ms: u64,
     ) {
         let chat = ChatKey(request.chat);
@@ -519,7 +519,7 @@
         home: u32,
         work: u64,
         waited_ms: u64,
-        moved: Option<(u32, Option<MoveRates>)>,
+        moved: Option<(u32, Option<KvRates>)>,
     ) {
         let at = engine as usize;
         let held = self.engines[at].cached(request.chat).min(request.prompt);
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -136,7 +136,7 @@
         if view.homes.engine_state(key).is_none() {
             return;
         }
-        view.memory.set_life(key, Incarnation(actual.incarnation));
+        view.memory.set_incarnation(key, Incarnation(actual.incarnation));
         let mut held: Vec<(u64, u32)> = actual.cache().collect();
         held.sort_unstable();
         for (chat, tokens) in held {
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::upstream_load::UpstreamLoad;
-use crate::state::fleet_record::SeatRow;
+use crate::state::fleet_record::RingSlotRow;
 use crate::state::ids::UpstreamKey;
 use crate::state::upstream_list::{UpstreamEntry, UpstreamList};
 
@@ -55,17 +55,17 @@
 /// The present or last holder of each ring slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RingSlotTable {
-    slots: BTreeMap<u64, SeatRow>,
+    slots: BTreeMap<u64, RingSlotRow>,
 }
 
 impl RingSlotTable {
     /// The table with these rows.
-    pub fn of(rows: &[SeatRow]) -> RingSlotTable {
-        RingSlotTable { slots: rows.iter().map(|row| (row.seat, row.clone())).collect() }
+    pub fn of(rows: &[RingSlotRow]) -> RingSlotTable {
+        RingSlotTable { slots: rows.iter().map(|row| (row.ring_slot, row.clone())).collect() }
     }
 
     /// The rows, for the durable record.
-    pub fn rows(&self) -> Vec<SeatRow> {
+    pub fn rows(&self) -> Vec<RingSlotRow> {
         self.slots.values().cloned().collect()
     }
 
@@ -80,7 +80,7 @@
     ) {
         let first_list = self.slots.is_empty();
         let held: BTreeMap<UpstreamKey, u64> =
-            self.slots.values().map(|row| (row.holder, row.seat)).collect();
+            self.slots.values().map(|row| (row.holder, row.ring_slot)).collect();
         for row in rows.iter_mut() {
             let before = list.entries.get(&row.key()).and_then(|known| known.ring_slot);
             // A leaving upstream keeps its ring slot, although another may have taken it by now.
@@ -108,7 +108,8 @@
     fn hold(&mut self, row: &UpstreamEntry) {
         if let Some(seat) = row.ring_slot {
             let (service, address) = (row.service.clone(), row.address);
-            self.slots.insert(seat, SeatRow { seat, service, address, holder: row.key() });
+            self.slots
+                .insert(seat, RingSlotRow { ring_slot: seat, service, address, holder: row.key() });
         }
     }
 
@@ -131,13 +132,13 @@
 
 impl VacantSlots {
     fn of<'a>(
-        slots: impl Iterator<Item = &'a SeatRow>,
+        slots: impl Iterator<Item = &'a RingSlotRow>,
         living: &BTreeSet<UpstreamKey>,
     ) -> VacantSlots {
         let mut vacant = VacantSlots { by_service: BTreeMap::new(), by_place: BTreeMap::new() };
         for row in slots.filter(|row| !living.contains(&row.holder)) {
-            vacant.by_service.entry(row.service.clone()).or_default().insert(row.seat);
-            vacant.by_place.insert((row.service.clone(), row.address), row.seat);
+            vacant.by_service.entry(row.service.clone()).or_default().insert(row.ring_slot);
+            vacant.by_place.insert((row.service.clone(), row.address), row.ring_slot);
         }
         vacant
     }
--- a/lib/src/state/upstream_list.rs
+++ b/lib/src/state/upstream_list.rs
@@ -21,7 +21,7 @@
 /// What the list leaves undetermined about an upstream. Unlike leaving it is not sticky: the next
 /// list that can be read in full clears it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum EntryDoubt {
+pub enum EntryDefect {
     /// Nothing that keeps new work away from it.
     #[default]
     None,
@@ -57,9 +57,10 @@
     /// When it started, in Unix milliseconds; `None` if the list doesn't give it.
     #[serde(default)]
     pub started_ms: Option<u64>,
-    /// What the list leaves undetermined about it; unless this is `None`, it gets no new work.
+    /// What the list leaves undetermined about it; unless this is [`EntryDefect::None`],
+    /// it gets no new work.
     #[serde(default)]
-    pub doubt: EntryDoubt,
+    pub defect: EntryDefect,
 }
 
 impl UpstreamEntry {
@@ -70,7 +71,7 @@
 
     /// Whether it takes new work according to the list.
     pub fn takes_work(&self) -> bool {
-        !self.leaving && self.doubt == EntryDoubt::None
+        !self.leaving && self.defect == EntryDefect::None
     }
 }
 
@@ -154,7 +155,7 @@
 
 impl UpstreamList {
     /// Whether a list has been read or received.
-    pub fn is_held(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.revision.change > 0
     }
 
@@ -171,7 +172,7 @@
         let change = self.replace(rows, began_ms);
         self.confirmed_ms = self.confirmed_ms.max(began_ms);
         let term = term.unwrap_or(self.revision.term).max(self.revision.term);
-        if change.is_empty() && self.revision.term == term && self.is_held() {
+        if change.is_empty() && self.revision.term == term && self.is_loaded() {
             return None;
         }
         let from = self.revision;
@@ -198,15 +199,15 @@
         newer
     }
 
-    /// Records that another VM confirmed revision `revision` to be the platform's list at
-    /// `confirmed_ms` of this VM's clock. Has no effect if this list is at another revision.
+    /// Records that another VM confirmed `revision` to be the platform's list at `confirmed_ms` of
+    /// this VM's clock. Has no effect if this list is at another revision.
     pub fn confirm(&mut self, revision: ListRevision, confirmed_ms: u64) {
-        if revision == self.revision && self.is_held() {
+        if revision == self.revision && self.is_loaded() {
             self.confirmed_ms = self.confirmed_ms.max(confirmed_ms);
         }
     }
 
-    /// Records that another VM holds revision `revision`.
+    /// Records that another VM holds `revision`.
     pub fn note_revision(&mut self, revision: ListRevision) {
         self.highest_change = self.highest_change.max(revision.change);
     }
@@ -214,7 +215,7 @@
     /// Applies a delta from another VM; returns `false` when it doesn't start at the revision held
     /// here.
     pub fn apply_delta(&mut self, delta: ListDelta, now_ms: u64) -> bool {
-        if delta.from != self.revision || !self.is_held() || delta.to <= self.revision {
+        if delta.from != self.revision || !self.is_loaded() || delta.to <= self.revision {
             return false;
         }
         self.apply(&delta.change, now_ms);
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -12,7 +12,7 @@
 use crate::coordination::upstream_choice::{choose_engine, EngineRules, UpstreamPick};
 use crate::state::ids::UpstreamKey;
 use crate::state::route_table::{RouteRule, ServiceEntry};
-use crate::state::upstream_list::{EntryDoubt, UpstreamEntry};
+use crate::state::upstream_list::{EntryDefect, UpstreamEntry};
 
 /// A service counts as overloaded when the mean load of its engines reaches this share of the bound on
 /// an engine's load. VMs then report loads more often.
@@ -91,7 +91,7 @@
         let rate = memory.estimated_fleet_rate(&self.caller.prompt, vms, now_ms);
         let hold_ms = self.node.with_service_capacity(&service.name, |capacity| capacity.hold_ms());
         let rules = EngineRules {
-            kv_transfer: engine.moves,
+            kv_transfer: engine.kv_transfer,
             max_engines,
             load_limit: self.node.settings.borrow().bounds.load_limit,
             part_load: rate * hold_ms / 1000.0,
@@ -186,7 +186,7 @@
         let notices = node.pool.notices().borrow();
         let settings = node.settings.borrow();
         let listed = |(key, entry, first_seen_ms): (UpstreamKey, &UpstreamEntry, u64)| {
-            let withheld = entry.doubt != EntryDoubt::None
+            let withheld = entry.defect != EntryDefect::None
                 || versions.withholds(entry)
                 || node.is_withheld(entry, service.cold_per_s);
             UpstreamCandidate {
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -166,7 +166,7 @@
                 first_contact_ms: first_heard_ms,
                 confirmed_ms: upstreams.confirmed_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
-                has_list: upstreams.is_held(),
+                has_list: upstreams.is_loaded(),
             }
         };
         match list_action(&standing, now_ms, || self.reader_rank()) {
@@ -251,7 +251,7 @@
         let now_ms = self.now_ms();
         let led = match &*self.keeper.borrow() {
             Some(keeper) if keeper.may_vouch(now_ms) => {
-                Some((keeper.term(), keeper.record.seats.clone(), keeper.roster.loads()))
+                Some((keeper.term(), keeper.record.ring_slots.clone(), keeper.roster.loads()))
             }
             _ => None,
         };
@@ -310,7 +310,7 @@
     fn take_reading_alone(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
         let mut upstreams = self.upstreams.borrow_mut();
         let mut seats = RingSlotTable::default();
-        if upstreams.is_held() {
+        if upstreams.is_loaded() {
             for row in &mut rows {
                 row.ring_slot = upstreams.entries.get(&row.key()).and_then(|known| known.ring_slot);
             }
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -13,22 +13,22 @@
 impl CallerTask {
     /// Records the notices in the head of an answer to this request.
     pub(super) fn record_notices(&self, target: &SendTarget, facts: &UpstreamAnswer) {
-        if facts.other_life {
+        if facts.other_incarnation {
             return;
         }
         let now_ms = self.node.now_ms();
         let drain_ms = self.node.settings.borrow().bounds.drain_ms;
         let mut notices = self.node.pool.notices().borrow_mut();
-        match facts.rest_ms {
+        match facts.backoff_ms {
             Some(rest_ms) => {
                 notices.note_backoff(target.upstream, rest_ms, self.node.clock.next_ms());
-                self.node.figures.borrow_mut().rests_asked += 1;
+                self.node.figures.borrow_mut().backoffs += 1;
             }
             None if facts.not_run => notices.note_rejected(target.upstream, now_ms),
             None => notices.note_accepted(target.upstream, now_ms),
         }
         if facts.leaving && notices.note_leaving(target.upstream, drain_ms, now_ms) {
-            info!(target: "upstream", life = target.send.life, "upstream announced that it is leaving");
+            info!(target: "upstream", life = target.send.name, "upstream announced that it is leaving");
         }
     }
 
@@ -44,8 +44,8 @@
         let rests_ms =
             self.node.pool.notices().borrow().backoff_ms(target.upstream, target.sent_ms);
         info!(
-            target: "upstream", life = target.send.life, attempt = self.caller.attempt,
-            status = head.status.as_u16(), asks_ms = facts.rest_ms, rests_ms,
+            target: "upstream", life = target.send.name, attempt = self.caller.attempt,
+            status = head.status.as_u16(), asks_ms = facts.backoff_ms, rests_ms,
             kept = reused, "did not run it",
         );
     }
--- a/lib/src/transport/vm_place.rs
+++ b/lib/src/transport/vm_place.rs
@@ -57,7 +57,7 @@
         let engine_priority =
             rule.prompt_parts.then(|| engine_priority(workspace_priority, rule.priority));
         let send = UpstreamSend {
-            life: entry.name.clone(),
+            name: entry.name.clone(),
             left_ms,
             workspace: workspace.map(|workspace| workspace.name.clone()),
             engine_priority,
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -119,7 +119,7 @@
     /// Why the connection can't be used any more; `None` if it can.
     fn fault(&self, silent: fn(&TcpStream) -> bool, now_ms: u64) -> Option<ConnectCause> {
         if self.expires_ms <= now_ms {
-            return Some(ConnectCause::Rested);
+            return Some(ConnectCause::IdleTimeout);
         }
         (!silent(&self.stream)).then_some(ConnectCause::Closed)
     }
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -73,7 +73,7 @@
                 Waited::Dark => {
                     target.trial.end_inconclusive();
                     info!(
-                        target: "upstream", life = target.send.life,
+                        target: "upstream", life = target.send.name,
                         attempt = self.caller.attempt, "upstream unresponsive; no longer waiting for its answer",
                     );
                     return SendResult::NoAnswer(SendOutcome::Broken);
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -168,7 +168,7 @@
             let service = pick_share(&rule.shares, self.draw)?;
             let entry = &routes.table.services[service];
             let left = deadline_ms.saturating_sub(self.node.now_ms());
-            if count.sent >= rule.most_upstreams || left < MIN_REMAINING_MS {
+            if count.sent >= rule.max_upstreams || left < MIN_REMAINING_MS {
                 return None;
             }
             // A stream that has begun is resumed regardless of the capacity that is left.
@@ -272,7 +272,7 @@
         self.node.figures.borrow_mut().note_body_end(framing, end);
         if end != BodyEnd::Boundary {
             info!(
-                target: "upstream", life = target.send.life, attempt = self.caller.attempt,
+                target: "upstream", life = target.send.name, attempt = self.caller.attempt,
                 framing = framing.name(), end = end.name(), "stream ended",
             );
         }
@@ -281,7 +281,7 @@
     /// Logs a body that its connection broke off.
     fn log_broken_body(&self, target: &SendTarget, tracker: &BodyTracker, error: &hyper::Error) {
         info!(
-            target: "upstream", life = target.send.life, attempt = self.caller.attempt,
+            target: "upstream", life = target.send.name, attempt = self.caller.attempt,
             framing = tracker.framing().name(), end = tracker.end().name(), %error, "stream broke off",
         );
     }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -9,12 +9,12 @@
     QUARANTINE_CRASHES,
 };
 use wingshed_lib::state::fleet_record::{FleetCommand, FleetRecord};
-use wingshed_lib::state::ids::{RequestMark, UpstreamKey};
+use wingshed_lib::state::ids::{RequestFingerprint, UpstreamKey};
 use wingshed_lib::state::quarantine::{
-    QuarantineCommand, QuarantineRow, QuarantineTable, MOST_ROWS,
+    QuarantineCommand, QuarantineRow, QuarantineTable, MAX_ROWS,
 };
 
-const POISON: RequestMark = RequestMark(7);
+const POISON: RequestFingerprint = RequestFingerprint(7);
 const START_MS: u64 = 1_000_000;
 const VMS: usize = 12;
 
@@ -41,28 +41,28 @@
 
     fn evaluate(&mut self, now_ms: u64) {
         for command in self.table.commands_to_propose(self.term, &self.recorded, VMS, now_ms) {
-            self.recorded.take(command);
+            self.recorded.apply(command);
             self.commands += 1;
         }
     }
 
     /// Reports crashes under sends of VMs that have received the recorded table.
-    fn ended(&mut self, mark: RequestMark, upstreams: &[u64], now_ms: u64) {
-        let watched = self.recorded.row(mark).is_some_and(|row| !row.held);
+    fn ended(&mut self, mark: RequestFingerprint, upstreams: &[u64], now_ms: u64) {
+        let watched = self.recorded.row(mark).is_some_and(|row| !row.quarantined);
         self.receive(&ended(mark, upstreams, watched), now_ms);
     }
 
     /// Reports three crashes in sequence without a completion, which quarantine the request.
-    fn crash_and_hold(&mut self, mark: RequestMark, now_ms: u64) {
+    fn crash_and_hold(&mut self, mark: RequestFingerprint, now_ms: u64) {
         self.ended(mark, &[1, 2], now_ms);
         self.ended(mark, &[3], now_ms);
         self.evaluate(now_ms + settle_ms(VMS));
-        assert!(self.recorded.is_held(mark));
+        assert!(self.recorded.is_quarantined(mark));
         self.evaluate(now_ms + settle_ms(VMS));
     }
 }
 
-fn ended(mark: RequestMark, upstreams: &[u64], watched: bool) -> CrashReport {
+fn ended(mark: RequestFingerprint, upstreams: &[u64], watched: bool) -> CrashReport {
     let note = |(at, upstream): (usize, &u64)| CrashNote {
         number: at as u64 + 1,
         mark,
@@ -73,11 +73,11 @@
     CrashReport { ended: upstreams.iter().enumerate().map(note).collect(), well: Vec::new() }
 }
 
-fn seen(mark: RequestMark, upstream: u64) -> ObservedCrash {
+fn seen(mark: RequestFingerprint, upstream: u64) -> ObservedCrash {
     ObservedCrash { mark, upstream: UpstreamKey(upstream), watched: false, ran_ms: 100 }
 }
 
-fn well(mark: RequestMark) -> CrashReport {
+fn well(mark: RequestFingerprint) -> CrashReport {
     CrashReport { ended: Vec::new(), well: vec![mark] }
 }
 
@@ -88,18 +88,21 @@
     leader.ended(POISON, &[1], START_MS);
     assert!(leader.recorded.row(POISON).is_none(), "one crash is not enough");
     leader.ended(POISON, &[2], START_MS + 10);
-    assert!(leader.recorded.row(POISON).is_some_and(|row| !row.held), "two crashes: it is watched");
+    assert!(
+        leader.recorded.row(POISON).is_some_and(|row| !row.quarantined),
+        "two crashes: it is watched"
+    );
     leader.ended(POISON, &[2, 2, 1], START_MS + 20);
     assert!(
-        !leader.recorded.is_held(POISON),
+        !leader.recorded.is_quarantined(POISON),
         "an upstream counts once, regardless of the reporting VM"
     );
     leader.ended(POISON, &[3], START_MS + 30);
     leader.evaluate(START_MS + 29 + settle_ms(VMS));
-    assert!(!leader.recorded.is_held(POISON), "VMs may still report a completion");
+    assert!(!leader.recorded.is_quarantined(POISON), "VMs may still report a completion");
     leader.evaluate(START_MS + 30 + settle_ms(VMS));
 
-    assert!(leader.recorded.is_held(POISON));
+    assert!(leader.recorded.is_quarantined(POISON));
     assert_eq!(leader.commands, 2, "each state is recorded once");
 }
 
@@ -110,13 +113,13 @@
     leader.ended(POISON, &[1, 2, 3, 4], START_MS);
     leader.evaluate(START_MS + 10 * settle_ms(VMS));
     assert!(
-        !leader.recorded.is_held(POISON),
+        !leader.recorded.is_quarantined(POISON),
         "it may be a popular request on a rack that was lost"
     );
     leader.ended(POISON, &[5], START_MS + 10_000);
     leader.evaluate(START_MS + 10_000 + settle_ms(VMS));
 
-    assert!(leader.recorded.is_held(POISON));
+    assert!(leader.recorded.is_quarantined(POISON));
 }
 
 #[test]
@@ -136,14 +139,14 @@
     let mut leader = Leader::of_term(1, QuarantineTable::default());
 
     for mark in 0..4 * MAX_QUARANTINED as u64 {
-        leader.ended(RequestMark(mark), &[3 * mark, 3 * mark + 1], START_MS);
-        leader.ended(RequestMark(mark), &[3 * mark + 2], START_MS + 10);
+        leader.ended(RequestFingerprint(mark), &[3 * mark, 3 * mark + 1], START_MS);
+        leader.ended(RequestFingerprint(mark), &[3 * mark + 2], START_MS + 10);
     }
     for step in 0..400 {
         leader.evaluate(START_MS + step * 25);
     }
 
-    assert_eq!(leader.recorded.held(), MAX_QUARANTINED);
+    assert_eq!(leader.recorded.quarantined_count(), MAX_QUARANTINED);
 }
 
 #[test]
@@ -164,7 +167,7 @@
 
     table.take(1, &ended(POISON, &[3], true), &recorded, START_MS + 50);
     let holds = table.commands_to_propose(1, &recorded, VMS, START_MS + 50 + settle_ms(VMS));
-    assert!(matches!(&holds[..], [QuarantineCommand::Set(row)] if row.held), "{holds:?}");
+    assert!(matches!(&holds[..], [QuarantineCommand::Set(row)] if row.quarantined), "{holds:?}");
 
     assert_eq!(
         table.commands_to_propose(1, &recorded, VMS, START_MS + 2000),
@@ -176,7 +179,7 @@
 #[test]
 fn a_request_that_runs_well_is_cleared() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
-    let bystander = RequestMark(8);
+    let bystander = RequestFingerprint(8);
     for round in 0..20 {
         let (at_ms, first) = (START_MS + round * 10_000, round * 2 + 1);
         leader.ended(bystander, &[first, first + 1], at_ms);
@@ -208,14 +211,14 @@
     second.ended(POISON, &[9], START_MS + 600);
     second.evaluate(START_MS + 600 + settle_ms(VMS));
 
-    assert!(second.recorded.is_held(POISON));
+    assert!(second.recorded.is_quarantined(POISON));
 }
 
 #[test]
 fn crashes_are_told_until_they_are_heard_some_at_a_time_and_for_a_bounded_while() {
     let mut outbox = CrashOutbox::default();
     for at in 0..CRASHES_PER_RENEWAL as u64 + 5 {
-        outbox.note_crash(seen(RequestMark(at), 1), START_MS);
+        outbox.note_crash(seen(RequestFingerprint(at), 1), START_MS);
     }
     outbox.confirm(1, 0);
 
@@ -234,15 +237,15 @@
     leader.crash_and_hold(POISON, START_MS);
     let released_ms = START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS;
     leader.evaluate(released_ms - 1);
-    assert!(leader.recorded.is_held(POISON));
+    assert!(leader.recorded.is_quarantined(POISON));
 
     leader.evaluate(released_ms);
-    assert!(!leader.recorded.is_held(POISON));
+    assert!(!leader.recorded.is_quarantined(POISON));
     leader.ended(POISON, &[4], released_ms + 100);
 
-    assert!(leader.recorded.is_held(POISON), "the first crash after the release");
+    assert!(leader.recorded.is_quarantined(POISON), "the first crash after the release");
     leader.evaluate(released_ms + 100 + FIRST_QUARANTINE_MS);
-    assert!(leader.recorded.is_held(POISON), "the second quarantine is longer");
+    assert!(leader.recorded.is_quarantined(POISON), "the second quarantine is longer");
     assert!(
         quarantine_ms(1) + quarantine_ms(2) + quarantine_ms(3) > 12 * 3_600_000,
         "three more crashes in half a day"
@@ -261,10 +264,10 @@
     let mut second = Leader::of_term(2, first.recorded);
     second.evaluate(START_MS + 5000);
     second.evaluate(START_MS + settle_ms(VMS) + FIRST_QUARANTINE_MS);
-    assert!(second.recorded.is_held(POISON));
+    assert!(second.recorded.is_quarantined(POISON));
 
     second.evaluate(START_MS + 5000 + FIRST_QUARANTINE_MS);
-    assert!(!second.recorded.is_held(POISON));
+    assert!(!second.recorded.is_quarantined(POISON));
 }
 
 #[test]
@@ -280,26 +283,26 @@
 #[test]
 fn many_requests_that_are_watched_neither_push_each_other_out_nor_fill_the_log() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
-    let many = 4 * MOST_ROWS as u64;
+    let many = 4 * MAX_ROWS as u64;
     for mark in 0..many {
-        leader.ended(RequestMark(mark), &[1, 2], START_MS);
+        leader.ended(RequestFingerprint(mark), &[1, 2], START_MS);
     }
     for step in 0..400 {
         leader.evaluate(START_MS + step * 25);
     }
-    assert_eq!((leader.recorded.rows().len(), leader.commands), (MOST_ROWS, MOST_ROWS));
+    assert_eq!((leader.recorded.rows().len(), leader.commands), (MAX_ROWS, MAX_ROWS));
 
-    leader.ended(RequestMark(0), &[3], START_MS + 10_000);
+    leader.ended(RequestFingerprint(0), &[3], START_MS + 10_000);
     leader.evaluate(START_MS + 10_000 + settle_ms(VMS));
 
-    assert!(leader.recorded.is_held(RequestMark(0)));
-    assert_eq!(leader.recorded.rows().len(), MOST_ROWS);
+    assert!(leader.recorded.is_quarantined(RequestFingerprint(0)));
+    assert_eq!(leader.recorded.rows().len(), MAX_ROWS);
 }
 
 #[test]
 fn what_is_held_outlives_its_leader_in_the_log_and_in_an_image() {
     let ended = (1..=QUARANTINE_CRASHES as u64).map(UpstreamKey).collect();
-    let row = QuarantineRow { mark: POISON, ended, held: true, times: 1 };
+    let row = QuarantineRow { fingerprint: POISON, ended, quarantined: true, times: 1 };
     let command = FleetCommand::Quarantine(QuarantineCommand::Set(row)).encode();
     let mut record = FleetRecord::default();
     record.apply(&command).unwrap();
@@ -310,14 +313,14 @@
     let mut restored = FleetRecord::default();
     restored.restore(&record.image()).unwrap();
 
-    assert!(restored.quarantine.is_held(POISON));
-    assert_eq!(restored.quarantine.news(changes), None);
+    assert!(restored.quarantine.is_quarantined(POISON));
+    assert_eq!(restored.quarantine.update_since(changes), None);
 }
 
 #[test]
 fn a_request_is_known_by_its_content_and_its_caller_alone() {
     let of = |method, path, workspace, body: &str| {
-        RequestMark::of(method, "a.example", path, workspace, body.as_bytes())
+        RequestFingerprint::of(method, "a.example", path, workspace, body.as_bytes())
     };
     let mark = of("POST", "/x/1", Some("w"), "body");
 
@@ -338,18 +341,18 @@
 /// upstream that crashes, and never completes because they crash before its end.
 #[test]
 fn what_always_runs_beside_a_request_at_fault_is_not_held_for_it() {
-    let stream = RequestMark(8);
+    let stream = RequestFingerprint(8);
     for stream_first in [true, false] {
         let mut leader = Leader::of_term(1, QuarantineTable::default());
         for (at, upstream) in (1..=6).enumerate() {
-            if leader.recorded.is_held(POISON) {
+            if leader.recorded.is_quarantined(POISON) {
                 // No upstream crashes any more.
                 break;
             }
             let at_ms = START_MS + at as u64 * 500;
             let mut report = CrashReport::default();
             for (mark, ran_ms) in [(stream, 900), (POISON, 80)] {
-                let watched = leader.recorded.row(mark).is_some_and(|row| !row.held);
+                let watched = leader.recorded.row(mark).is_some_and(|row| !row.quarantined);
                 let upstream = UpstreamKey(upstream);
                 report.ended.push(CrashNote { number: 1, mark, upstream, watched, ran_ms });
             }
@@ -361,7 +364,7 @@
             leader.evaluate(at_ms + 499);
         }
 
-        assert!(leader.recorded.is_held(POISON));
-        assert!(!leader.recorded.is_held(stream), "stream first: {stream_first}");
+        assert!(leader.recorded.is_quarantined(POISON));
+        assert!(!leader.recorded.is_quarantined(stream), "stream first: {stream_first}");
     }
 }
--- a/lib/tests/test_rollout_lead.rs
+++ b/lib/tests/test_rollout_lead.rs
@@ -67,7 +67,7 @@
         let steps = self.controller.next_steps(&rows, &self.vms, |_| status.clone(), 5000, now_ms);
         let proposed = steps.into_iter().next()?;
         let phase = proposed.step.phase;
-        assert!(self.table.take(RolloutCommand::Step(proposed.step)));
+        assert!(self.table.apply(RolloutCommand::Step(proposed.step)));
         (phase != rows[0].phase).then_some(phase)
     }
 
@@ -257,7 +257,7 @@
     let mut restarted = RolloutController::default();
     let mut recorded = started.clone();
     let record = RolloutStep { spent_ms: 2000, ..step(1, 1, RolloutPhase::Trial) };
-    assert!(recorded.take(RolloutCommand::Step(record)));
+    assert!(recorded.apply(RolloutCommand::Step(record)));
     restarted.observe(recorded.rows(), 500);
     let elapsed_ms = restarted.elapsed_ms("s1", 500).unwrap();
     assert!(
@@ -298,7 +298,7 @@
 fn of_two_services_rolled_out_at_once_the_unsound_one_alone_is_rolled_back() {
     let mut both = table(&[]);
     let second = RolloutOrder { service: "s2".to_string(), ..order(1) };
-    assert!(both.take(RolloutCommand::Start(second)));
+    assert!(both.apply(RolloutCommand::Start(second)));
     let (mut controller, mut tracker) = (RolloutController::default(), RolloutTracker::default());
     controller.observe(&[], 900);
     tracker.take(both.clone(), BOUND, 1);
@@ -321,7 +321,7 @@
         let steps = controller.next_steps(both.rows(), &vms, |_| status.clone(), 5000, now_ms);
         for proposed in steps.into_iter().filter(|proposed| proposed.step.phase.is_end()) {
             ended.push((proposed.step.service.clone(), proposed.step.phase));
-            assert!(both.take(RolloutCommand::Step(proposed.step)));
+            assert!(both.apply(RolloutCommand::Step(proposed.step)));
         }
     }
 
