--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -1,7 +1,7 @@
 //! The leader's detection of requests that crash the upstreams that run them, over all VMs.
 //!
-//! A crashing upstream takes down all its running requests, and one of those may be the cause. Such a
-//! request is found by its repetition: each further upstream that runs it crashes too. So crashed
+//! A crashing upstream takes down all its running requests, and one of those may be the cause. A
+//! harmful request is found by repetition: each further upstream that runs it crashes too. So crashed
 //! upstreams are counted per request, and a request that completes is cleared.
 //!
 //! Many callers may send the same request at once, and a failing rack may take down several upstreams
@@ -18,8 +18,8 @@
 
 use super::crash_outbox::{CrashNote, CrashReport};
 use super::vm_roster::overloaded_renew_ms;
-use crate::state::ids::{RequestMark, UpstreamKey};
-use crate::state::quarantine::{QuarantineCommand, QuarantineRow, QuarantineTable, MOST_ROWS};
+use crate::state::ids::{RequestFingerprint, UpstreamKey};
+use crate::state::quarantine::{QuarantineCommand, QuarantineRow, QuarantineTable, MAX_ROWS};
 
 /// The number of crashed upstreams at which a request is quarantined. With 2, a request that ran twice
 /// beside a harmful one and was sent again would be quarantined; each further crash costs everything
@@ -65,7 +65,7 @@
     last_ms: u64,
     /// Whether an upstream crashed under a send that was made while the request was watched.
     confirmed: bool,
-    /// When enough upstreams had crashed, one of them in a confirmed way.
+    /// When enough upstreams had crashed, one of them under a watched send.
     proven_ms: Option<u64>,
     /// Whether the request completed since its last crash.
     well: bool,
@@ -75,13 +75,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     term: u64,
-    counts: BTreeMap<RequestMark, CrashCount>,
+    counts: BTreeMap<RequestFingerprint, CrashCount>,
     /// Since when this leader has had a recorded row in its state, by the request, whether it is held,
     /// and how many times it was held.
-    rows_since_ms: BTreeMap<(RequestMark, bool, u32), u64>,
+    rows_since_ms: BTreeMap<(RequestFingerprint, bool, u32), u64>,
     /// The last command proposed for each request, and when. A different command for the same request
     /// is proposed without delay.
-    proposed: BTreeMap<RequestMark, (QuarantineCommand, u64)>,
+    proposed: BTreeMap<RequestFingerprint, (QuarantineCommand, u64)>,
 }
 
 /// Returns how long to wait for reports that a request completed in a fleet of `vms` VMs, in
@@ -110,7 +110,7 @@
             self.note_crash(note, recorded, now_ms);
         }
         for mark in &report.well {
-            let watched = recorded.row(*mark).is_some_and(|row| !row.held);
+            let watched = recorded.row(*mark).is_some_and(|row| !row.quarantined);
             if let (true, Some(count)) = (watched, self.count(*mark, recorded, now_ms)) {
                 count.well = true;
             }
@@ -146,7 +146,7 @@
     /// requests are counted, a new count replaces the one whose last crash is the oldest.
     fn count(
         &mut self,
-        mark: RequestMark,
+        mark: RequestFingerprint,
         recorded: &QuarantineTable,
         now_ms: u64,
     ) -> Option<&mut CrashCount> {
@@ -201,18 +201,25 @@
 
     /// Returns the requests to which enough crashed upstreams are attributed and which are not
     /// quarantined yet.
-    fn at_fault(&self, recorded: &QuarantineTable, settled_ms: u64) -> BTreeSet<RequestMark> {
-        let held = recorded.rows().iter().filter(|row| row.held);
-        let counted = |row: &QuarantineRow| self.counts.get(&row.mark).map(|count| &count.ended);
+    fn at_fault(
+        &self,
+        recorded: &QuarantineTable,
+        settled_ms: u64,
+    ) -> BTreeSet<RequestFingerprint> {
+        let held = recorded.rows().iter().filter(|row| row.quarantined);
+        let counted =
+            |row: &QuarantineRow| self.counts.get(&row.fingerprint).map(|count| &count.ended);
         let mut attributed: BTreeSet<UpstreamKey> = held
             .flat_map(|row| row.ended.iter().chain(counted(row).into_iter().flatten()).copied())
             .collect();
-        let suspect = |(mark, count): &(&RequestMark, &CrashCount)| match recorded.row(**mark) {
-            Some(row) if row.held => false,
-            // A request that was quarantined before needs no further wait for completions.
-            Some(row) if row.times > 0 => count.proven_ms.is_some(),
-            _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
-        };
+        let suspect =
+            |(mark, count): &(&RequestFingerprint, &CrashCount)| match recorded.row(**mark) {
+                Some(row) if row.quarantined => false,
+                // A request that was quarantined before is held without a further wait, since its
+                // completions had enough time to be reported.
+                Some(row) if row.times > 0 => count.proven_ms.is_some(),
+                _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
+            };
         let mut suspects: Vec<_> = self.counts.iter().filter(suspect).collect();
         suspects.sort_by_key(|(_, count)| count.ran_ms / count.reports.max(1));
         let mut at_fault = BTreeSet::new();
@@ -231,17 +238,18 @@
     /// then be proposed again.
     fn drop_over_capacity(&self, wanted: &mut Vec<QuarantineCommand>, recorded: &QuarantineTable) {
         let under_way = self.proposed.iter().filter(|(mark, (command, _))| {
-            is_hold(command) && !recorded.is_held(**mark) && !wanted.contains(command)
+            is_hold(command) && !recorded.is_quarantined(**mark) && !wanted.contains(command)
         });
-        let mut holds = MAX_QUARANTINED.saturating_sub(recorded.held() + under_way.count());
-        let mut rows = MOST_ROWS.saturating_sub(recorded.rows().len());
+        let mut holds =
+            MAX_QUARANTINED.saturating_sub(recorded.quarantined_count() + under_way.count());
+        let mut rows = MAX_ROWS.saturating_sub(recorded.rows().len());
         wanted.retain(|command| {
             let QuarantineCommand::Set(row) = command else { return true };
-            let known = recorded.row(row.mark).is_some();
-            let capacity = if row.held { &mut holds } else { &mut rows };
+            let known = recorded.row(row.fingerprint).is_some();
+            let capacity = if row.quarantined { &mut holds } else { &mut rows };
             let free = *capacity > 0;
             *capacity = capacity.saturating_sub(1);
-            free || (known && !row.held)
+            free || (known && !row.quarantined)
         });
     }
 
@@ -249,13 +257,13 @@
     /// leader measures from its first sight of a row, so a change of leaders may extend a quarantine
     /// but never shortens it.
     fn expired(&mut self, recorded: &QuarantineTable, now_ms: u64) -> Vec<QuarantineCommand> {
-        let state = |row: &QuarantineRow| (row.mark, row.held, row.times);
+        let state = |row: &QuarantineRow| (row.fingerprint, row.quarantined, row.times);
         let rows = recorded.rows();
         self.rows_since_ms.retain(|known, _| rows.iter().any(|row| state(row) == *known));
         let mut expired = Vec::new();
         for row in rows {
             let since_ms = *self.rows_since_ms.entry(state(row)).or_insert(now_ms);
-            let keep_ms = match row.held {
+            let keep_ms = match row.quarantined {
                 true => quarantine_ms(row.times),
                 // A request that was quarantined stays watched for as long again.
                 false => COUNT_KEEP_MS.max(quarantine_ms(row.times) * u64::from(row.times.min(1))),
@@ -263,10 +271,10 @@
             if now_ms < since_ms + keep_ms {
                 continue;
             }
-            self.counts.remove(&row.mark);
-            expired.push(match row.held {
+            self.counts.remove(&row.fingerprint);
+            expired.push(match row.quarantined {
                 true => QuarantineCommand::Set(row.released()),
-                false => QuarantineCommand::Clear(row.mark),
+                false => QuarantineCommand::Clear(row.fingerprint),
             });
         }
         expired
@@ -277,11 +285,11 @@
     /// Returns the command that should record this count, if any.
     fn command(
         &self,
-        mark: RequestMark,
+        mark: RequestFingerprint,
         recorded: Option<&QuarantineRow>,
         at_fault: bool,
     ) -> Option<QuarantineCommand> {
-        if recorded.is_some_and(|row| row.held) {
+        if recorded.is_some_and(|row| row.quarantined) {
             return None;
         }
         if self.well {
@@ -290,7 +298,12 @@
         let times = recorded.map_or(0, |row| row.times);
         let row = |held, times| {
             let ended = self.ended.iter().take(QUARANTINE_CRASHES).copied().collect();
-            QuarantineCommand::Set(QuarantineRow { mark, ended, held, times })
+            QuarantineCommand::Set(QuarantineRow {
+                fingerprint: mark,
+                ended,
+                quarantined: held,
+                times,
+            })
         };
         if at_fault {
             return Some(row(true, times + 1));
@@ -301,23 +314,23 @@
 }
 
 impl QuarantineRow {
-    /// Returns the row after the end of its quarantine. It keeps so many crashes that one more starts
+    /// Returns the row after the end of its quarantine. It keeps the number of crashes at which one more starts
     /// the next quarantine.
     fn released(&self) -> QuarantineRow {
         let ended = self.ended.iter().take(WATCH_CRASHES).copied().collect();
-        QuarantineRow { ended, held: false, ..self.clone() }
+        QuarantineRow { ended, quarantined: false, ..self.clone() }
     }
 }
 
 /// Returns whether a command puts a request into quarantine.
 fn is_hold(command: &QuarantineCommand) -> bool {
-    matches!(command, QuarantineCommand::Set(row) if row.held)
+    matches!(command, QuarantineCommand::Set(row) if row.quarantined)
 }
 
 /// Returns the mark of the request that a command is about.
-fn command_mark(command: &QuarantineCommand) -> RequestMark {
+fn command_mark(command: &QuarantineCommand) -> RequestFingerprint {
     match command {
-        QuarantineCommand::Set(row) => row.mark,
+        QuarantineCommand::Set(row) => row.fingerprint,
         QuarantineCommand::Clear(mark) => *mark,
     }
 }
--- a/lib/src/coordination/list_reader.rs
+++ b/lib/src/coordination/list_reader.rs
@@ -78,11 +78,11 @@
     /// leaving upstream must get no requests after `drain_ms`. For a long list the age is at least what
     /// the leader can keep.
     pub fn stale_ms(&self, drain_ms: u64) -> u64 {
-        let kept_to = 2 * self.min_pause_ms() + EXCHANGE_MS;
+        let achievable_ms = 2 * self.min_pause_ms() + EXCHANGE_MS;
         let bound_ms = stale_bound_ms(drain_ms);
         match self.pages <= PAGES_AT_ONCE {
             true => bound_ms,
-            false => bound_ms.max(kept_to),
+            false => bound_ms.max(achievable_ms),
         }
     }
 
@@ -108,15 +108,17 @@
         self.backoff_ms(self.pages, refusals).max(READ_MS)
     }
 
+    /// Returns how long a VM without a leader takes for a number of calls after refusals, in
+    /// milliseconds.
     fn backoff_ms(&self, calls: usize, refusals: u32) -> u64 {
         self.span_ms(calls, LEADERLESS_FRACTION).saturating_mul(1 << refusals.min(MAX_DOUBLINGS))
     }
 
     /// Returns how long a number of calls takes at a fraction of the call limit, in milliseconds. The limit
     /// is taken as at least one call per second.
-    fn span_ms(&self, calls: usize, part: f64) -> u64 {
+    fn span_ms(&self, calls: usize, fraction: f64) -> u64 {
         let rate = if self.calls_per_s >= 1.0 { self.calls_per_s } else { 1.0 };
-        (calls as f64 * 1000.0 / (rate * part)) as u64
+        (calls as f64 * 1000.0 / (rate * fraction)) as u64
     }
 }
 
@@ -130,9 +132,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListStatus {
     /// When a leader answered for the first time, if one did.
-    pub first_heard_ms: Option<u64>,
+    pub first_contact_ms: Option<u64>,
     /// The latest time at which the VM's list is known to have been the platform's; 0 if that is unknown.
-    pub news_ms: u64,
+    pub confirmed_ms: u64,
     /// The age at which the list is too old, in milliseconds; see [`ListCost::stale_ms`].
     pub stale_ms: u64,
     /// Whether the VM has a list.
@@ -143,9 +145,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListAction {
     /// Does nothing, because others send the list.
-    Rest,
+    Wait,
     /// Requests the list from other VMs.
-    Ask,
+    Request,
     /// Reads from the platform, also for the VMs that request the list, and goes on requesting it.
     Read,
 }
@@ -154,25 +156,25 @@
 ///
 /// A VM that has received no answer of a leader since its start never reads: it has no configuration
 /// to serve by, and all other VMs may have started too. A list of unknown age, loaded from disk, is
-/// treated like one that was sent with the leader's first answer. It is safe to use: if an address was
-/// reassigned to another upstream meanwhile, that one refuses requests for the earlier one.
+/// treated like one that was sent with the leader's first answer. It is safe to use: if an address has
+/// been reassigned to another upstream since, that one refuses requests for the earlier one.
 ///
 /// `rank` returns the VM's position in [`reader_order`]. It is called only when the result depends on it.
-pub fn list_action(standing: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
-    let Some(first_heard_ms) = standing.first_heard_ms else {
-        return if standing.has_list { ListAction::Rest } else { ListAction::Ask };
+pub fn list_action(status: &ListStatus, now_ms: u64, rank: impl FnOnce() -> usize) -> ListAction {
+    let Some(first_contact_ms) = status.first_contact_ms else {
+        return if status.has_list { ListAction::Wait } else { ListAction::Request };
     };
-    let (since_ms, stale_ms) = match standing.has_list {
+    let (since_ms, stale_ms) = match status.has_list {
         // A list that just arrived is confirmed with the next answer of the leader.
-        true => (standing.news_ms.max(first_heard_ms), standing.stale_ms),
-        false => (first_heard_ms, NO_LIST_MS),
+        true => (status.confirmed_ms.max(first_contact_ms), status.stale_ms),
+        false => (first_contact_ms, NO_LIST_MS),
     };
     if since_ms + stale_ms >= now_ms {
-        return if standing.has_list { ListAction::Rest } else { ListAction::Ask };
+        return if status.has_list { ListAction::Wait } else { ListAction::Request };
     }
     match since_ms + stale_ms + reader_delay_ms(rank()) < now_ms {
         true => ListAction::Read,
-        false => ListAction::Ask,
+        false => ListAction::Request,
     }
 }
 
@@ -186,8 +188,8 @@
 /// list: it varies the order of the others, and VMs with the same list compute the same order.
 pub fn reader_order(keepers: &[u32], vms: impl Iterator<Item = u32>, term: u64) -> Vec<u32> {
     let mut order: Vec<u32> = vms.chain(keepers.iter().copied()).collect();
-    let place = |id: &u32| (!keepers.contains(id), rendezvous_score(term, u64::from(*id)), *id);
-    order.sort_by_cached_key(place);
+    let sort_key = |id: &u32| (!keepers.contains(id), rendezvous_score(term, u64::from(*id)), *id);
+    order.sort_by_cached_key(sort_key);
     order.dedup();
     order
 }
@@ -201,8 +203,8 @@
     }
     let first = (0..READERS_PER_REQUEST)
         .map(|at| others[(round * READERS_PER_REQUEST + at) % others.len()]);
-    let mut asked: Vec<u32> = first.chain([others[draw % others.len()]]).collect();
-    asked.sort_unstable();
-    asked.dedup();
-    asked
+    let mut targets: Vec<u32> = first.chain([others[draw % others.len()]]).collect();
+    targets.sort_unstable();
+    targets.dedup();
+    targets
 }
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -5,7 +5,7 @@
 
 use super::crash_outbox::{CrashOutbox, CrashReport, ObservedCrash};
 use super::crash_table::CrashTable;
-use crate::state::ids::RequestMark;
+use crate::state::ids::RequestFingerprint;
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 /// A VM's copy of the quarantine table, its reports, and its counts as the leader.
@@ -25,18 +25,18 @@
     }
 
     /// Returns whether a request is quarantined, that is, sent to no upstream.
-    pub fn is_held(&self, mark: RequestMark) -> bool {
-        self.published.is_held(mark)
+    pub fn is_held(&self, mark: RequestFingerprint) -> bool {
+        self.published.is_quarantined(mark)
     }
 
     /// Returns whether VMs should report the completion of a request.
-    pub fn is_watched(&self, mark: RequestMark) -> bool {
-        self.published.row(mark).is_some_and(|row| !row.held)
+    pub fn is_watched(&self, mark: RequestFingerprint) -> bool {
+        self.published.row(mark).is_some_and(|row| !row.quarantined)
     }
 
     /// Returns the number of quarantined requests.
     pub fn held(&self) -> usize {
-        self.published.held()
+        self.published.quarantined_count()
     }
 
     /// Returns the revision of the received table, as its number of changes.
@@ -47,14 +47,24 @@
     /// Notes that an upstream crashed while it ran a request. Returns after how many milliseconds to send
     /// the leader a renewal, so that at most one is sent early per `pause_ms`, or `None` if one is planned
     /// already.
-    pub fn note_crash(&mut self, seen: ObservedCrash, pause_ms: u64, now_ms: u64) -> Option<u64> {
-        self.outbox.note_crash(seen, now_ms);
+    pub fn note_crash(
+        &mut self,
+        observed: ObservedCrash,
+        pause_ms: u64,
+        now_ms: u64,
+    ) -> Option<u64> {
+        self.outbox.note_crash(observed, now_ms);
         self.plan_renewal(pause_ms, now_ms)
     }
 
     /// Notes that a request completed and its upstream still runs. If the request is watched, this is
     /// reported; the result is as for [`Self::note_crash`].
-    pub fn note_completed(&mut self, mark: RequestMark, pause_ms: u64, now_ms: u64) -> Option<u64> {
+    pub fn note_completed(
+        &mut self,
+        mark: RequestFingerprint,
+        pause_ms: u64,
+        now_ms: u64,
+    ) -> Option<u64> {
         if !self.is_watched(mark) {
             return None;
         }
@@ -62,6 +72,7 @@
         self.plan_renewal(pause_ms, now_ms)
     }
 
+    /// Plans an early renewal unless one is planned. Returns the milliseconds until it.
     fn plan_renewal(&mut self, pause_ms: u64, now_ms: u64) -> Option<u64> {
         if self.renewal_ms > now_ms {
             return None;
@@ -81,13 +92,14 @@
     }
 
     /// Takes the table that a leader published. Returns the requests that it newly quarantines.
-    pub fn take(&mut self, table: QuarantineTable) -> Vec<RequestMark> {
+    pub fn take(&mut self, table: QuarantineTable) -> Vec<RequestFingerprint> {
         let before = self.published.clone();
         if !self.published.take_later(table) {
             return Vec::new();
         }
-        let held = self.published.rows().iter().filter(|row| row.held).map(|row| row.mark);
-        held.filter(|mark| !before.is_held(*mark)).collect()
+        let held =
+            self.published.rows().iter().filter(|row| row.quarantined).map(|row| row.fingerprint);
+        held.filter(|mark| !before.is_quarantined(*mark)).collect()
     }
 
     /// Counts what a VM reports, as the leader of `term`.
--- a/lib/src/coordination/replay_views.rs
+++ b/lib/src/coordination/replay_views.rs
@@ -16,6 +16,7 @@
 impl ReplayRun<'_> {
     // ---- views ----
 
+    /// Rebuilds a router's view of the fleet from the statuses and the roster that it received.
     pub(super) fn renew_view(&mut self, router: u32) {
         let view = &mut self.routers[router as usize];
         let live = (0..self.setup.engines)
@@ -26,7 +27,8 @@
         for engine in 0..self.setup.engines {
             let key = engine_key(engine);
             let home = view.roster.home(key) == Some(RouterId(router));
-            let before = view.homes.slot(key).is_some_and(|slot| slot.home_since_epoch.is_some());
+            let before =
+                view.homes.engine_state(key).is_some_and(|slot| slot.home_since_epoch.is_some());
             view.homes.assign(key, FLEET, home, epoch);
             let closed = view.statuses[engine as usize] != TraceStatus::Live;
             view.homes.close(key, closed);
@@ -74,6 +76,7 @@
 
     // ---- caches ----
 
+    /// Caches a chat on an engine and reports it, with the evicted chats, as cache events.
     pub(super) fn store(&mut self, engine: u32, chat: u64, tokens: u32) {
         let at = engine as usize;
         let evicted = self.engines[at].store(chat, tokens, self.setup.cache_tokens);
@@ -83,6 +86,8 @@
         }
     }
 
+    /// Schedules the report of a cache event, unless it is one that gets lost. 0 tokens report an
+    /// eviction.
     pub(super) fn cache_event(&mut self, engine: u32, chat: u64, tokens: u32) {
         let at = engine as usize;
         self.event_numbers[at] += 1;
@@ -95,6 +100,7 @@
         self.after(self.setup.event_lag_ms, event);
     }
 
+    /// Applies a cache event at the engine's home, which notes a gap if earlier events are missing.
     pub(super) fn apply_cache_event(
         &mut self,
         engine: u32,
@@ -127,10 +133,10 @@
         let key = engine_key(engine);
         let actual = &self.engines[engine as usize];
         let view = &mut self.routers[router as usize];
-        if view.homes.slot(key).is_none() {
+        if view.homes.engine_state(key).is_none() {
             return;
         }
-        view.memory.set_life(key, Incarnation(actual.incarnation));
+        view.memory.set_incarnation(key, Incarnation(actual.incarnation));
         let mut held: Vec<(u64, u32)> = actual.cache().collect();
         held.sort_unstable();
         for (chat, tokens) in held {
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -1,7 +1,7 @@
 //! The leader's roster of the VMs in the fleet and of their requests in flight.
 //!
 //! Each VM sends the leader a renewal a few times a second, and the answer contains what
-//! changed among the others: two datagrams per exchange, regardless of the number of VMs. See
+//! changed among the others: two small datagrams per exchange, regardless of the number of VMs. See
 //! `docs/design/platform.md`.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -32,7 +32,7 @@
 
 /// Returns the pause between two searches for a leader by one of `vms` VMs, in milliseconds: 50 ms up to
 /// 100 VMs, and longer in larger fleets, to limit the queries to what the keepers can answer. A new
-/// leader notifies the VMs that it knows.
+/// leader notifies the VMs in its roster.
 pub fn leader_search_pause_ms(vms: usize) -> u64 {
     (vms as u64 * 1000 / LEADER_SEARCHES_PER_S).clamp(LEADER_SEARCH_MS, RENEW_MS)
 }
@@ -187,6 +187,7 @@
         *self = VmRoster::default();
     }
 
+    /// Counts a change of the roster and returns its number.
     fn next_change(&mut self) -> u64 {
         self.change += 1;
         self.change
@@ -220,7 +221,7 @@
     }
 
     /// Returns the update that the leader of `term` should send to a VM with revision `have`.
-    pub fn news(&self, term: u64, have: RosterRevision) -> RosterUpdate {
+    pub fn update_since(&self, term: u64, have: RosterRevision) -> RosterUpdate {
         let mark = RosterRevision { term, change: self.change };
         if have == mark {
             return RosterUpdate { mark, ..RosterUpdate::default() };
@@ -253,27 +254,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct RosterCopy {
     /// The revision of this copy.
-    pub mark: RosterRevision,
+    pub revision: RosterRevision,
     /// The VMs, by address.
     pub rows: Vec<RosterRow>,
 }
 
 impl RosterCopy {
     /// Applies an update if it is newer and either whole or of the same term.
-    pub fn take(&mut self, news: RosterUpdate) {
-        let (own, mark) = (self.mark, news.mark);
+    pub fn take(&mut self, update: RosterUpdate) {
+        let (own, mark) = (self.revision, update.mark);
         let newer = (mark.term, mark.change) > (own.term, own.change);
-        if !newer || !(news.whole || mark.term == own.term) {
+        if !newer || !(update.whole || mark.term == own.term) {
             return;
         }
-        if news.whole {
-            self.rows = news.rows;
+        if update.whole {
+            self.rows = update.rows;
         } else {
-            let listed: Vec<u32> = news.rows.iter().map(|row| row.id).collect();
-            self.rows.retain(|row| !news.gone.contains(&row.id) && !listed.contains(&row.id));
-            self.rows.extend(news.rows);
+            let listed: Vec<u32> = update.rows.iter().map(|row| row.id).collect();
+            self.rows.retain(|row| !update.gone.contains(&row.id) && !listed.contains(&row.id));
+            self.rows.extend(update.rows);
             self.rows.sort_unstable_by_key(|row| row.id);
         }
-        self.mark = news.mark;
+        self.revision = update.mark;
     }
 }
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -369,7 +369,7 @@
         return;
     };
     if let Ok(state) = weight_store::read_state(&reply.body) {
-        let limit = state.most_loads.min(shared.settings.weight_loads);
+        let limit = state.max_loads.min(shared.settings.weight_loads);
         let _ = shared.events.send(KeeperEvent::StoreLimit(limit));
     }
 }
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -16,7 +16,7 @@
 use crate::protocol::keeper_wire::{
     ChatNote, Datagram, KeeperCall, KeeperReply, LeaseGrant, LeaseRenewal, MARKS_PER_DATAGRAM,
 };
-use crate::protocol::vm_list::{list_call, read_list, VmStanding};
+use crate::protocol::vm_list::{list_call, read_list, VmStatus};
 use crate::state::configuration::{read_configuration, Configuration};
 use crate::state::ids::{FleetKey, UpstreamKey};
 use crate::state::roster::{RouterRoster, RouterSession};
@@ -112,7 +112,7 @@
         ControlEvent::Chats(notes) => {
             let mut home_state = lock(&shared.home_state);
             for note in notes {
-                home_state.memory.note(note.chat, note.engine, note.life, note.tokens);
+                home_state.memory.note(note.chat, note.engine, note.incarnation, note.tokens);
             }
         }
         ControlEvent::Leaving(marks) => {
@@ -447,7 +447,7 @@
         tracing::warn!("router: ignored {left_out} malformed entries of the VM list.");
     }
     let view = shared.view();
-    for entry in entries.iter().filter(|entry| entry.state == VmStanding::Leaving) {
+    for entry in entries.iter().filter(|entry| entry.state == VmStatus::Leaving) {
         let found = view.upstreams.iter().find(|(_, info)| info.address == entry.address);
         if let Some((key, _)) = found {
             let incarnation = lock(&shared.home_state).leaving.incarnation(*key);
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -17,13 +17,13 @@
 use crate::coordination::directory::peers;
 use crate::coordination::relay::PieceOrder;
 use crate::protocol::caller::{
-    CallerError, CallerRequest, RanMark, ResumePlace, HOPS_HEADER, RAN_HEADER, UPSTREAM_HEADER,
-    USE_HEADER,
+    CallerError, CallerRequest, RanStatus, ResumePosition, HOPS_HEADER, RAN_HEADER,
+    UPSTREAM_HEADER, USE_HEADER,
 };
 use crate::protocol::http::{find_header, HttpCall, HttpReply};
 use crate::protocol::keeper_wire::{decode, encode};
 use crate::protocol::peer_wire::{
-    ForwardAim, ForwardRequest, FORWARD_PATH, MOST_HOPS, NO_ROOM_CODE,
+    ForwardPurpose, ForwardRequest, FORWARD_PATH, MAX_HOPS, NO_CAPACITY_CODE,
 };
 use crate::protocol::seal::SEAL_HEADER;
 
@@ -38,10 +38,10 @@
     TryElsewhere(CallerError),
 }
 
-fn forward_call(cx: &ServeContext, request: &CallerRequest, purpose: ForwardAim) -> HttpCall {
+fn forward_call(cx: &ServeContext, request: &CallerRequest, purpose: ForwardPurpose) -> HttpCall {
     let hops = cx.hops + 1;
     let forwarded =
-        ForwardRequest { from: cx.shared.id(), hops, aim: purpose, request: request.clone() };
+        ForwardRequest { from: cx.shared.id(), hops, purpose, request: request.clone() };
     let body = encode(&forwarded);
     let seal = cx.shared.maker.header(FORWARD_PATH, &body, wall_ms());
     HttpCall::post(FORWARD_PATH, body).with(SEAL_HEADER, seal)
@@ -54,7 +54,7 @@
     cx: &ServeContext,
     address: SocketAddr,
     request: &CallerRequest,
-    purpose: ForwardAim,
+    purpose: ForwardPurpose,
     sink: &mut AnswerSink<'_>,
 ) -> ForwardEnd {
     let mut request = request.clone();
@@ -69,8 +69,8 @@
         Ok(open) => open,
         Err(failure) => {
             let ran = match failure {
-                CallFailure::NotSent { .. } => RanMark::No,
-                CallFailure::Broken { .. } => RanMark::Unknown,
+                CallFailure::NotSent { .. } => RanStatus::No,
+                CallFailure::Broken { .. } => RanStatus::Unknown,
             };
             let error = CallerError::not_run(503, "peer_failed", failure.to_string());
             return ForwardEnd::TryElsewhere(error.with_ran(ran));
@@ -107,14 +107,14 @@
                 request.request_id
             );
             let error = CallerError::not_run(502, "upstream_failed", message);
-            sink.fail(&error.with_ran(RanMark::Unknown));
+            sink.fail(&error.with_ran(RanStatus::Unknown));
         }
         StreamEnd::Broken(text) => {
             tracing::warn!(
                 "relay: the stream from a peer broke off ({text}); resumes at {upstream}."
             );
             cx.shared.metrics.count("streams.taken_over");
-            let position = ResumePlace { upstream: upstream.to_string(), last: order.last() };
+            let position = ResumePosition { upstream: upstream.to_string(), last: order.last() };
             resume_for_caller(cx, request, &position, sink);
         }
     }
@@ -123,7 +123,7 @@
 /// Handles a peer's reply that is not a stream: a refusal that allows another try, or an answer
 /// that is sent to the caller as a whole.
 fn handle_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
-    let ran = RanMark::of(find_header(&open.headers, RAN_HEADER));
+    let ran = RanStatus::of(find_header(&open.headers, RAN_HEADER));
     let HttpReply { status, headers, body } = match open.whole(MAX_ANSWER_BYTES) {
         Ok(reply) => reply,
         Err(failure) => {
@@ -134,9 +134,9 @@
     let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let code = value.pointer("/error/code").and_then(|code| code.as_str()).unwrap_or("");
     let retryable_codes =
-        [NO_ROOM_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
+        [NO_CAPACITY_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
     let rejected = status == 401 && code.is_empty();
-    if ran == RanMark::No && retryable_codes.contains(&code) || rejected {
+    if ran == RanStatus::No && retryable_codes.contains(&code) || rejected {
         let error = CallerError::not_run(503, code, "The peer did not take the request.");
         return ForwardEnd::TryElsewhere(error.after(1000));
     }
@@ -150,14 +150,14 @@
     request: &CallerRequest,
     sink: &mut AnswerSink<'_>,
 ) {
-    if cx.hops >= MOST_HOPS {
+    if cx.hops >= MAX_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
     cx.shared.metrics.count("requests.passed_on");
     for (_, address) in peers(&cx.view.roster, cx.shared.id(), &cx.shared.settings.zone) {
-        match forward(cx, address, request, ForwardAim::AsEntry, sink) {
+        match forward(cx, address, request, ForwardPurpose::AsEntry, sink) {
             ForwardEnd::Answered => return,
-            ForwardEnd::TryElsewhere(error) if error.ran == RanMark::No => {}
+            ForwardEnd::TryElsewhere(error) if error.ran == RanStatus::No => {}
             ForwardEnd::TryElsewhere(error) => return sink.fail(&error),
         }
     }
@@ -199,7 +199,7 @@
     writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
-    let ForwardRequest { hops, aim: purpose, mut request, .. } = forwarded;
+    let ForwardRequest { hops, purpose, mut request, .. } = forwarded;
     // Between routers an answer is always a stream, so that the sender can detect whether it
     // is complete.
     if let Some(facts) = &mut request.facts {
@@ -210,7 +210,7 @@
     let leased = shared.is_leased();
     let cx = ServeContext { shared: shared.clone(), view: shared.view(), arrived, hops };
     let mut sink = AnswerSink::new(writer, true, &request.request_id, hops);
-    if hops > MOST_HOPS {
+    if hops > MAX_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
     // A draining router with a lease continues to serve as a home until its peers use other homes.
@@ -218,9 +218,9 @@
         return sink.fail(&no_lease_error());
     }
     match purpose {
-        ForwardAim::AsEntry => serve_entry(&cx, &request, &mut sink),
-        ForwardAim::ToChatHome(decision) => serve_at_home(&cx, &request, &decision, &mut sink),
-        ForwardAim::ToEngine { decision, engine, cached_tokens, import_from } => {
+        ForwardPurpose::AsEntry => serve_entry(&cx, &request, &mut sink),
+        ForwardPurpose::ToChatHome(decision) => serve_at_home(&cx, &request, &decision, &mut sink),
+        ForwardPurpose::ToEngine { decision, engine, cached_tokens, import_from } => {
             let target = EngineTarget { engine, cached_tokens, import_from };
             serve_at_engine(&cx, &request, &decision, target, &mut sink);
         }
--- a/lib/src/transport/router_home.rs
+++ b/lib/src/transport/router_home.rs
@@ -135,7 +135,7 @@
     let heavy = home_state.shares.is_heavy(fleet, workspace, slots, now_ms);
     // A workspace that uses more than its share is limited to the bound of the batch class.
     let class = if heavy { RequestClass::Batch } else { class };
-    let max_requests = class.places(entry.requests_per_engine);
+    let max_requests = class.slots(entry.requests_per_engine);
     AdmissionRule { multiple: entry.multiple, max_requests }
 }
 
@@ -235,7 +235,7 @@
         .is_some_and(|queue| queue.has_waiting(placement.decision.class));
     let context = shared.placement_context(&home_state, placement.fleet, info, work);
     let bound = admission_bound(&context.load, context.multiple, work);
-    let holder_state = context.homes.slot(holder.engine);
+    let holder_state = context.homes.engine_state(holder.engine);
     let holder_state = holder_state.filter(|_| holder.home == shared.id() && !ahead);
     let wait = holder_state.and_then(|slot| slot.wait_ms(bound));
     let cached = holder.cached_tokens.min(placement.prompt_tokens());
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -15,8 +15,8 @@
 use super::router_shared::lock;
 use crate::coordination::kv_move::MoveChoice;
 use crate::coordination::placement::PlaceCandidate;
-use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
-use crate::protocol::peer_wire::{ForwardAim, RouteDecision, MOST_HOPS, NO_ROOM_CODE};
+use crate::protocol::caller::{CallerError, CallerRequest, RanStatus};
+use crate::protocol::peer_wire::{ForwardPurpose, RouteDecision, MAX_HOPS, NO_CAPACITY_CODE};
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{FleetKey, UpstreamKey};
 
@@ -116,11 +116,11 @@
     matches!(end, Some(RunEnd::Answered))
 }
 
-fn claim_end_of(ran: RanMark) -> ClaimEnd {
+fn claim_end_of(ran: RanStatus) -> ClaimEnd {
     match ran {
-        RanMark::No => ClaimEnd::NotDispatched,
-        RanMark::Yes => ClaimEnd::Done,
-        RanMark::Unknown => ClaimEnd::Unknown,
+        RanStatus::No => ClaimEnd::NotDispatched,
+        RanStatus::Yes => ClaimEnd::Done,
+        RanStatus::Unknown => ClaimEnd::Unknown,
     }
 }
 
@@ -146,11 +146,11 @@
     sink: &mut AnswerSink<'_>,
 ) -> Option<RunEnd> {
     let session = cx.view.roster.routers.get(&candidate.home)?;
-    if cx.hops >= MOST_HOPS {
+    if cx.hops >= MAX_HOPS {
         return None;
     }
     cx.shared.metrics.count("requests.spilled");
-    let purpose = ForwardAim::ToEngine {
+    let purpose = ForwardPurpose::ToEngine {
         decision: placement.decision.clone(),
         engine: candidate.engine,
         cached_tokens: candidate.cached_tokens,
@@ -169,7 +169,7 @@
             );
             Some(RunEnd::Answered)
         }
-        ForwardEnd::TryElsewhere(error) if error.code == NO_ROOM_CODE => None,
+        ForwardEnd::TryElsewhere(error) if error.code == NO_CAPACITY_CODE => None,
         ForwardEnd::TryElsewhere(error) => Some(RunEnd::TryElsewhere(error)),
     }
 }
@@ -218,7 +218,7 @@
     for place in others.take(MAX_REMOTE_RETRIES) {
         match try_remote(cx, placement, place, sink) {
             Some(RunEnd::Answered) => return true,
-            Some(RunEnd::TryElsewhere(error)) if error.ran != RanMark::No => {
+            Some(RunEnd::TryElsewhere(error)) if error.ran != RanStatus::No => {
                 sink.fail(&error);
                 return true;
             }
@@ -238,7 +238,7 @@
 ) {
     cx.shared.metrics.count("requests.busy");
     if let Some(claim) = held.take() {
-        claim.end(claim_end_of(RanMark::No));
+        claim.end(claim_end_of(RanStatus::No));
     }
     sink.fail(&busy_error(retry_after_ms));
 }
@@ -282,7 +282,7 @@
     let import_from = target.import_from;
     let placement =
         PlacementRequest { request, decision, chat: chat_key(request), fleet, import_from };
-    let no_capacity = CallerError::not_run(503, NO_ROOM_CODE, "The engine has no room.");
+    let no_capacity = CallerError::not_run(503, NO_CAPACITY_CODE, "The engine has no room.");
     let slot = admit(&cx.shared, &cx.view, &placement, target.engine, target.cached_tokens);
     let Ok(slot) = slot else { return sink.fail(&no_capacity) };
     serve_on_slot(cx, &placement, &slot, &mut None, sink);
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -12,7 +12,7 @@
 use crate::coordination::plain_choice::choose_by_own_load;
 use crate::coordination::retry::may_retry;
 use crate::coordination::upstream_candidate::{ChoiceError, UpstreamCandidate};
-use crate::protocol::caller::{CallerError, CallerRequest, RanMark};
+use crate::protocol::caller::{CallerError, CallerRequest, RanStatus};
 use crate::protocol::http::HttpReply;
 use crate::protocol::peer_wire::RouteDecision;
 use crate::protocol::plain;
@@ -74,7 +74,7 @@
             PlainEnd::Unknown(text) => {
                 let message = format!("The upstream failed before its answer was whole ({text}).");
                 let error = CallerError::not_run(502, "upstream_failed", message);
-                last = error.with_ran(RanMark::Unknown);
+                last = error.with_ran(RanStatus::Unknown);
                 end = ClaimEnd::Unknown;
                 if !may_retry(true, repeatable, false) {
                     break;
@@ -162,7 +162,7 @@
             let times = CallTimes { connect: Duration::from_millis(1000), read };
             let reply = shared.client.call(info.address, &call, times, MAX_ANSWER_BYTES, "plain");
             match reply {
-                Ok(reply) if plain::says_not_run(&reply.headers) => {
+                Ok(reply) if plain::was_not_run(&reply.headers) => {
                     let text = format!("status {}", reply.status);
                     match record_backoff(shared, upstream, &reply) {
                         true => PlainEnd::BackingOff(text),
@@ -172,7 +172,7 @@
                 Ok(reply) => {
                     record_backoff(shared, upstream, &reply);
                     sink.set_upstream(&info.name);
-                    sink.send_reply(reply, RanMark::Yes);
+                    sink.send_reply(reply, RanStatus::Yes);
                     PlainEnd::Answered
                 }
                 Err(CallFailure::NotSent { text }) => PlainEnd::NotRun(text),
@@ -199,7 +199,7 @@
 
 /// Records the back-off that an upstream requested; returns false when it requested none.
 fn record_backoff(shared: &RouterShared, upstream: UpstreamKey, reply: &HttpReply) -> bool {
-    let Some(backoff_ms) = plain::asked_rest(reply) else { return false };
+    let Some(backoff_ms) = plain::requested_backoff_ms(reply) else { return false };
     lock(&shared.home_state).notices.note_backoff(upstream, backoff_ms, shared.clock.next_ms());
     true
 }
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -371,7 +371,7 @@
             home_state.chat_notes.entry(home).or_default().push(ChatNote {
                 chat,
                 engine,
-                life: incarnation,
+                incarnation,
                 tokens,
             });
         }
@@ -404,7 +404,7 @@
             let mut home_state = lock(&self.home_state);
             let was_leaving = home_state.leaving.is_leaving(upstream);
             if home_state.leaving.incarnation(upstream) < incarnation {
-                home_state.memory.set_life(upstream, incarnation);
+                home_state.memory.set_incarnation(upstream, incarnation);
                 home_state.events_seen.remove(&upstream);
                 home_state.notices.forget(upstream);
             }
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -16,7 +16,7 @@
 use super::vm_pool::ConnectFault;
 use super::vm_task::CallerTask;
 use crate::coordination::crash_outbox::ObservedCrash;
-use crate::state::ids::{RequestMark, UpstreamKey};
+use crate::state::ids::{RequestFingerprint, UpstreamKey};
 
 /// The delays after which an upstream that still accepts connections is checked again. A process that ends
 /// closes its connections and its listener one after the other, so that the first check may come too early. A
@@ -36,10 +36,10 @@
 impl CallerTask {
     /// The hash of the request's content, by which it is quarantined; `workspace` is the one whose key the
     /// caller sent.
-    pub(super) fn mark(&self, workspace: Option<&str>) -> RequestMark {
+    pub(super) fn mark(&self, workspace: Option<&str>) -> RequestFingerprint {
         let path = self.head.uri.path_and_query().map_or("/", |path| path.as_str());
         let (method, host) = (self.head.method.as_str(), self.caller.host.as_str());
-        *self.mark.get_or_init(|| RequestMark::of(method, host, path, workspace, &self.body))
+        *self.mark.get_or_init(|| RequestFingerprint::of(method, host, path, workspace, &self.body))
     }
 
     /// Whether the request is quarantined: upstreams ended so often while running it that it is no longer
@@ -75,7 +75,7 @@
         let broken = BrokenSend {
             seen,
             address: target.address,
-            life: target.send.life.clone(),
+            life: target.send.name.clone(),
             attempt: self.caller.attempt.clone(),
         };
         spawn_local(self.node.clone().confirm_crash(broken));
@@ -90,7 +90,7 @@
             return;
         }
         self.outliers.borrow_mut().note_gone(seen.upstream);
-        self.figures.borrow_mut().ended_under += 1;
+        self.figures.borrow_mut().crashes += 1;
         self.report_crash(seen);
         info!(
             target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -12,7 +12,7 @@
 use crate::coordination::vm_roster::overloaded_renew_ms;
 use crate::protocol::vm_wire::VmDatagram;
 use crate::state::fleet_record::FleetCommand;
-use crate::state::ids::RequestMark;
+use crate::state::ids::RequestFingerprint;
 use crate::state::quarantine::{QuarantineCommand, QuarantineTable};
 
 impl VmNode {
@@ -26,7 +26,7 @@
 
     /// Reports to the leader that a request ran to its end without ending its upstream, if the request is
     /// watched.
-    pub(super) fn report_completed(self: &Rc<Self>, mark: RequestMark) {
+    pub(super) fn report_completed(self: &Rc<Self>, mark: RequestFingerprint) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
         let mut desk = self.quarantine.borrow_mut();
         self.renew_after(desk.note_completed(mark, pause_ms, now_ms));
@@ -65,7 +65,7 @@
             let own = desk.take_report(now_ms);
             desk.count_report(term, &own, recorded, now_ms);
             desk.confirm(term, own.last());
-            recorded.news(desk.changes())
+            recorded.update_since(desk.changes())
         };
         news.into_iter().for_each(|table| self.apply_quarantine(table));
     }
@@ -89,8 +89,8 @@
         for command in wanted {
             match &command {
                 QuarantineCommand::Set(row) => info!(
-                    target: "quarantine", request = %row.mark, held = row.held, times = row.times,
-                    ended = row.ended.len(), "quarantine decided",
+                    target: "quarantine", request = %row.fingerprint, held = row.quarantined, times = row.times,
+                    ended = row.ended.len(), "decides",
                 ),
                 QuarantineCommand::Clear(mark) => {
                     info!(target: "quarantine", request = %mark, "quarantine cleared");
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -25,7 +25,8 @@
 enum RelayEnd {
     /// The body is complete.
     Complete,
-    /// The body broke off, or it ended at a point where the stream can't be complete.
+    /// The body broke off or ended where it can't be complete, its upstream is unresponsive, or an event is
+    /// too long.
     Broken,
     /// The deadline has passed.
     TimedOut,
@@ -150,7 +151,7 @@
     }
 
     /// Sends the request to another upstream, to continue the stream after the event `after`; `None` if no
-    /// upstream, time or retry is left.
+    /// upstream, time or retry is left, or the route doesn't allow it any more.
     async fn resume(
         &self,
         after: Option<String>,
@@ -167,7 +168,7 @@
             let service = pick_share(&rule.shares, self.draw)?;
             let entry = &routes.table.services[service];
             let left = deadline_ms.saturating_sub(self.node.now_ms());
-            if count.sent >= rule.most_upstreams || left < MIN_REMAINING_MS {
+            if count.sent >= rule.max_upstreams || left < MIN_REMAINING_MS {
                 return None;
             }
             // A stream that has begun is resumed regardless of the capacity that is left.
@@ -271,7 +272,7 @@
         self.node.figures.borrow_mut().note_body_end(framing, end);
         if end != BodyEnd::Boundary {
             info!(
-                target: "upstream", life = target.send.life, attempt = self.caller.attempt,
+                target: "upstream", life = target.send.name, attempt = self.caller.attempt,
                 framing = framing.name(), end = end.name(), "stream ended",
             );
         }
@@ -280,7 +281,7 @@
     /// Logs a body that its connection broke off.
     fn log_broken_body(&self, target: &SendTarget, tracker: &BodyTracker, error: &hyper::Error) {
         info!(
-            target: "upstream", life = target.send.life, attempt = self.caller.attempt,
+            target: "upstream", life = target.send.name, attempt = self.caller.attempt,
             framing = tracker.framing().name(), end = tracker.end().name(), %error, "stream broke off",
         );
     }
