--- a/lib/src/transport/http_server.rs
+++ b/lib/src/transport/http_server.rs
@@ -96,31 +96,31 @@
 }
 
 impl ResponseWriter {
-    fn part(&mut self, part: ResponsePart) -> io::Result<()> {
+    fn send_part(&mut self, part: ResponsePart) -> io::Result<()> {
         self.parts.send(part).map_err(|_| io::ErrorKind::BrokenPipe.into())
     }
 
     /// Sends a whole answer.
     pub fn send(&mut self, reply: &HttpReply) -> io::Result<()> {
-        self.part(ResponsePart::Whole(reply.clone()))
+        self.send_part(ResponsePart::Whole(reply.clone()))
     }
 
     /// Sends the head of a stream.
     pub fn begin(&mut self, status: u16, headers: &[(String, String)]) -> io::Result<()> {
-        self.part(ResponsePart::Begin(status, headers.to_vec()))
+        self.send_part(ResponsePart::Begin(status, headers.to_vec()))
     }
 
     /// Sends a chunk at once. Blocks while the caller doesn't read.
     pub fn chunk(&mut self, bytes: &[u8]) -> io::Result<()> {
         match bytes.is_empty() {
             true => Ok(()),
-            false => self.part(ResponsePart::Chunk(bytes.to_vec())),
+            false => self.send_part(ResponsePart::Chunk(bytes.to_vec())),
         }
     }
 
     /// Ends a stream cleanly.
     pub fn finish(&mut self) -> io::Result<()> {
-        self.part(ResponsePart::Finish)
+        self.send_part(ResponsePart::Finish)
     }
 }
 
@@ -188,6 +188,7 @@
     }
 }
 
+/// The loop that accepts connections, with what the threads of connections share.
 struct AcceptLoop {
     connections: WorkerPool,
     handlers: WorkerPool,
@@ -201,7 +202,7 @@
     fn run(self: &Arc<Self>, listener: &TcpListener) {
         while !self.stop.load(Ordering::Relaxed) {
             match listener.accept() {
-                Ok((stream, peer)) => self.serve_connection(stream, peer),
+                Ok((stream, peer)) => self.start_connection(stream, peer),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => {
                     tracing::warn!("http: cannot accept: {error}.");
@@ -211,7 +212,8 @@
         }
     }
 
-    fn serve_connection(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr) {
+    /// Sets the timeouts of a connection and starts serving it on a worker.
+    fn start_connection(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr) {
         let timeout = Some(self.limits.read_timeout);
         let prepared = stream
             .set_read_timeout(timeout)
@@ -226,6 +228,7 @@
         let _ = self.connections.run(Box::new(move || this.serve(stream, peer)));
     }
 
+    /// Serves the requests of one connection until it ends.
     fn serve(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr) {
         let Ok(socket_handle) = stream.try_clone() else { return };
         let socket_handle = Arc::new(socket_handle);
@@ -248,6 +251,7 @@
         drive_connection(connection, &socket_handle, self.limits.read_timeout);
     }
 
+    /// Reads a request, runs its handler on a worker, and returns the start of the answer.
     async fn answer(
         self: &Arc<Self>,
         request: Request<Incoming>,
--- a/lib/src/transport/keeper_client.rs
+++ b/lib/src/transport/keeper_client.rs
@@ -128,6 +128,8 @@
         }
     }
 
+    /// Moves to the leader that a keeper named, or after a pause to the next keeper if it named
+    /// none.
     fn note_leader_hint(
         &self,
         at: usize,
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -247,6 +247,7 @@
         }
     }
 
+    /// Handles the end of a disk job: messages and answers that depended on it are released.
     fn handle_disk_report(&mut self, report: Option<DiskReport>) -> Result<(), LoopFailure> {
         let now_ms = self.clock.now_ms();
         match report {
@@ -313,6 +314,7 @@
         true
     }
 
+    /// Answers a call, or proposes the operation that it requests.
     fn handle_call(
         &mut self,
         call: KeeperCall,
@@ -354,6 +356,7 @@
         self.propose(KeeperOperation::Claim(claims), waiter, output);
     }
 
+    /// Proposes an operation for the log; `waiter` is answered when it is committed.
     fn propose(&mut self, operation: KeeperOperation, waiter: Waiter, output: &mut RaftOutput) {
         let at_ms = wall_ms().max(self.machine.now_ms);
         let command = KeeperCommand { at_ms, operation };
@@ -452,6 +455,7 @@
         self.send_orders(now_ms);
     }
 
+    /// Proposes to end the sessions of routers whose renewals have stopped.
     fn lapse_sessions(&mut self, now_ms: u64, output: &mut RaftOutput) {
         for (id, incarnation) in self.sessions.lapsed(&self.machine.roster, now_ms) {
             if self.lapsing.insert((id, incarnation)) {
@@ -462,6 +466,8 @@
         }
     }
 
+    /// Records a router's renewal and answers it with a grant, if this keeper has the leader's
+    /// lease.
     fn handle_renewal(&mut self, from: SocketAddr, renewal: LeaseRenewal, now_ms: u64) {
         if !self.core().has_lease(now_ms) {
             return;
@@ -499,6 +505,7 @@
         self.outputs.port.send(from, &Datagram::Grant(grant));
     }
 
+    /// Sends the orders that are due to their upstreams.
     fn send_orders(&mut self, now_ms: u64) {
         let Some((_, leads_since_ms)) = self.leading_since else { return };
         let loads_running = self.orders_in_flight.values().filter(|loads| **loads).count();
@@ -517,6 +524,7 @@
         }
     }
 
+    /// Proposes the final state of an order that was sent, or plans to send it again.
     fn end_order(
         &mut self,
         number: u64,
@@ -535,6 +543,7 @@
 
     // ---- results of a step ----
 
+    /// Installs a snapshot, starts the next disk job, sends messages and applies committed entries.
     fn process_outcome(&mut self, outcome: DurableOutcome) -> Result<(), LoopFailure> {
         if let Some(snapshot) = outcome.installed {
             let machine = KeeperMachine::from_image(&snapshot.image);
@@ -547,12 +556,14 @@
         Ok(())
     }
 
+    /// Hands a job to the disk thread.
     fn submit(&mut self, job: Option<DiskJob>) -> Result<(), LoopFailure> {
         let Some(job) = job else { return Ok(()) };
         let ended = |_| LoopFailure::Disk { text: "the disk thread has ended".to_string() };
         self.disk.jobs.send(job).map_err(ended)
     }
 
+    /// Sends consensus messages, by datagram where they fit.
     fn send(&self, messages: Vec<(KeeperId, RaftMessage)>) {
         for (to, message) in messages {
             let member = self.core().membership().members.get(&to);
@@ -570,6 +581,7 @@
         }
     }
 
+    /// Applies committed entries and answers the callers that wait for them.
     fn apply(&mut self, committed: Vec<LogEntry>) {
         let before = (self.machine.configuration.version, self.machine.roster.epoch);
         for entry in committed {
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -243,6 +243,8 @@
     receiver.recv_timeout(REPLY_TIMEOUT).ok()
 }
 
+/// Starts the thread of the loop. When the loop ends, it sets `stop` and stores the failure, if
+/// any.
 fn spawn_loop(
     keeper: KeeperLoop,
     receiver: crossbeam::channel::Receiver<KeeperEvent>,
@@ -271,6 +273,7 @@
     thread.expect("a thread can be spawned at startup")
 }
 
+/// Starts the thread that passes datagrams to the loop as events.
 fn receive_datagrams(
     port: &DatagramPort,
     events: &Sender<KeeperEvent>,
@@ -319,6 +322,7 @@
     })
 }
 
+/// Returns a sender of orders that runs each order on a worker and reports its end to the loop.
 fn order_sender(
     events: Sender<KeeperEvent>,
     http: HttpClient,
@@ -361,6 +365,8 @@
     })
 }
 
+/// Requests how many loads the weight store takes at once, and passes the number to the loop,
+/// bounded by the configured limit.
 fn request_store_limit(shared: &KeeperShared) {
     let Some(address) = shared.settings.weight_store else { return };
     let http = HttpClient::default();
--- a/lib/src/transport/keeper_operator.rs
+++ b/lib/src/transport/keeper_operator.rs
@@ -95,11 +95,13 @@
     }
 }
 
+/// Reads the JSON body of a call.
 fn body_of<T: DeserializeOwned>(call: &HttpCall) -> Result<T, HttpReply> {
     serde_json::from_slice(&call.body)
         .map_err(|error| failure(400, "bad_request", &format!("The body: {error}.")))
 }
 
+/// Proposes an operation and waits for its answer.
 fn operate(shared: &KeeperShared, operation: KeeperOperation) -> Result<KeeperAnswer, HttpReply> {
     wait(shared, |sender| KeeperEvent::Operate(operation, sender))
 }
@@ -142,6 +144,7 @@
     failure(status, code, text)
 }
 
+/// Checks a change of the configuration and proposes it.
 fn change_reply(shared: &KeeperShared, call: &HttpCall, operator: String) -> HttpReply {
     let submitted: SubmittedChange = match body_of(call) {
         Ok(submitted) => submitted,
@@ -170,6 +173,7 @@
     }
 }
 
+/// Proposes an order to an upstream.
 fn order_reply(shared: &KeeperShared, call: &HttpCall, configuration: &Configuration) -> HttpReply {
     let submitted: SubmittedOrder = match body_of(call) {
         Ok(submitted) => submitted,
@@ -202,6 +206,7 @@
     }
 }
 
+/// Carries out one step of a change of the group's members.
 fn member_reply(shared: &KeeperShared, call: &HttpCall) -> HttpReply {
     let step: MemberStep = match body_of(call) {
         Ok(step) => step,
--- a/lib/src/transport/router_claims.rs
+++ b/lib/src/transport/router_claims.rs
@@ -108,6 +108,7 @@
     Err(refused)
 }
 
+/// Returns the error for a request that an earlier attempt has claimed.
 fn taken_error(state: ClaimState) -> CallerError {
     let (text, ran) = match state {
         ClaimState::Running => ("This request is running elsewhere.", RanStatus::Unknown),
@@ -134,6 +135,8 @@
     }
 }
 
+/// Sends a batch and delivers the answers to the requests that wait for them. Without an answer the
+/// reports are queued again, and the waiting requests receive `None`.
 fn send_batch(shared: &Arc<RouterShared>, batch: ClaimBatch) {
     let requests: Vec<ClaimRequest> = batch.claims.iter().map(|(_, claim)| *claim).collect();
     let fits_datagram =
@@ -186,6 +189,7 @@
     answers
 }
 
+/// Sends a batch by HTTP.
 fn send_http(
     shared: &Arc<RouterShared>,
     claims: Vec<ClaimRequest>,
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -123,6 +123,7 @@
 
 // ---- session and lease ----
 
+/// Joins the roster, or renews the session there; returns whether a leader accepted it.
 fn join(shared: &Arc<RouterShared>) -> bool {
     let session = RouterSession {
         incarnation: shared.incarnation,
@@ -139,6 +140,8 @@
     }
 }
 
+/// Sends a lease renewal with this router's loads and the incarnations that recently began to
+/// leave.
 fn send_renewal(shared: &Arc<RouterShared>, times: &mut ControlSchedule, now_ms: u64) {
     let (version, epoch) = applied_versions(shared);
     let view = shared.view();
@@ -171,11 +174,13 @@
     }
 }
 
+/// Returns the version of the configuration and the epoch of the roster that are applied here.
 fn applied_versions(shared: &RouterShared) -> (u64, u64) {
     let version = lock(&shared.lease).applied_version().unwrap_or(0);
     (version, shared.view().roster.epoch)
 }
 
+/// Applies a lease grant. A leader that does not have this router's session makes it join again.
 fn apply_grant(
     shared: &Arc<RouterShared>,
     from: SocketAddr,
@@ -223,6 +228,7 @@
     all.find_map(|address| shared.keepers.call(address, call).ok()).ok_or(())
 }
 
+/// Fetches the changes of the configuration after version `applied` and applies them.
 fn fetch_changes(shared: &Arc<RouterShared>, applied: Option<u64>) {
     let Ok(reply) = call_any(shared, &KeeperCall::Changes(applied.unwrap_or(0))) else { return };
     let mut configuration = shared.view().configuration.clone();
@@ -336,6 +342,7 @@
 
 // ---- engines and the VM list ----
 
+/// Starts a request for the state of each engine of this home that is due.
 fn poll_engines(
     shared: &Arc<RouterShared>,
     pool: &WorkerPool,
@@ -358,6 +365,7 @@
     }
 }
 
+/// Requests the state of an engine, and records its incarnation, its load and its cache events.
 fn poll_engine(shared: &Arc<RouterShared>, engine: UpstreamKey) {
     let view = shared.view();
     let Some(info) = view.upstreams.get(&engine) else { return };
@@ -436,6 +444,7 @@
     let _ = pool.run(Box::new(move || read_vm_list(&shared, address)));
 }
 
+/// Reads the VM list and records the upstreams that it lists as leaving.
 fn read_vm_list(shared: &Arc<RouterShared>, address: SocketAddr) {
     let times = CallTimes::of_ms(1000);
     let reply = shared.client.call(address, &list_call(), times, MAX_STATE_BYTES, "vm-list");
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -291,6 +291,7 @@
         RunEnd::Answered
     }
 
+    /// Returns the error for a request that the engine did not run.
     fn not_run(&self, text: &str) -> CallerError {
         let message = format!("The engine did not take the request ({text}).");
         CallerError::not_run(503, REFUSED_CODE, message).after(1000)
@@ -346,6 +347,7 @@
     }
 }
 
+/// Ends the claim that is held, if there is one.
 fn end_claim(held: &mut Option<HeldClaim>, end: ClaimEnd) {
     if let Some(claim) = held.take() {
         claim.end(end);
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -38,6 +38,7 @@
     TryElsewhere(CallerError),
 }
 
+/// Makes the sealed HTTP call that forwards a request to a peer.
 fn forward_call(cx: &ServeContext, request: &CallerRequest, purpose: ForwardPurpose) -> HttpCall {
     let hops = cx.hops + 1;
     let forwarded =
@@ -193,6 +194,7 @@
     serve_forwarded(shared, forwarded, writer, arrived);
 }
 
+/// Serves a forwarded request for the purpose for which the peer sent it.
 fn serve_forwarded(
     shared: &Arc<RouterShared>,
     forwarded: ForwardRequest,
--- a/lib/src/transport/router_place.rs
+++ b/lib/src/transport/router_place.rs
@@ -51,10 +51,10 @@
     lock(&cx.shared.home_state).retries.earn();
     let mut held: Option<HeldClaim> = None;
     let mut spent = None;
-    let places = candidates(&cx.shared, &cx.view, &placement);
-    let holder = places.first().filter(|place| place.cached_tokens > 0);
+    let ranked = candidates(&cx.shared, &cx.view, &placement);
+    let holder = ranked.first().filter(|candidate| candidate.cached_tokens > 0);
     let mut plan = MoveChoice::Recompute;
-    for candidate in &places {
+    for candidate in &ranked {
         let import = plan == MoveChoice::Import && candidate.cached_tokens == 0;
         let import_from = holder.filter(|_| import).map(|holder| holder.engine);
         let placement = PlacementRequest { import_from, ..placement };
@@ -116,6 +116,7 @@
     matches!(end, Some(RunEnd::Answered))
 }
 
+/// Returns how a claim ends when the last try has this status.
 fn claim_end_of(ran: RanStatus) -> ClaimEnd {
     match ran {
         RanStatus::No => ClaimEnd::NotDispatched,
@@ -213,10 +214,10 @@
     placement: &PlacementRequest<'_>,
     sink: &mut AnswerSink<'_>,
 ) -> bool {
-    let places = candidates(&cx.shared, &cx.view, placement);
-    let others = places.iter().filter(|place| place.home != cx.shared.id());
-    for place in others.take(MAX_REMOTE_RETRIES) {
-        match try_remote(cx, placement, place, sink) {
+    let ranked = candidates(&cx.shared, &cx.view, placement);
+    let others = ranked.iter().filter(|candidate| candidate.home != cx.shared.id());
+    for candidate in others.take(MAX_REMOTE_RETRIES) {
+        match try_remote(cx, placement, candidate, sink) {
             Some(RunEnd::Answered) => return true,
             Some(RunEnd::TryElsewhere(error)) if error.ran != RanStatus::No => {
                 sink.fail(&error);
--- a/lib/src/transport/router_plain.rs
+++ b/lib/src/transport/router_plain.rs
@@ -147,6 +147,7 @@
     staying.map(candidate).collect()
 }
 
+/// Sends a request to one upstream, and records the result for its health.
 fn call_plain(
     shared: &Arc<RouterShared>,
     view: &RouterView,
--- a/lib/src/transport/router_relay.rs
+++ b/lib/src/transport/router_relay.rs
@@ -81,6 +81,7 @@
         self.text.clear();
     }
 
+    /// Returns the headers that each answer has.
     fn headers(&self, ran: RanStatus, kind: &str) -> Vec<(String, String)> {
         let mut headers = vec![
             ("content-type".to_string(), kind.to_string()),
@@ -97,6 +98,7 @@
         headers
     }
 
+    /// Sends the head of a stream, unless it was sent before.
     fn begin(&mut self) -> Result<(), CallerGone> {
         if self.begun {
             return Ok(());
@@ -237,6 +239,7 @@
     }
 }
 
+/// Reads the next event of a stream; returns `None` at the end of the body.
 fn next_event(
     reader: &mut impl BufRead,
     events: &mut SseReader,
--- a/lib/src/transport/router_serve.rs
+++ b/lib/src/transport/router_serve.rs
@@ -124,6 +124,7 @@
     }
 }
 
+/// Checks the key of a workspace in constant time.
 fn check_key(
     view: &RouterView,
     workspace: &str,
@@ -244,6 +245,7 @@
     }
 }
 
+/// Serves a request whose route is decided: a plain request from here, a chat request at its home.
 fn serve_decided(
     cx: &ServeContext,
     request: &CallerRequest,
--- a/lib/src/transport/seen.rs
+++ b/lib/src/transport/seen.rs
@@ -61,6 +61,7 @@
     pub max_us: u64,
 }
 
+/// The class, the workspace and the phase of a histogram.
 type HistogramKey = (RequestClass, String, RequestPhase);
 
 /// Histograms and counters of one router.
--- a/lib/tests/test_promises.rs
+++ b/lib/tests/test_promises.rs
@@ -244,10 +244,10 @@
         let call = plain_call("w0", "k0", id, "plain", "POST", "/x");
         send(&system.client, router, &call, None)
     };
-    let request_backoff = |at: usize, rest_s: u64| {
+    let request_backoff = |at: usize, backoff_s: u64| {
         let faults = system.plains[at].as_ref().unwrap().faults();
         faults.refuse.store(true, Ordering::Relaxed);
-        faults.rest_s.store(rest_s, Ordering::Relaxed);
+        faults.rest_s.store(backoff_s, Ordering::Relaxed);
     };
     let refused = || -> Vec<u64> { system.plains.iter().flatten().map(|p| p.refused()).collect() };
 
