--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -1,4 +1,4 @@
-//! `wingshed bench`: the measurements behind the design notes, each by one command.
+//! `wingshed bench`: the measurements behind the design notes, one subcommand each.
 
 use argh::FromArgs;
 
@@ -7,20 +7,21 @@
     bench_classes, bench_control, bench_decision, bench_keeper, bench_relay, bench_rollout_cost,
 };
 
-/// measure: decision, relay, streams, keeper, control, classes, rollouts, rollout-cost or memory
+/// run a measurement: decision, relay, streams, keeper, control, classes, rollouts, rollout-cost or
+/// memory
 #[derive(FromArgs)]
 #[argh(subcommand, name = "bench")]
 pub struct BenchCommand {
-    /// which measurement
+    /// the measurement to run
     #[argh(positional)]
     what: String,
-    /// rollouts: orders of each case
+    /// rollouts: how many orders to simulate for each case
     #[argh(option)]
     seeds: Option<u64>,
-    /// rollouts: requests a second, only these
+    /// rollouts: simulate only this number of requests per second
     #[argh(option)]
     rate: Option<u64>,
-    /// rollouts: the time of an order, only this
+    /// rollouts: simulate only orders of this duration
     #[argh(option)]
     seconds: Option<u64>,
 }
--- a/cli/src/bench_classes.rs
+++ b/cli/src/bench_classes.rs
@@ -1,4 +1,5 @@
-//! What teasers and quiet workspaces feel of digests, surges and slow engines beside them.
+//! Measures how digests, surges and slow engines affect the latency of teasers and quiet
+//! workspaces.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -10,12 +11,16 @@
 use crate::bench_decision::percentile;
 use crate::table::to_text;
 
+/// How long the watched callers run.
 const RUN: Duration = Duration::from_secs(10);
+/// The number of callers whose latency is measured.
 const WATCHED_CALLERS: usize = 12;
+/// The number of callers that make the disturbing load.
 const OTHER_CALLERS: usize = 60;
+/// The delay that a slow engine adds to each piece, in milliseconds.
 const SLOW_MS: u64 = 20;
 
-/// One kind of caller.
+/// The requests of one kind of caller, and the pause between them.
 #[derive(Clone, Copy)]
 struct CallerKind {
     workspace: usize,
@@ -42,7 +47,8 @@
 const EVERYDAY: CallerKind = CallerKind { service: "chat", ..TEASER };
 const SURGE: CallerKind = CallerKind { workspace: 2, pause: Duration::ZERO, ..EVERYDAY };
 
-/// Prints first token and gaps of the watched callers, with and without each disturbance.
+/// Prints the time to the first token and the gaps between pieces of the watched callers, with and
+/// without each disturbance.
 pub fn classes() -> Result<(), String> {
     let rows: [(&str, CallerKind, Option<CallerKind>, bool); 6] = [
         ("teasers alone", TEASER, None, false),
@@ -84,6 +90,8 @@
     Ok(())
 }
 
+/// Runs the other callers, if any, and half a second later the watched callers. Returns the answers
+/// of the watched and of the other callers.
 fn run_callers(
     system: &SystemStandIn,
     watched: CallerKind,
@@ -110,6 +118,7 @@
     })
 }
 
+/// Sends requests one after another until `stop` is set, and returns their answers.
 fn call_until(
     system: &SystemStandIn,
     kind: CallerKind,
--- a/cli/src/bench_control.rs
+++ b/cli/src/bench_control.rs
@@ -1,4 +1,5 @@
-//! Control traffic, counted by the transport, at growing numbers of routers and engines.
+//! Measures control traffic, as the transport counts it, for growing numbers of routers and
+//! engines.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,11 +11,12 @@
 use crate::process::thread_seconds;
 use crate::table::to_text;
 
+/// How long traffic is counted for each number of routers.
 const RUN: Duration = Duration::from_secs(4);
-/// Requests and answers themselves; all else is control.
+/// The kinds of traffic that are requests and answers. All other kinds are control traffic.
 const DATA: [&str; 4] = ["engine", "plain", "forward", "caller"];
 
-/// Prints bytes a second for each router and kind.
+/// Prints the bytes per second and router, and the largest kinds.
 pub fn control() -> Result<(), String> {
     let mut rows = Vec::new();
     for (routers, engines, loaded) in [
@@ -86,11 +88,12 @@
         "keeper loops, all 3",
         "largest kinds, both ways",
     ];
-    println!("Control bytes for each router, packets' heads included by estimate.");
+    println!("Control bytes for each router, including an estimate of packet headers.");
     println!("{}", to_text(&head, &rows));
     Ok(())
 }
 
+/// Returns the control bytes that all routers sent and received, by kind.
 fn sum_wire(system: &SystemStandIn) -> BTreeMap<String, [u64; 2]> {
     let mut sums: BTreeMap<String, [u64; 2]> = BTreeMap::new();
     let routers = system.routers.iter().flatten();
@@ -105,7 +108,7 @@
     sums
 }
 
-/// Everyday requests, a tenth of them run-once, from 24 callers.
+/// Sends requests from 24 callers for [`RUN`], a tenth of them run-once, and returns their number.
 fn put_load(system: &SystemStandIn) -> usize {
     let routers = system.router_addresses();
     let until = Instant::now() + RUN;
--- a/cli/src/bench_decision.rs
+++ b/cli/src/bench_decision.rs
@@ -1,4 +1,4 @@
-//! The cost of one placement decision, and the memory of the large tables.
+//! Measures the time of one placement decision, and the memory of the large tables.
 
 use std::time::Instant;
 
@@ -20,6 +20,7 @@
 use crate::table::to_text;
 
 const FLEET: FleetKey = FleetKey(1);
+/// The number of decisions that are timed for each number of engines.
 const ROUNDS: usize = 20_000;
 
 fn roster(routers: u32) -> RouterRoster {
@@ -33,7 +34,7 @@
     RouterRoster { epoch: 1, routers }
 }
 
-/// Prints the cost of a decision, policy included.
+/// Prints the time of a decision: of the policy, of the placement, and of both.
 pub fn decision() {
     let program = compile_policy(POLICY).expect("the stand-in policy compiles");
     let facts = PolicyFacts {
@@ -98,7 +99,7 @@
     println!("{}", to_text(&head, &rows));
 }
 
-/// A percentile of unsorted values.
+/// Returns a quantile of unsorted values, or 0 if there are none.
 pub fn percentile(values: &[f64], quantile: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -106,7 +107,7 @@
     sorted.get(at).copied().unwrap_or(0.0)
 }
 
-/// Prints the memory of each large table, for each entry.
+/// Prints the memory of each large table, in total and per entry.
 pub fn memory() {
     let mut rows = Vec::new();
     let mut add = |name: &str, count: u64, before: u64| {
@@ -144,7 +145,7 @@
     let before = now();
     let configuration = big_configuration(48_000, 11_000);
     let peak = now();
-    // SAFETY: it only gives freed memory back to the system.
+    // SAFETY: `malloc_trim` only returns freed memory to the system.
     unsafe { libc::malloc_trim(0) };
     add("workspaces and servers configured", 59_000, before);
     let started = Instant::now();
@@ -159,12 +160,12 @@
     let apply_ms = started.elapsed().as_secs_f64() * 1000.0;
     let head = ["table", "entries", "MB", "bytes each"];
     println!("{}", to_text(&head, &rows));
-    println!("Reading that configuration whole took up to {} MB more.", (peak - now()) / 1024);
-    println!("One change of one workspace applied in {apply_ms:.1} ms ({}).", next.is_ok());
+    println!("Reading that configuration needed up to {} MB more.", (peak - now()) / 1024);
+    println!("A change of one workspace was applied in {apply_ms:.1} ms ({}).", next.is_ok());
     std::hint::black_box((memory.len(), claims.len()));
 }
 
-/// A configuration of the planned size.
+/// Makes a configuration with these numbers of workspaces and of upstreams.
 pub fn big_configuration(workspaces: usize, servers: usize) -> Configuration {
     let mut ws = serde_json::Map::new();
     for number in 0..workspaces {
@@ -183,5 +184,5 @@
         "fleets": { "engines": { "kind": "engine" } }, "upstreams": ups, "workspaces": ws,
         "policies": { "main": { "source": POLICY } },
     });
-    read_configuration(&document.to_string()).expect("the document is good")
+    read_configuration(&document.to_string()).expect("the document is valid")
 }
--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -1,4 +1,5 @@
-//! The keepers: claims and changes a second, time until in force, restart.
+//! Measures the keepers: claims per second, the time until a change is in force, and the time of a
+//! restart.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -28,10 +29,14 @@
 use crate::bench_decision::percentile;
 use crate::table::to_text;
 
+/// How long claims are sent for each row.
 const RUN: Duration = Duration::from_secs(3);
+/// The number of changes whose time until in force is measured.
 const CHANGES: usize = 60;
+/// The number of changes in the log from which a keeper restarts.
 const RESTART_CHANGES: u64 = 10_000;
 
+/// Keepers in this process, in a temporary folder.
 struct KeeperGroup {
     nodes: Vec<KeeperNode>,
     list: Vec<KeeperAddress>,
@@ -53,6 +58,7 @@
 }
 
 impl KeeperGroup {
+    /// Starts the keepers and waits until one of them is the confirmed leader.
     fn start(size: u32) -> Result<KeeperGroup, String> {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
         let list: Vec<KeeperAddress> = (1..=size)
@@ -80,6 +86,7 @@
         KeeperClient::new(self.list.clone(), maker, HttpClient::default(), CallTimes::of_ms(5000))
     }
 
+    /// Returns the number of disk syncs of the leader.
     fn syncs(&self) -> u64 {
         let statuses = self.nodes.iter().filter_map(|node| node.read(|keeper, _| keeper.status()));
         let leader = statuses.into_iter().find(|status| status.role == RaftRole::Leader);
@@ -87,13 +94,14 @@
     }
 }
 
+/// Returns a random number from the random state of the standard library's hash maps.
 fn rand_number() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
 
-/// Callers each send calls of `size` claims one after another; gives claims a second, the
-/// calls' times in milliseconds, and syncs a second.
+/// Runs callers that each send calls of `size` claims one after another. Returns the granted claims
+/// per second, the times of the calls in milliseconds, and the leader's disk syncs per second.
 fn claims_run(group: &KeeperGroup, callers: u64, size: u64) -> (f64, Vec<f64>, f64) {
     let next = AtomicU64::new(1);
     let granted = AtomicU64::new(0);
@@ -159,6 +167,8 @@
     Ok(())
 }
 
+/// Measures on 12 routers how long it takes until a change is accepted, and from then until it is
+/// in force on all of them.
 fn in_force() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let mut make = SystemMake::small(folder.path().to_path_buf());
@@ -201,7 +211,7 @@
     Ok(())
 }
 
-/// A keeper's folder with so many changes in its log and no snapshot of them.
+/// Writes a keeper's folder whose log has [`RESTART_CHANGES`] changes, with no snapshot of them.
 fn write_log(folder: &Path, address: std::net::SocketAddr) -> Result<(), String> {
     let text = |error: wingshed_lib::state::log_store::StoreError| error.to_string();
     let life = Incarnation(7);
@@ -237,6 +247,8 @@
     Ok(())
 }
 
+/// Measures how long a restarted keeper needs until it serves the last change, first from the log
+/// alone, then from a snapshot and the log after it.
 fn restart() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let list = [KeeperAddress { id: KeeperId(1), address: free_address() }];
@@ -250,13 +262,13 @@
         };
         while version(&node) != Some(RESTART_CHANGES) {
             if started.elapsed() > Duration::from_secs(60) {
-                return Err("the keeper does not come back".to_string());
+                return Err("the keeper did not restart".to_string());
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         println!(
-            "Restart after {RESTART_CHANGES} changes, {name}: {:.0} ms until it vouches for what \
-             is in force (a lone keeper waits for no election).",
+            "Restart after {RESTART_CHANGES} changes, {name}: {:.0} ms until it confirms the \
+             configuration in force (a single keeper waits for no election).",
             started.elapsed().as_secs_f64() * 1000.0
         );
         node.stop_now();
--- a/cli/src/bench_relay.rs
+++ b/cli/src/bench_relay.rs
@@ -1,4 +1,4 @@
-//! What a router adds to a call, and how many streams one router carries.
+//! Measures the latency that a router adds to a call, and the cost of streams on one router.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,12 +19,16 @@
 use crate::process::{cpu_seconds, rss_kb};
 use crate::table::to_text;
 
+/// The number of calls on each path.
 const CALLS: usize = 400;
+/// The number of pieces of an answer of these calls.
 const PIECES: u32 = 24;
+/// The number of pieces of an answer of `streams`.
 const STREAM_PIECES: u32 = 200;
+/// The time between two pieces of these answers, in milliseconds.
 const STREAM_PIECE_MS: u64 = 30;
 
-/// Routers as processes of their own, beside keepers and engines in this one.
+/// Routers that run as separate processes, with keepers and engines in this process.
 struct BenchSite {
     system: SystemStandIn,
     routers: Vec<SocketAddr>,
@@ -41,6 +45,7 @@
     }
 }
 
+/// Returns the path of the router's binary, which is next to that of this process.
 fn router_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = own.with_file_name("wingshed-router");
@@ -89,6 +94,7 @@
         Ok(site)
     }
 
+    /// Waits until each router has completed a request.
     fn wait_serving(&self) -> Result<(), String> {
         let until = Instant::now() + Duration::from_secs(20);
         for router in &self.routers {
@@ -123,7 +129,8 @@
     }
 }
 
-/// Prints direct calls, calls through one router, and through entry and home, side by side.
+/// Prints the latency of calls that go directly to an engine, through one router, and through two
+/// routers, the second of which is the home of the chat.
 pub fn relay() -> Result<(), String> {
     let engine = EngineMake { piece_ms: 4, prefill_per_ms: 1_000_000, ..EngineMake::default() };
     let site = BenchSite::start(2, 4, engine)?;
@@ -139,7 +146,8 @@
         let query = format!("workspace=w0&chat=c{number}&service=chat");
         let home = directory(&client, site.routers[0], &query)[0];
         let other = site.routers.iter().find(|router| **router != home).ok_or("one router")?;
-        // The hop first: the home then knows the chat, and the second call finds it there.
+        // The call through two routers goes first. The home then remembers the chat, so that the
+        // call to the home alone stays there.
         answers[2].push(send(&client, *other, &call, None));
         let again = chat_call(&ChatAsk { request_id: format!("a{number}"), ..ask });
         answers[1].push(send(&client, home, &again, None));
@@ -184,7 +192,7 @@
     row
 }
 
-/// Prints what one router carries at 500, 1,000 and 2,000 streams.
+/// Prints the throughput, processor time and memory of one router at 500, 1,000 and 2,000 streams.
 pub fn streams() -> Result<(), String> {
     let engine = EngineMake {
         piece_ms: STREAM_PIECE_MS,
@@ -213,7 +221,7 @@
                             let call = chat_call(&ask);
                             send(&HttpClient::default(), site.routers[0], &call, None)
                         })
-                        .expect("room for a thread")
+                        .expect("a thread can be started")
                 })
                 .collect();
             for _ in 0..30 {
--- a/cli/src/bench_rollout_cost.rs
+++ b/cli/src/bench_rollout_cost.rs
@@ -1,4 +1,5 @@
-//! What evidence of a roll-out costs: bytes a renewal, and the leader's time for taking and judging it.
+//! Measures the cost of the evidence of a roll-out: the bytes in a renewal, and the leader's time
+//! to record and judge it.
 
 use std::time::Instant;
 
@@ -12,13 +13,16 @@
 
 use crate::table::to_text;
 
+/// The numbers of VMs to measure.
 const VMS: [u32; 3] = [63, 300, 400];
+/// The numbers of routes of the service to measure.
 const ROUTES: [u32; 2] = [3, 16];
-/// Renewals of each VM: those of 12 seconds.
+/// The number of renewals of each VM, which are those of 12 seconds.
 const ROUNDS: u64 = 40;
+/// The time between two renewals of a VM, in milliseconds.
 const RENEW_MS: u64 = 300;
 
-/// Prints bytes and times.
+/// Prints the bytes of a renewal and the leader's times, for each number of VMs and routes.
 pub fn cost() {
     let mut rows = Vec::new();
     for vms in VMS {
@@ -53,7 +57,7 @@
         let began = Instant::now();
         let found = verdict.judge(&table.sums(), round * RENEW_MS);
         looked_us += began.elapsed().as_secs_f64() * 1e6;
-        assert!(found.is_none(), "both sides are alike");
+        assert!(found.is_none(), "the base and the target have equal answers");
     }
     let take_us = took_us / (ROUNDS * u64::from(vms)) as f64;
     let look_us = looked_us / ROUNDS as f64;
@@ -70,7 +74,7 @@
     ]
 }
 
-/// One request to each side of each route.
+/// Records one request to the base and one to the target of each route.
 fn send_some(ledger: &mut EvidenceLedger, routes: u32, draw: u64) {
     for route in 0..routes {
         for arm in [RolloutArm::Base, RolloutArm::Target] {
--- a/cli/src/bench_rollouts.rs
+++ b/cli/src/bench_rollouts.rs
@@ -1,4 +1,5 @@
-//! How often roll-outs are judged wrongly, how late, and what it exposes: the decision code alone.
+//! Simulates roll-outs on the decision code alone, and measures how often they are judged wrongly,
+//! how late, and how many requests an unsound version gets.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,26 +12,31 @@
 use crate::rollout_ways::{judge_whole, judge_window};
 use crate::table::to_text;
 
+/// The rates to simulate, in requests per second.
 const RATES: [u64; 3] = [20, 300, 1000];
+/// The durations of an order to simulate, in seconds.
 const SECONDS: [u64; 3] = [8, 12, 30];
+/// The number of orders of each case.
 const SEEDS: u64 = 200;
 const THREADS: usize = 3;
+/// The names of the methods of judging, in the order of [`PlayEnd::ways`].
 const WAYS: [&str; 3] =
     ["odds, slice by slice", "window, thresholds", "since the order, deviations"];
-/// An unsound version must be rolled back this long after its 50th bad answer.
+/// How long after its 50th bad answer an unsound version must be rolled back at the latest, in
+/// milliseconds.
 const ROLL_BACK_MS: f64 = 5000.0;
 
-/// What is played, of what can be.
+/// Which of the cases are simulated.
 pub struct RolloutsOptions {
-    /// Orders of each case.
+    /// The number of orders of each case, [`SEEDS`] by default.
     pub seeds: Option<u64>,
-    /// Only this many requests a second.
+    /// If set, only this number of requests per second.
     pub rate: Option<u64>,
-    /// Only orders of this time.
+    /// If set, only orders of this duration, in seconds.
     pub seconds: Option<u64>,
 }
 
-/// One line of the table.
+/// The cases of one line of the table.
 struct PlayLine {
     name: String,
     fault: TargetFault,
@@ -76,7 +82,8 @@
     lines
 }
 
-/// Prints the tables.
+/// Simulates all cases and prints two tables: the results of each case with the method in use, and
+/// a comparison of the methods.
 pub fn rollouts(options: &RolloutsOptions) {
     let rates = options.rate.map_or(RATES.to_vec(), |rate| vec![rate]);
     let seconds = options.seconds.map_or(SECONDS.to_vec(), |seconds| vec![seconds]);
@@ -105,7 +112,10 @@
         .chain(figures.iter().map(|name| name.to_string()))
         .collect();
     let head: Vec<&str> = head.iter().map(String::as_str).collect();
-    println!("Rolled back, of {seeds}; sound ones: complete. Exposure as a part of its bound.\n");
+    println!(
+        "Orders rolled back, of {seeds}; for sound versions, orders completed. Exposure as a \
+         part of its bound.\n"
+    );
     println!("{}\n", to_text(&head, &rows));
     let rows: Vec<Vec<String>> =
         (0..WAYS.len()).map(|way| to_way_row(way, &lines, &ends)).collect();
@@ -123,10 +133,11 @@
         "over the bound",
         "late",
     ];
-    println!("Parts in 1,000 of all cases that were judged rightly.\n");
+    println!("Orders judged correctly, per 1,000.\n");
     println!("{}", to_text(&head, &rows));
 }
 
+/// Simulates all cases on [`THREADS`] threads, and returns the results in the order of the cases.
 fn play_all(cases: &[PlayCase]) -> Vec<PlayEnd> {
     let next = AtomicUsize::new(0);
     let ends: Mutex<Vec<(usize, PlayEnd)>> = Mutex::new(Vec::new());
@@ -145,6 +156,7 @@
     ends.into_iter().map(|(_, end)| end).collect()
 }
 
+/// Simulates one case with all methods of judging.
 fn play_one(case: &PlayCase) -> PlayEnd {
     let mut verdict = VerdictState::default();
     let mut window = VecDeque::new();
@@ -167,20 +179,26 @@
     play(case, &mut ways)
 }
 
-/// How long after the 50th bad answer it was found, where there was one before the end.
+/// Returns how long after the 50th bad answer the version was found unsound, in milliseconds, or
+/// `None` if the simulation ended before that answer. A version that wasn't found counts as found
+/// at `end_ms`.
 fn past_fiftieth_ms(end: &PlayEnd, way: usize, end_ms: f64) -> Option<f64> {
     let found_ms = end.ways[way].found_ms.map_or(end_ms, |found_ms| found_ms as f64);
     end.fiftieth_ms.map(|fiftieth_ms| found_ms - fiftieth_ms as f64)
 }
 
+/// Whether the version was found later than [`ROLL_BACK_MS`] after its 50th bad answer, or never.
 fn is_late(end: &PlayEnd, way: usize) -> bool {
     past_fiftieth_ms(end, way, f64::INFINITY).is_some_and(|past_ms| past_ms > ROLL_BACK_MS)
 }
 
+/// Whether the version got more requests than its bound.
 fn is_over(end: &PlayEnd, way: usize) -> bool {
     end.ways[way].exposed as f64 > end.bound
 }
 
+/// Whether the version was judged correctly: an unsound one is found, and a sound one
+/// isn't and has enough answers to complete.
 fn is_right(line: &PlayLine, end: &PlayEnd, way: usize) -> bool {
     let found = end.ways[way].found_ms.is_some();
     match line.fault {
@@ -189,6 +207,7 @@
     }
 }
 
+/// Formats the results of one line with the first method.
 fn to_row(line: &PlayLine, ends: &[PlayEnd], seeds: u64) -> Vec<String> {
     let mut row = vec![line.name.clone()];
     for cell in ends.chunks(seeds as usize) {
@@ -212,6 +231,7 @@
     row
 }
 
+/// Formats the results of one method over all lines.
 fn to_way_row(way: usize, lines: &[PlayLine], ends: &[PlayEnd]) -> Vec<String> {
     let each = ends.len() / lines.len();
     let of_lines = || lines.iter().zip(ends.chunks(each));
--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `wingshed check` and `wingshed policy test`: files checked without a running system.
+//! `wingshed check` and `wingshed policy test`: check files without a running system.
 
 use std::path::{Path, PathBuf};
 
@@ -10,14 +10,14 @@
 use wingshed_lib::state::finding::Finding;
 use wingshed_platform::PlatformAdapter;
 
-/// check settings and configuration files, and print every finding with its place
+/// check settings and configuration files, and print every finding with its position
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckCommand {
-    /// the files are in the words of the users' platform: a VM's settings, or a configuration
+    /// the files have the platform's format: the settings of a VM, or a configuration
     #[argh(switch)]
     platform: bool,
-    /// the files
+    /// the files to check
     #[argh(positional)]
     files: Vec<PathBuf>,
 }
@@ -36,7 +36,7 @@
     Test(PolicyTest),
 }
 
-/// run tables of cases against their policy
+/// run tables of test cases against the policy that each table names
 #[derive(FromArgs)]
 #[argh(subcommand, name = "test")]
 struct PolicyTest {
@@ -49,7 +49,8 @@
     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// Reads a file that a document names, from beside that document.
+/// Returns a function that reads the files that the document at `path` names, relative to the
+/// folder of the document.
 fn beside(path: &Path) -> impl Fn(&str) -> Result<String, String> + '_ {
     move |name| {
         let folder = path.parent().unwrap_or(Path::new("."));
@@ -57,18 +58,21 @@
     }
 }
 
-/// Reads a configuration document with the files that it names.
+/// Reads a configuration document and the files that it names. The error has a line for each
+/// finding.
 pub fn load_configuration(path: &Path) -> Result<Configuration, String> {
     let text = read(path)?;
     read_configuration_file(&text, &beside(path)).map_err(|findings| to_lines(path, &findings))
 }
 
+/// Formats findings about the file at `path`, one a line.
 fn to_lines(path: &Path, findings: &[Finding]) -> String {
     let lines = findings.iter().map(|finding| format!("{}: {finding}", path.display()));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Checks a file in the platform's words; what kind it is shows by what it holds.
+/// Checks a file in the platform's format and returns the name of its kind. A file with the key
+/// `routes` is a configuration; any other file is read as settings.
 fn check_platform_text(text: &str) -> Result<&'static str, Vec<Finding>> {
     let value: Option<serde_json::Value> = serde_json::from_str(text).ok();
     if value.is_some_and(|value| value.get("routes").is_some()) {
@@ -79,7 +83,7 @@
     wingshed_platform::read_settings(text).map(|_| "settings file of the platform")
 }
 
-/// Prints all findings of all files; true when there is none.
+/// Prints all findings of all files and returns true if there is none.
 pub fn run(command: &CheckCommand) -> Result<bool, String> {
     if command.files.is_empty() {
         return Err("name at least one file".to_string());
@@ -109,7 +113,7 @@
     Ok(good)
 }
 
-/// Runs case tables; true when every case came out.
+/// Runs the tables of cases and returns true if every case has the expected outcome.
 pub fn policy(command: &PolicyCommand) -> Result<bool, String> {
     let PolicyAction::Test(test) = &command.command;
     let mut good = true;
--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `wingshed config`: what is in force, and changes to it.
+//! `wingshed config`: prints and changes the configuration in force.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 #[argh(subcommand, name = "get")]
 struct ConfigGet {}
 
-/// print what applying a file would change
+/// print the differences between the configuration in force and a document
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct ConfigDiff {
@@ -49,17 +49,17 @@
     file: PathBuf,
 }
 
-/// make a document the configuration in force
+/// change the configuration in force to that of a document
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 struct ConfigApply {
     /// the document
     #[argh(positional)]
     file: PathBuf,
-    /// the change's id; the same id sent again gets the first answer again
+    /// the id of the change; if it was already submitted, the first answer is returned again
     #[argh(option)]
     id: Option<String>,
-    /// the version that the change builds on; by default the one in force
+    /// the version that the change is based on; by default the one in force
     #[argh(option)]
     base: Option<u64>,
 }
@@ -68,20 +68,20 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
 struct ConfigWait {
-    /// the version; by default the one in force
+    /// the version to wait for; by default the one in force
     #[argh(option)]
     version: Option<u64>,
-    /// how many seconds to wait
+    /// how many seconds to wait at most
     #[argh(option, default = "10")]
     seconds: u64,
 }
 
-/// print who changed what and when
+/// print the changes with their time and operator
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 struct ConfigHistory {}
 
-/// make a new version that holds what an earlier one held
+/// make a new version with the contents of an earlier one
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 struct ConfigRollback {
@@ -90,7 +90,7 @@
     version: u64,
 }
 
-/// Runs a command of `wingshed config`.
+/// Runs a subcommand of `wingshed config`.
 pub fn run(command: &ConfigCommand) -> Result<bool, String> {
     let connection = read_connection(&command.connect)?;
     match &command.command {
@@ -107,7 +107,7 @@
     }
 }
 
-/// The configuration in force.
+/// Returns the configuration in force, with its version.
 pub fn in_force(connection: &Connection) -> Result<Configuration, String> {
     let value = connection.json("GET", "/operator/config", None)?;
     let version = value["version"].as_u64().unwrap_or(0);
@@ -125,6 +125,7 @@
     Ok(true)
 }
 
+/// Formats one operation of a change as a line.
 fn to_line(operation: &EntryOperation) -> String {
     match operation {
         EntryOperation::Put { section, name, value } => {
@@ -139,14 +140,15 @@
     let current = in_force(connection)?;
     let operations = current.operations_to(&target);
     if operations.is_empty() && apply.id.is_none() {
-        println!("Version {} is what the file holds.", current.version);
+        println!("No change: version {} is the same as the file.", current.version);
         return Ok(true);
     }
     let base = apply.base.unwrap_or(current.version);
     submit(connection, apply.id.clone(), base, &operations)
 }
 
-/// Submits a change. After a lost answer it is sent again with the same id.
+/// Submits a change and prints the answer. Returns false if it was rejected. If an answer is lost,
+/// [`Connection::call`] sends the change again with the same id, so it is applied once.
 pub fn submit(
     connection: &Connection,
     id: Option<String>,
@@ -163,9 +165,10 @@
         }
         Ok(ChangeAnswer::Conflict { current, winner, winner_operator }) => {
             println!(
-                "Conflict: version {current} is in force; `{winner}` by {winner_operator} won."
+                "Conflict: version {current} is in force; change `{winner}` by {winner_operator} \
+                 was accepted first."
             );
-            println!("Hint: look at `wingshed config diff`, then apply again.");
+            println!("Hint: see `wingshed config diff`, then apply again.");
             Ok(false)
         }
         Ok(ChangeAnswer::Invalid { findings }) => {
@@ -206,7 +209,7 @@
     }
 }
 
-/// The status of the keeper that leads.
+/// Returns the status that the leader of the keepers reports.
 pub fn leader_status(connection: &Connection) -> Result<Value, String> {
     let mut last = "no keeper answered".to_string();
     for address in &connection.keepers {
@@ -225,6 +228,7 @@
     Err(last)
 }
 
+/// Returns the changes that the keepers have kept, oldest first.
 fn history(connection: &Connection) -> Result<Vec<ChangeRecord>, String> {
     let value = connection.json("GET", "/operator/history", None)?;
     serde_json::from_value(value).map_err(|error| error.to_string())
@@ -251,14 +255,17 @@
     Ok(true)
 }
 
-/// A rollback is a new, higher version: versions never fall. The earlier state is rebuilt from
-/// the changes since, so it reaches back as far as `history` does.
+/// Submits a change that restores the contents of an earlier version. It becomes a new, higher
+/// version, because versions never decrease. The earlier contents are rebuilt by applying the
+/// history from its first change, so it fails if the history doesn't begin with version 1.
 fn roll_back(connection: &Connection, version: u64) -> Result<bool, String> {
     let current = in_force(connection)?;
     let records = history(connection)?;
     let oldest = records.first().map_or(u64::MAX, |record| record.version);
     if oldest > 1 || version > current.version {
-        return Err(format!("version {version} cannot be rebuilt from the history kept"));
+        return Err(format!(
+            "version {version} cannot be rebuilt from the history that the keepers have"
+        ));
     }
     let mut target = Configuration::default();
     for record in records.iter().filter(|record| record.version <= version) {
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `wingshed demo`: a whole small system in one process, under a mixed load with churn.
+//! `wingshed demo`: runs a small system in one process under a mixed load while engines leave and
+//! crash.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,21 +22,25 @@
 const CHATS: usize = 60;
 const SERVICES: [&str; 5] = ["chat", "alert", "digest", "teaser", "plain"];
 
-/// start a small system in this process, put a mixed load with churn on it, and print a table
+/// start a small system in this process, run a mixed load while engines leave and crash, and print
+/// a table
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct DemoCommand {
-    /// stay up and print curl lines that work as typed
+    /// keep running and print curl commands for the system instead
     #[argh(switch)]
     serve: bool,
 }
 
-/// One request and what came of it.
+/// One request and its outcome.
 struct DemoResult {
     service: &'static str,
+    /// The text that a complete answer has.
     expected: String,
+    /// The id under which engines count the starts of the request.
     run: String,
     answer: CallerAnswer,
+    /// The answer to the same request sent a second time, for run-once requests.
     duplicate: Option<CallerAnswer>,
 }
 
@@ -51,7 +56,8 @@
     }
 }
 
-/// Runs the demo; true when every promise held.
+/// Runs the demo and returns true if every guarantee held: no answer is wrong or ends without an
+/// error, and no run-once request runs twice.
 pub fn run(command: &DemoCommand) -> Result<bool, String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     println!("Starting 1 keeper, 3 routers, 6 stand-in engines, 2 plain upstreams.");
@@ -72,7 +78,7 @@
 
 fn print_curl_lines(system: &SystemStandIn) {
     let router = system.router_addresses()[0];
-    println!("\nThe system is up. Try:\n");
+    println!("\nThe system is running. Try:\n");
     println!("curl -s 'http://{router}/v1/addresses?workspace=w0&chat=c1'");
     println!(
         "curl -sN http://{router}/v1/chat/completions -H 'authorization: Bearer k0' \
@@ -84,10 +90,11 @@
          -H 'wingshed-workspace: w0' -H 'wingshed-service: plain'"
     );
     println!("curl -s http://{router}/status");
-    println!("\nEnd it with ctrl-c.");
+    println!("\nStop it with Ctrl-C.");
 }
 
-/// Callers ask the directory, follow it, and send; meanwhile engines die and come back.
+/// Sends requests from callers that look up routers in the directory, while engines leave and
+/// crash. Returns the results and samples of the load skew.
 fn put_load(system: &mut SystemStandIn) -> (Vec<DemoResult>, Vec<f64>) {
     let routers = system.router_addresses();
     let next = AtomicUsize::new(0);
@@ -107,7 +114,8 @@
     (results.into_inner().unwrap_or_default(), skew)
 }
 
-/// One engine says that it leaves, and one dies and comes back as a new life.
+/// At step 20, engine 0 reports that it is leaving; at step 40, engine 1 is killed and started
+/// again at the same address as a new incarnation.
 fn churn(system: &mut SystemStandIn, step: usize) {
     match step {
         20 => {
@@ -128,7 +136,7 @@
 
 fn run_caller(routers: &[SocketAddr], next: &AtomicUsize, results: &Mutex<Vec<DemoResult>>) {
     let client = HttpClient::default();
-    // Where each chat should go next, as named by the last reply.
+    // The router to which the next request of each chat goes, according to its last answer.
     let mut kept: HashMap<String, SocketAddr> = HashMap::new();
     loop {
         let number = next.fetch_add(1, Ordering::Relaxed);
@@ -182,14 +190,16 @@
     if let Some(next) = answer.next {
         kept.insert(ask.chat.clone(), next);
     }
-    // Every alert is sent a second time at another router: it must not run again.
+    // Every alert is a run-once request: sent a second time, to another router, it must not run
+    // again.
     let other = routers[(number + 1) % routers.len()];
     let duplicate = (service == "alert").then(|| send(client, other, &call, None));
     let expected = whole_text(&run, pieces as u64);
     DemoResult { service, expected, run, answer, duplicate }
 }
 
-/// The largest load over the mean, from what the routers have admitted.
+/// Returns the largest number of open runs on an engine divided by the mean, or `None` while the
+/// mean is below 1.
 fn skew_now(system: &SystemStandIn) -> Option<f64> {
     let open: Vec<f64> =
         system.engines.iter().flatten().map(|engine| engine.open_runs() as f64).collect();
@@ -198,6 +208,7 @@
     (mean >= 1.0).then_some(most / mean)
 }
 
+/// Returns the bytes that all routers have sent except for requests and answers.
 fn control_bytes(system: &SystemStandIn) -> f64 {
     const DATA: [&str; 3] = ["engine", "plain", "forward"];
     let routers = system.routers.iter().flatten();
@@ -205,6 +216,7 @@
     rows.filter(|row| !DATA.contains(&row.kind.as_str())).map(|row| row.sent_bytes as f64).sum()
 }
 
+/// Prints the results and returns true if every guarantee held.
 fn report(system: &SystemStandIn, results: &[DemoResult], skew: &[f64], wire: f64) -> bool {
     let starts = system.starts();
     let mut rows = Vec::new();
@@ -254,11 +266,11 @@
         ),
         ("refused as not run", refused.to_string()),
         ("ended in an explicit error (their engine died)", explicit.to_string()),
-        ("wrong, or cut without a word", wrong.to_string()),
-        ("chats that found their prefix", format!("{reused} of {}", reused + cold)),
+        ("wrong, or cut without an error", wrong.to_string()),
+        ("requests that found their prefix cached", format!("{reused} of {}", reused + cold)),
         ("skew, largest over mean (p50)", format!("{p50:.2}")),
-        ("control bytes sent a second a router", format!("{wire:.0}")),
-        ("requests that hopped between routers", hopped.to_string()),
+        ("control bytes sent per second and router", format!("{wire:.0}")),
+        ("requests forwarded between routers", hopped.to_string()),
         ("run-once duplicates sent, dropped", format!("{}, {dropped}", alerts.len())),
         ("run-once requests sent again after a refusal, and taken", taken_again.to_string()),
         ("run-once requests that ran twice", doubled.to_string()),
@@ -272,10 +284,11 @@
     }
     let undropped = alerts.iter().filter(|result| !result.view(&starts).second_holds()).count();
     let held = wrong == 0 && doubled == 0 && undropped == 0;
-    println!("\n{}", if held { "Every promise held." } else { "A promise was broken." });
+    println!("\n{}", if held { "All guarantees held." } else { "A guarantee was violated." });
     held
 }
 
+/// Returns the counters of all routers, summed by name.
 fn counters(system: &SystemStandIn) -> HashMap<String, u64> {
     let mut sums = HashMap::new();
     for router in system.routers.iter().flatten() {
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `wingshed explain`: the story of a request, or of a span of time, out of logs.
+//! `wingshed explain`: selects the log lines that explain a request or a span of time.
 
 use std::path::PathBuf;
 
@@ -7,28 +7,28 @@
     read_log, request_story, span_story, LogLine, StoryLine, StoryReason,
 };
 
-/// tell who knew what and what came of it, from the logs of several VMs
+/// print the lines of the logs of several VMs that explain a request or a span of time
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainCommand {
-    /// the name of the request's attempt
+    /// the id of the request's attempt
     #[argh(option)]
     attempt: Option<String>,
-    /// the beginning of a span, in seconds as the lines tell them
+    /// the start of a span, in seconds, as at the start of the log lines or since 1970
     #[argh(option)]
     from: Option<f64>,
-    /// the end of the span
+    /// the end of the span, in the same seconds
     #[argh(option)]
     to: Option<f64>,
     /// print JSON
     #[argh(switch)]
     json: bool,
-    /// the logs, a file each VM, or one file whose lines begin with a time and a VM
+    /// the logs: a file for each VM, or one file whose lines begin with a time and a VM
     #[argh(positional)]
     logs: Vec<PathBuf>,
 }
 
-/// Runs the command.
+/// Prints the selected lines and returns true if there are any.
 pub fn run(command: &ExplainCommand) -> Result<bool, String> {
     let lines = read_logs(&command.logs)?;
     let story = match (&command.attempt, command.from, command.to) {
@@ -51,9 +51,11 @@
     Ok(!story.is_empty())
 }
 
+/// Reads the lines of all files. The stem of a file's name is the name of its VM, unless the lines
+/// name one.
 fn read_logs(paths: &[PathBuf]) -> Result<Vec<LogLine>, String> {
     if paths.is_empty() {
-        return Err("name the logs".to_string());
+        return Err("name at least one log file".to_string());
     }
     let mut all = Vec::new();
     for path in paths {
@@ -69,7 +71,7 @@
     Ok(all)
 }
 
-/// One line: the mark of its reason, time, VM, part, message, fields.
+/// Formats one line: the reason why it was selected, then time, VM, log target, message and fields.
 fn written(story: &StoryLine) -> String {
     let mark = match story.reason {
         StoryReason::Request => "*",
--- a/cli/src/fleet.rs
+++ b/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `wingshed rollout` and `wingshed zone`: orders of operators to the VMs.
+//! `wingshed rollout` and `wingshed zone`: operators' requests to the VMs.
 
 use std::time::{Duration, Instant};
 
@@ -11,13 +11,14 @@
 use crate::table::to_text;
 use crate::vm_client::{path_part, VmClient};
 
-/// How often a roll-out that is waited for is asked about.
+/// The pause between requests for the status of a roll-out that the command waits for.
 const LOOK_AGAIN: Duration = Duration::from_millis(500);
-/// A roll-out ends by its deadline; it is waited for this much longer than it was granted, in seconds:
-/// a leader that was lost counts the time from its start, and VMs may not answer for a while.
+/// How much longer than its granted time the command waits for a roll-out, in seconds. A roll-out
+/// ends by its deadline, but after the loss of a leader the next one counts the time from its own
+/// start, and VMs may not answer for a while.
 const WAIT_MARGIN_S: f64 = 30.0;
 
-/// move a service's traffic to upstreams of another version, on trial first
+/// move a service's traffic to upstreams of another version, after a trial
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollout")]
 pub struct RolloutCommand {
@@ -34,7 +35,7 @@
     List(RolloutList),
 }
 
-/// begin a roll-out
+/// start a roll-out
 #[derive(FromArgs)]
 #[argh(subcommand, name = "start")]
 struct RolloutStart {
@@ -44,7 +45,7 @@
     /// how many seconds it may take
     #[argh(option)]
     seconds: f64,
-    /// wait until it has ended; fails when it was rolled back
+    /// wait until it has ended, and fail if it was rolled back
     #[argh(switch)]
     wait: bool,
     /// print JSON
@@ -53,12 +54,12 @@
     /// the service
     #[argh(positional)]
     service: String,
-    /// the version that its traffic is to be moved to
+    /// the version to move its traffic to
     #[argh(positional)]
     version: String,
 }
 
-/// tell how far a service's last roll-out has come
+/// print the progress of a service's last roll-out
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct RolloutStatus {
@@ -73,7 +74,7 @@
     service: String,
 }
 
-/// roll a running roll-out back
+/// abort a running roll-out and roll it back
 #[derive(FromArgs)]
 #[argh(subcommand, name = "abort")]
 struct RolloutAbort {
@@ -100,7 +101,7 @@
     json: bool,
 }
 
-/// empty an availability zone of requests, or take it back
+/// evacuate availability zones and return them to service
 #[derive(FromArgs)]
 #[argh(subcommand, name = "zone")]
 pub struct ZoneCommand {
@@ -116,7 +117,7 @@
     List(ZoneList),
 }
 
-/// send nothing more to a zone's upstreams
+/// stop sending requests to a zone's upstreams
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuate")]
 struct ZoneEvacuate {
@@ -131,7 +132,7 @@
     zone: String,
 }
 
-/// take an emptied zone back
+/// return an evacuated zone to service
 #[derive(FromArgs)]
 #[argh(subcommand, name = "return")]
 struct ZoneReturn {
@@ -158,7 +159,7 @@
     json: bool,
 }
 
-/// Runs a command of `wingshed rollout`.
+/// Runs a subcommand of `wingshed rollout`.
 pub fn rollout(command: &RolloutCommand) -> Result<bool, String> {
     match &command.command {
         RolloutAction::Start(start) => start_rollout(start),
@@ -186,6 +187,8 @@
     client.call("GET", &rollout_path(service), b"")?.json()
 }
 
+/// Starts a roll-out and prints it, after its end if the command waits. Returns false if it was
+/// rolled back.
 fn start_rollout(start: &RolloutStart) -> Result<bool, String> {
     let client = VmClient::new(&start.at)?;
     let body = RolloutRequestBody {
@@ -207,9 +210,9 @@
     Ok(complete)
 }
 
-/// Asks until the order has ended; says each change of its phase.
+/// Waits until the roll-out has ended, and prints each phase that it reaches.
 fn wait_end(client: &VmClient, began: RolloutView) -> Result<RolloutView, String> {
-    // Whatever a VM answers, no order is waited for longer than one may be granted.
+    // Limits the time to the longest that can be granted, whatever a VM answers.
     let wait_s = began.granted_s.clamp(0.0, LONGEST_GRANT_S) + WAIT_MARGIN_S;
     let until = Instant::now() + Duration::from_secs_f64(wait_s);
     let mut view = began;
@@ -220,6 +223,8 @@
     Ok(view)
 }
 
+/// Requests the status until the phase differs from that in `known`. Fails if another roll-out of
+/// the service has started, or if there is no change at `until`.
 fn next_phase(
     client: &VmClient,
     known: &RolloutView,
@@ -231,7 +236,8 @@
         match rollout_view(client, &known.service) {
             Ok(view) if view.number != known.number => {
                 return Err(format!(
-                    "order {} has ended, and order {} began; its end isn't known any more",
+                    "order {} has ended and order {} has started; the result of the first is no longer \
+                     available",
                     known.number, view.number
                 ));
             }
@@ -240,7 +246,7 @@
                 return Err(format!("order {} is still in phase {}", view.number, view.phase));
             }
             Err(text) if late => return Err(text),
-            // VMs that can't answer now may answer later.
+            // VMs that can't answer now may be able to later.
             Ok(_) | Err(_) => {}
         }
     }
@@ -269,7 +275,7 @@
     Ok(true)
 }
 
-/// Runs a command of `wingshed zone`.
+/// Runs a subcommand of `wingshed zone`.
 pub fn zone(command: &ZoneCommand) -> Result<bool, String> {
     match &command.command {
         ZoneAction::Evacuate(order) => order_zone(&order.at, &order.zone, true, order.json),
@@ -281,6 +287,7 @@
     }
 }
 
+/// Evacuates a zone or returns it to service, then prints its state.
 fn order_zone(at: &[String], zone: &str, emptied: bool, json: bool) -> Result<bool, String> {
     let client = VmClient::new(at)?;
     let verb = if emptied { "empty" } else { "return" };
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! `wingshed`: the operator's command line. Thin: it words results and hints, and
-//! leaves all logic to the library.
+//! `wingshed`: the operator's command line. It parses arguments and prints results and hints; the
+//! logic is in the library.
 
 mod bench;
 mod bench_classes;
@@ -26,7 +26,7 @@
 
 use argh::FromArgs;
 
-/// a router fleet for very many returning chats
+/// operate a router fleet that serves a large number of returning chats
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
--- a/cli/src/operate.rs
+++ b/cli/src/operate.rs
@@ -1,4 +1,4 @@
-//! `wingshed status`, `drain`, `keeper` and `orders`.
+//! `wingshed status`, `drain`, `keeper` and `orders`: requests to the keepers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
     PathBuf::from("connect.json")
 }
 
-/// print how keepers, routers and their engines stand
+/// print the status of keepers, routers and their engines
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusCommand {
@@ -34,25 +34,25 @@
     json: bool,
 }
 
-/// take a router or an upstream out of use without cutting a request
+/// take a router or an upstream out of service without interrupting requests
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainCommand {
     /// the connection file: keepers, operator, key
     #[argh(option, default = "default_connect()")]
     connect: PathBuf,
-    /// router or upstream
+    /// what to drain: router or upstream
     #[argh(positional)]
     kind: String,
     /// the router's number or the upstream's name
     #[argh(positional)]
     name: String,
-    /// take a drained upstream back into use
+    /// return a drained upstream to service
     #[argh(switch)]
     undo: bool,
 }
 
-/// repair the group of keepers
+/// replace, back up and restore keepers, and transfer their leadership
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keeper")]
 pub struct KeeperCommand {
@@ -72,25 +72,25 @@
     Restore(KeeperRestore),
 }
 
-/// bring in a new keeper in place of a lost one
+/// replace a lost keeper by a new one
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replace")]
 struct KeeperReplace {
     /// the lost keeper's number
     #[argh(positional)]
     lost: u32,
-    /// the new keeper's number, which may be the same
+    /// the new keeper's number, which may be that of the lost one
     #[argh(positional)]
     new: u32,
-    /// where the new keeper listens
+    /// the address of the new keeper
     #[argh(positional)]
     address: SocketAddr,
-    /// how many seconds to wait until it has caught up
+    /// how many seconds to wait at most until it has caught up
     #[argh(option, default = "60")]
     seconds: u64,
 }
 
-/// hand leadership over, before a planned stop
+/// transfer leadership to another keeper, before a planned stop of the leader
 #[derive(FromArgs)]
 #[argh(subcommand, name = "transfer")]
 struct KeeperTransfer {}
@@ -99,31 +99,31 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "backup")]
 struct KeeperBackup {
-    /// the file
+    /// the file to write
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// give and list fenced orders to engines
+/// give fenced orders to engines, or list them
 #[derive(FromArgs)]
 #[argh(subcommand, name = "orders")]
 pub struct OrdersCommand {
     /// the connection file: keepers, operator, key
     #[argh(option, default = "default_connect()")]
     connect: PathBuf,
-    /// the upstream's name; without it, orders are listed
+    /// the name of the upstream; without it, the orders are listed
     #[argh(option)]
     upstream: Option<String>,
-    /// load this model, adapter or version
+    /// the model, adapter or version to load
     #[argh(option)]
     load: Option<String>,
-    /// unload it
+    /// the model, adapter or version to unload
     #[argh(option)]
     unload: Option<String>,
-    /// change to this role
+    /// the role to change to
     #[argh(option)]
     role: Option<String>,
-    /// the order's id; the same id sent again is the same order
+    /// the id of the order; an id that was already sent names the same order
     #[argh(option)]
     id: Option<String>,
 }
@@ -140,6 +140,7 @@
     file: PathBuf,
 }
 
+/// Writes a backup into the data folder that the settings name.
 fn restore(restore: &KeeperRestore) -> Result<bool, String> {
     let place = |error: &dyn std::fmt::Display| format!("{}: {error}", restore.settings.display());
     let text = std::fs::read_to_string(&restore.settings).map_err(|error| place(&error))?;
@@ -150,10 +151,11 @@
     let image = std::fs::read(&restore.file)
         .map_err(|error| format!("{}: {error}", restore.file.display()))?;
     restore_backup(&settings, &image).map_err(|error| error.to_string())?;
-    println!("Keeper {} holds the backup. Start it, then bring the others in.", settings.id);
+    println!("Keeper {} has the backup. Start it, then add the other keepers.", settings.id);
     Ok(true)
 }
 
+/// Requests the status of a router. Returns null if the router doesn't answer.
 fn router_status(address: &str) -> Value {
     let Ok(address) = address.parse() else { return Value::Null };
     let call = HttpCall::get("/status");
@@ -162,7 +164,7 @@
     reply.ok().and_then(|reply| serde_json::from_slice(&reply.body).ok()).unwrap_or_default()
 }
 
-/// Prints the status.
+/// Prints the status of the keepers, the routers and their histograms.
 pub fn status(command: &StatusCommand) -> Result<bool, String> {
     let connection = read_connection(&command.connect)?;
     let keepers = leader_status(&connection)?;
@@ -181,6 +183,7 @@
     Ok(true)
 }
 
+/// Formats a value as a cell of a table.
 fn text_of(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -189,13 +192,14 @@
     }
 }
 
+/// Returns a row for each value, with a cell for each key.
 fn rows_of(values: &[Value], keys: &[&str]) -> Vec<Vec<String>> {
     values.iter().map(|value| keys.iter().map(|key| text_of(&value[key])).collect()).collect()
 }
 
 fn print_keepers(keepers: &Value) {
     println!(
-        "Keepers: leader {}, term {}, commit {}, version {}, epoch {}, {} claims kept.",
+        "Keepers: leader {}, term {}, commit {}, version {}, epoch {}, {} claims.",
         keepers["leader"],
         keepers["term"],
         keepers["commit"],
@@ -257,7 +261,7 @@
         "router" => {
             let router: u32 = command.name.parse().map_err(|_| "a router is named by number")?;
             connection.json("POST", "/operator/leave", Some(&json!({ "router": router })))?;
-            println!("Router {router} leaves the directory, and ends when its last request has.");
+            println!("Router {router} leaves the directory, and stops after its last request.");
             Ok(true)
         }
         "upstream" => {
@@ -272,7 +276,7 @@
     }
 }
 
-/// Runs a command of `wingshed keeper`.
+/// Runs a subcommand of `wingshed keeper`.
 pub fn keeper(command: &KeeperCommand) -> Result<bool, String> {
     if let KeeperAction::Restore(command) = &command.command {
         return restore(command);
@@ -282,7 +286,7 @@
         KeeperAction::Restore(_) => Ok(true),
         KeeperAction::Transfer(_) => {
             connection.json("POST", "/operator/members", Some(&json!({ "step": "transfer" })))?;
-            println!("Leadership is handed over.");
+            println!("The leader is transferring its leadership.");
             Ok(true)
         }
         KeeperAction::Backup(backup) => {
@@ -298,8 +302,9 @@
     }
 }
 
-/// Brings in the new keeper as a learner, waits until it holds the log, removes the lost one,
-/// and only then counts the new one's vote. Safe to run again after it was broken off.
+/// Adds the new keeper as a learner, removes the lost one, and promotes the new one to a voter once
+/// it has the log. Each step is retried until the time is over. Safe to run again after an
+/// interruption.
 fn replace_keeper(connection: &Connection, replace: &KeeperReplace) -> Result<bool, String> {
     let until = Instant::now() + Duration::from_secs(replace.seconds);
     let remove = json!({ "step": "remove", "id": replace.lost });
@@ -307,18 +312,21 @@
     let promote = json!({ "step": "promote", "id": replace.new });
     let same = replace.lost == replace.new;
     if same {
-        // The lost life must not count beside the new one under the same number.
-        step(connection, "remove the lost life", &remove, until)?;
+        // Removed first, because the lost and the new incarnation of one number can't both be
+        // members.
+        step(connection, "remove the lost incarnation", &remove, until)?;
     }
     step(connection, "add the new keeper", &add, until)?;
     if !same {
         step(connection, "remove the lost keeper", &remove, until)?;
     }
-    step(connection, "give the new keeper its vote", &promote, until)?;
+    step(connection, "promote the new keeper to a voter", &promote, until)?;
     println!("Keeper {} votes in place of {}.", replace.new, replace.lost);
     Ok(true)
 }
 
+/// Makes one change of the membership. Retries while the keepers answer 409, which means that
+/// they can't make the change in their present state.
 fn step(connection: &Connection, what: &str, body: &Value, until: Instant) -> Result<(), String> {
     loop {
         match connection.json("POST", "/operator/members", Some(body)) {
@@ -326,7 +334,7 @@
                 println!("Done: {what}.");
                 return Ok(());
             }
-            // Removing what is gone already is what running this again meets.
+            // A repeated run finds the lost keeper already removed.
             Err(error) if error.contains("404") && body["step"] == "remove" => return Ok(()),
             Err(error) if error.contains("409") && Instant::now() < until => {
                 std::thread::sleep(Duration::from_millis(200));
@@ -336,7 +344,7 @@
     }
 }
 
-/// Gives an order or lists all.
+/// Gives an order to an upstream, or lists all orders if no upstream is named.
 pub fn orders(command: &OrdersCommand) -> Result<bool, String> {
     let connection = read_connection(&command.connect)?;
     let Some(upstream) = &command.upstream else {
@@ -356,6 +364,6 @@
     let id = id.unwrap_or_else(|| format!("cli-{}-{}", wall_ms(), std::process::id()));
     let order = json!({ "id": id, "upstream": upstream, "action": action });
     let value = connection.json("POST", "/operator/orders", Some(&order))?;
-    println!("Order {} is in the log.", value["number"]);
+    println!("Order {} is committed.", value["number"]);
     Ok(true)
 }
--- a/cli/src/operator_client.rs
+++ b/cli/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' interface of the keepers.
+//! Calls to the operator interface of the keepers.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,10 +9,12 @@
 use wingshed_lib::protocol::operator::OPERATOR_HEADER;
 use wingshed_lib::transport::http_client::{CallTimes, HttpClient};
 
+/// The longest answer that is read, in bytes. A backup contains the whole replicated state.
 const LONGEST: usize = 256 << 20;
+/// How many times all keepers are called until one of them answers as the leader.
 const ROUNDS: usize = 20;
 
-/// Where the keepers are and who asks.
+/// The contents of a connection file: the keepers and the operator's credentials.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Connection {
@@ -21,11 +23,11 @@
     /// The operator's name.
     #[serde(default)]
     pub operator: String,
-    /// The operator's key; for the first change, the fleet key.
+    /// The operator's key, or the fleet key for the first change.
     pub key: String,
 }
 
-/// Reads a connection file.
+/// Reads a connection file. Fails if it names no keeper.
 pub fn read_connection(path: &Path) -> Result<Connection, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let read: Connection =
@@ -37,7 +39,7 @@
 }
 
 impl Connection {
-    /// A call at one keeper.
+    /// Calls one keeper.
     pub fn call_at(
         &self,
         address: SocketAddr,
@@ -61,7 +63,8 @@
         client.call(address, &call, times, LONGEST, "operator").map_err(|error| error.to_string())
     }
 
-    /// A call at the keeper that leads. Safe to repeat: changes and orders carry an id.
+    /// Calls the keepers one after another until one answers as the leader. A call may be sent more
+    /// than once, which is safe because changes and orders have an id.
     pub fn call(
         &self,
         method: &str,
@@ -84,7 +87,7 @@
         Err(format!("no keeper leads: {last}"))
     }
 
-    /// A call whose answer is JSON with status 200.
+    /// Calls the leader and parses its answer as JSON. Fails if the status isn't 200.
     pub fn json(&self, method: &str, path: &str, body: Option<&Value>) -> Result<Value, String> {
         let reply = self.call(method, path, body)?;
         match reply.status {
@@ -94,7 +97,7 @@
     }
 }
 
-/// The sentence of an error reply.
+/// Returns the status and message of an error reply.
 pub fn message_of(reply: &HttpReply) -> String {
     let value: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
     let text = value.pointer("/error/message").and_then(Value::as_str);
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -1,4 +1,4 @@
-//! `wingshed trace` and `wingshed replay`.
+//! `wingshed trace` and `wingshed replay`: make traces and replay them through the decision code.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -14,32 +14,32 @@
 
 use crate::table::to_text;
 
-/// make a trace with a seeded load and churn
+/// make a trace of a load and of leaving and returning engines, reproducible by its seed
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub struct TraceCommand {
-    /// hotare or campanario
+    /// the deployment: hotare or campanario
     #[argh(option, default = "String::from(\"hotare\")")]
     deployment: String,
-    /// quiet, flapping, fifth-leaves, surge, lists-differ, late-events or flapping-late
+    /// the case: quiet, flapping, fifth-leaves, surge, lists-differ, late-events or flapping-late
     #[argh(option, default = "String::from(\"quiet\")")]
     case: String,
-    /// how many minutes
+    /// the length of the trace, in minutes
     #[argh(option, default = "10")]
     minutes: u64,
-    /// requests a second, about
+    /// the approximate number of requests per second
     #[argh(option, default = "100.0")]
     rate: f64,
-    /// the multiple of the bound
+    /// the multiple of the mean load that bounds the load of an engine
     #[argh(option, default = "1.25")]
     multiple: f64,
-    /// routers
+    /// the number of routers
     #[argh(option, default = "12")]
     routers: u32,
-    /// engines
+    /// the number of engines
     #[argh(option, default = "40")]
     engines: u32,
-    /// the seed
+    /// the seed of the trace
     #[argh(option, default = "1")]
     seed: u64,
     /// the file to write
@@ -47,7 +47,7 @@
     out: PathBuf,
 }
 
-/// replay a trace through the decision code, and check the outcomes that it states
+/// replay a trace through the decision code, and check the outcomes that the trace expects
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub struct ReplayCommand {
@@ -65,7 +65,7 @@
     trace: PathBuf,
 }
 
-/// Reads a trace file; every finding becomes a line of the error.
+/// Reads a trace file. The error has a line for each finding.
 pub fn load_trace(path: &PathBuf) -> Result<Trace, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     read_trace(&text).map_err(|findings| {
@@ -74,7 +74,7 @@
     })
 }
 
-/// Makes a trace file.
+/// Generates a trace and writes it to a file.
 pub fn make(command: &TraceCommand) -> Result<bool, String> {
     let deployment = TraceDeployment::named(&command.deployment)
         .ok_or_else(|| format!("there is no deployment `{}`", command.deployment))?;
@@ -96,7 +96,9 @@
     Ok(true)
 }
 
-/// The rules to replay, with their names.
+/// Returns the placement rules to replay, with their names: the rule in use and the best reuse that
+/// is possible, and with `all` the other baselines and variants. The rules that "cannot be built"
+/// use knowledge that no router has.
 pub fn rules(all: bool) -> Vec<(&'static str, ReplayRule)> {
     let mut rules = vec![
         ("home, best rule", ReplayRule::Home(BEST_RULE, Some(NO_IMPORT_RATES))),
@@ -123,7 +125,8 @@
     rules
 }
 
-/// Replays a trace; true when every outcome that it states came.
+/// Replays a trace and prints the outcome of each rule. Returns true if the first rule meets all
+/// expectations of the trace.
 pub fn run(command: &ReplayCommand) -> Result<bool, String> {
     let trace = load_trace(&command.trace)?;
     let mut rows = Vec::new();
@@ -165,6 +168,8 @@
     "us/request",
 ];
 
+/// Formats the outcome of a rule as a row of the table. `best` is the best possible reuse, and `us`
+/// the time per request.
 fn to_row(name: &str, outcome: &ReplayOutcome, best: f64, us: f64) -> Vec<String> {
     let percent = |share: f64| format!("{:.1}%", share * 100.0);
     let tokens = &outcome.first_token_ms;
--- a/cli/src/report.rs
+++ b/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! `wingshed report`: plots of a replay, as SVG.
+//! `wingshed report`: draws plots of a replay, as SVG files.
 
 use std::path::{Path, PathBuf};
 
@@ -12,11 +12,13 @@
 use crate::replay::load_trace;
 use crate::table::to_text;
 
+/// The width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 480);
+/// The multiples of the mean load for which the trace is replayed.
 const MULTIPLES: [f64; 8] = [1.1, 1.15, 1.25, 1.35, 1.5, 1.65, 1.8, 2.0];
 const HOME: ReplayRule = ReplayRule::Home(BEST_RULE, Some(NO_IMPORT_RATES));
 
-/// draw a replay: load of each engine, reuse, messages, and reuse against skew
+/// draw plots of a replay: load of each engine, reuse, messages, and reuse against skew
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub struct ReportCommand {
@@ -36,7 +38,7 @@
     name: Option<&'static str>,
 }
 
-/// Draws all plots.
+/// Draws all plots, and prints a table of reuse and skew for each multiple.
 pub fn run(command: &ReportCommand) -> Result<bool, String> {
     let trace = load_trace(&command.trace)?;
     std::fs::create_dir_all(&command.out).map_err(|error| error.to_string())?;
@@ -110,21 +112,22 @@
     });
     let line =
         PlotLine { points: points.collect(), color: BLUE, width: 2, name: Some("30 s window") };
-    plot(path, "Returning requests that found their prefix", ("seconds", "%"), &[line])
+    plot(path, "Returning requests that found their prefix cached", ("seconds", "%"), &[line])
 }
 
 fn plot_messages(path: &Path, outcome: &ReplayOutcome) -> Result<(), String> {
     let pairs = outcome.samples.iter().zip(outcome.samples.iter().skip(1));
     let points = pairs.map(|(a, b)| (b.at_ms as f64 / 1000.0, (b.messages - a.messages) as f64));
     let line = PlotLine { points: points.collect(), color: BLUE, width: 1, name: None };
-    let labels = ("seconds", "renewals and tries elsewhere, all routers");
-    plot(path, "Messages a second for placing", labels, &[line])
+    let labels = ("seconds", "renewals and tries at other routers, all routers");
+    plot(path, "Messages per second for placement", labels, &[line])
 }
 
 fn plot(path: &Path, title: &str, labels: (&str, &str), lines: &[PlotLine]) -> Result<(), String> {
     draw(path, title, labels, lines).map_err(|error| error.to_string())
 }
 
+/// Draws lines into an SVG file. `labels` are those of the horizontal and the vertical axis.
 fn draw(
     path: &Path,
     title: &str,
--- a/cli/src/rollout_play.rs
+++ b/cli/src/rollout_play.rs
@@ -1,78 +1,96 @@
-//! One order played on the decision code alone: requests, VMs that count and report, a leader that judges.
+//! Simulates one order of a roll-out on the decision code alone: requests, VMs that count and
+//! report their answers, and a leader that judges the sums.
 //!
-//! Seeded, and the same to the byte each time. The play goes on as if nothing were found until every
-//! way to judge has found it, so that all look at the same evidence.
+//! The result depends only on the case, which includes the seed. The simulation continues as if the
+//! target were sound until every method of judging has found it unsound, so that all methods get
+//! the same evidence.
 
 use wingshed_lib::coordination::rollout_evidence::{
     EvidenceLedger, EvidenceTable, RolloutArm, RouteKey, RouteSums, TrialOutcome,
 };
 use wingshed_lib::coordination::rollout_share::{ExposureBound, TrialLedger};
 
-/// Routes of the service.
+/// The number of routes of the service.
 pub const ROUTES: u64 = 10;
-/// What a deployment lets an unsound version have.
+/// The bound of a deployment on the requests that an unsound version gets.
 pub const BOUND: ExposureBound = ExposureBound { share: 0.1, slack: 50.0 };
+/// The number of VMs.
 const VMS: u64 = 63;
+/// The number of ticks between two reports of a VM.
 const TELL_TICKS: u64 = 6;
-/// A look of the leader, in milliseconds.
+/// The length of a tick, in milliseconds. The leader judges once a tick.
 pub const TICK_MS: u64 = 50;
-/// From a finding to the last VM that knows: a commit and a push.
+/// The number of ticks from a finding until all VMs have it: the leader commits it and sends it to
+/// the VMs.
 const FINDING_TICKS: u64 = 3;
-/// Traffic is moved this long before the deadline, but not before half the time.
+/// How long before the deadline traffic is moved, in milliseconds, but not before half the time.
 const MOVE_MS: u64 = 3000;
-/// An order is complete this long before its deadline.
+/// How long before its deadline an order is complete, in milliseconds.
 const COMPLETE_MS: u64 = 400;
-/// Of the answers of all versions.
+/// The share of failing answers of all versions, unless the case sets another one.
 const FAILING: f64 = 0.003;
+/// The share of failing answers on a failing route, of all versions.
 const FAILING_ROUTE: f64 = 0.14;
+/// How long the target's upstreams are cold, in milliseconds.
 const COLD_MS: u64 = 3000;
+/// How long there is no leader, in milliseconds.
 const LEADER_LOST_MS: u64 = 1500;
-/// How the logarithms of times spread, within a load and by what the few tried upstreams have to do.
+/// The standard deviation of the logarithm of an answer's time under constant load.
 const SPREAD: f64 = 0.5;
+/// The standard deviation of the drift of the target's times. The drift is the logarithm of a
+/// factor that varies with the load of the few upstreams on trial.
 const DRIFT: f64 = 0.15;
+/// The part of the drift that is left after one tick.
 const DRIFT_KEPT: f64 = 0.97;
+/// The number of events of a streamed answer.
 const STREAM_EVENTS: f64 = 20.0;
+/// The factor of the rate and of the times during a burst.
 const BURST: f64 = 3.0;
-/// So long a crashed upstream is tried on.
+/// How long a crashed upstream still gets requests, in milliseconds.
 const CRASH_MS: u64 = 300;
+/// The number of ticks for which answers can be scheduled in advance. Longer answers end with the
+/// last of them.
 const RING: usize = 1024;
 
-/// What is wrong with the target.
+/// The fault of the target version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TargetFault {
-    /// Nothing.
+    /// No fault.
     Sound,
     /// This part of its answers fails.
     Fails(f64),
-    /// This part of its answers takes so many times as long.
+    /// The first value is the part of its answers that take longer, and the second is the factor.
     Slower(f64, f64),
 }
 
-/// When it shows.
+/// When the fault shows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultTime {
     /// From the start.
     Always,
     /// From the middle of the trial.
     Middle,
-    /// While there is a burst.
+    /// During bursts.
     Burst,
-    /// On one route.
+    /// Always, but on one route only.
     OneRoute,
 }
 
-/// What happens beside.
+/// Events during the order that are independent of the target's fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlaySetting {
-    /// Nothing.
+    /// No events.
     Steady,
-    /// A second in four there are three times as many requests, and all take three times as long.
+    /// During one second in four there are three times as many requests, and all answers take three
+    /// times as long.
     Bursts,
-    /// The target's upstreams are cold.
+    /// The target's upstreams are cold at first: their answers take four times as long, and these
+    /// times aren't counted.
     Cold,
-    /// The leader is lost; the next one starts with nothing.
+    /// The leader is lost, and the next one starts without evidence.
     LeaderLost,
-    /// One of two upstreams of the target that are tried breaks all it runs, and refuses for a while.
+    /// One of the two upstreams on trial crashes: the requests that it runs fail, and for a while
+    /// so do those that it is sent.
     Crash,
     /// One route fails everywhere.
     FailingRoute,
@@ -80,20 +98,20 @@
     AllFailing,
 }
 
-/// What is played.
+/// One case to simulate.
 #[derive(Clone, Copy, Debug)]
 pub struct PlayCase {
-    /// What is wrong.
+    /// The fault of the target version.
     pub fault: TargetFault,
-    /// When.
+    /// When the fault shows.
     pub time: FaultTime,
-    /// What happens beside.
+    /// Events that are independent of the fault.
     pub setting: PlaySetting,
-    /// Requests a second.
+    /// The mean number of requests per second outside bursts.
     pub rate: u64,
-    /// The order's time.
+    /// The duration of the order, in seconds.
     pub seconds: u64,
-    /// Of the draws.
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
@@ -112,7 +130,7 @@
         (all_ms / 2).max(all_ms.saturating_sub(MOVE_MS)) / TICK_MS
     }
 
-    /// When traffic is moved, in milliseconds.
+    /// Returns when traffic is moved to the target, in milliseconds since the start of the order.
     pub fn move_ms(&self) -> u64 {
         self.move_tick() * TICK_MS
     }
@@ -122,18 +140,21 @@
         bursts && (1000..2000).contains(&(tick * TICK_MS % 4000))
     }
 
+    /// Whether there is no leader in this tick.
     fn is_lost(&self, tick: u64) -> bool {
         let from = self.move_tick() / 2;
         let lost = from..from + LEADER_LOST_MS / TICK_MS;
         self.setting == PlaySetting::LeaderLost && lost.contains(&tick)
     }
 
+    /// Whether the crashed upstream fails the requests of this tick.
     fn crashes(&self, tick: u64) -> bool {
         let from = self.move_tick() / 2;
         let refuses = from..from + CRASH_MS / TICK_MS;
         self.setting == PlaySetting::Crash && refuses.contains(&tick)
     }
 
+    /// Whether the fault shows in this tick and on this route.
     fn shows(&self, tick: u64, route: u64) -> bool {
         match self.time {
             FaultTime::Always => true,
@@ -144,32 +165,34 @@
     }
 }
 
-/// Looks at the sums; true when the target is unsound. The flag says that a new leader begins.
+/// A method of judging. It gets the sums, the time in milliseconds, and whether a new leader starts
+/// in this tick, and returns true if the target is unsound.
 pub type JudgeWay<'a> = Box<dyn FnMut(&[RouteSums], u64, bool) -> bool + 'a>;
 
-/// How a play ended for one way to judge.
+/// The result of a simulation for one method of judging.
 #[derive(Clone, Copy, Debug)]
 pub struct WayEnd {
-    /// Found unsound before it was complete, and when, in milliseconds.
+    /// When the target was found unsound, in milliseconds, if it was before the order was complete.
     pub found_ms: Option<u64>,
-    /// Requests that went to the target before that was known everywhere.
+    /// The number of requests that went to the target until all VMs had the finding.
     pub exposed: u64,
 }
 
-/// How a play ended.
+/// The result of a simulation.
 #[derive(Clone, Debug)]
 pub struct PlayEnd {
-    /// By way to judge.
+    /// The results of the methods of judging, in their order.
     pub ways: Vec<WayEnd>,
-    /// Requests that may go to an unsound target.
+    /// The number of requests that may go to an unsound target.
     pub bound: f64,
-    /// When the 50th bad answer ended, in milliseconds, if that was before every way had found it.
+    /// When the 50th bad answer ended, in milliseconds, if it ended before every method had found
+    /// the target unsound.
     pub fiftieth_ms: Option<u64>,
-    /// What the leader knew when traffic was moved.
+    /// The leader's sums when traffic was moved.
     pub sums_at_move: Vec<RouteSums>,
 }
 
-/// Draws, by splitmix64.
+/// A random number generator (splitmix64).
 struct PlayDraws {
     state: u64,
 }
@@ -182,18 +205,20 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number that is uniform in 0..1.
     fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Near a normal one: the sum of four even draws, one word's quarters.
+    /// Returns a number with an approximately standard normal distribution: the scaled sum of the
+    /// four 16-bit parts of a word, each of which is uniform.
     fn normal(&mut self) -> f64 {
         let word = self.next();
         let quarters: u64 = (0..4).map(|at| (word >> (16 * at)) & 0xffff).sum();
         (quarters as f64 / 65536.0 - 2.0) * 3f64.sqrt()
     }
 
-    /// How many come in a tick when `mean` do on average.
+    /// Returns a number of arrivals with a Poisson distribution.
     fn arrivals(&mut self, mean: f64) -> u64 {
         let (end, mut product, mut count) = ((-mean).exp(), self.unit(), 0);
         while product > end {
@@ -204,19 +229,24 @@
     }
 }
 
+/// An answer that ends in a later tick.
 struct PlayAnswer {
     vm: usize,
     route: u64,
     arm: RolloutArm,
     outcome: TrialOutcome,
+    /// Whether it counts as a bad answer of the target.
     bad: bool,
 }
 
+/// The state of a simulation.
 struct PlayState<'a> {
     case: &'a PlayCase,
     draws: PlayDraws,
     vms: Vec<(EvidenceLedger, TrialLedger)>,
+    /// The answers that end in each of the coming ticks, by tick modulo [`RING`].
     ring: Vec<Vec<PlayAnswer>>,
+    /// The logarithm of the factor of the target's times.
     drift: f64,
     exposed: u64,
     bad: u64,
@@ -236,6 +266,7 @@
         PlayState { case, draws, vms, ring, drift, exposed, bad, fiftieth_ms: None }
     }
 
+    /// Sends one request through a random VM on a random route, and schedules its answer.
     fn send(&mut self, tick: u64) {
         let vm = (self.draws.next() % VMS) as usize;
         let route = self.draws.next() % ROUTES;
@@ -252,7 +283,7 @@
         self.ring[((tick + late) % RING as u64) as usize].push(answer);
     }
 
-    /// What answers, and after how long.
+    /// Draws the answer to a request, and the time until it ends, in milliseconds.
     fn answer(&mut self, tick: u64, vm: usize, route: u64, target: bool) -> (PlayAnswer, f64) {
         let case = self.case;
         let shows = target && case.shows(tick, route);
@@ -290,7 +321,7 @@
         (PlayAnswer { vm, route, arm, outcome, bad }, took_ms + first_ms)
     }
 
-    /// Half of what the target runs ends badly.
+    /// Ends half of the requests that the target runs as failures.
     fn crash(&mut self, tick: u64) {
         let mut broken = Vec::new();
         for answers in &mut self.ring {
@@ -306,6 +337,7 @@
         }
     }
 
+    /// Counts the answers that end in this tick in the evidence of their VMs.
     fn end_answers(&mut self, tick: u64) {
         let answers = std::mem::take(&mut self.ring[(tick % RING as u64) as usize]);
         for answer in &answers {
@@ -331,7 +363,7 @@
     }
 }
 
-/// Plays an order under several ways to judge.
+/// Simulates an order and judges it by several methods.
 pub fn play(case: &PlayCase, ways: &mut [JudgeWay]) -> PlayEnd {
     let mut state = PlayState::new(case);
     let mut table = EvidenceTable::default();
--- a/cli/src/rollout_ways.rs
+++ b/cli/src/rollout_ways.rs
@@ -1,19 +1,29 @@
-//! Two other ways to judge a roll-out, kept to be compared with the shipped one.
+//! Two simpler methods of judging a roll-out, as baselines for the method in use.
 
 use std::collections::VecDeque;
 
 use wingshed_lib::coordination::rollout_evidence::{ArmSums, LogSums, RouteSums};
 
+/// The length of the window, in milliseconds.
 const WINDOW_MS: u64 = 3000;
+/// The numbers of the target's bad answers, and of its timed answers, from which a window is
+/// judged.
 const WINDOW_LEAST: (u32, u32) = (4, 10);
+/// The limits in a window: the share of bad answers may be this factor of the base's plus this
+/// margin, and the mean time may be this factor of the base's.
 const WINDOW_LIMITS: (f64, f64, f64) = (2.0, 0.05, 1.6);
+/// The number of the target's bad answers, and of timed answers on each side, from which the sums
+/// since the order are judged.
 const WHOLE_LEAST: u32 = 5;
+/// The number of standard deviations beyond which the target is unsound.
 const WHOLE_DEVIATIONS: f64 = 4.0;
+/// The factor of the base's mean time from which deviations are counted.
 const WHOLE_SLOW: f64 = 1.3;
 
-/// What the way by windows remembers: rows and when they were reported.
+/// The state of [`judge_window`]: earlier sums with the time of each, in milliseconds.
 pub type ReportWindow = VecDeque<(u64, Vec<RouteSums>)>;
 
+/// Sums one side of all routes.
 fn total(rows: &[RouteSums], side: fn(&RouteSums) -> &ArmSums) -> ArmSums {
     let mut all = ArmSums::default();
     for arm in rows.iter().map(side) {
@@ -27,13 +37,15 @@
     all
 }
 
+/// Returns the rows of all routes and a row of their totals.
 fn with_total(rows: &[RouteSums]) -> Vec<RouteSums> {
     let (base, target) = (total(rows, |row| &row.base), total(rows, |row| &row.target));
     let all = RouteSums { base, target, ..RouteSums::default() };
     rows.iter().copied().chain([all]).collect()
 }
 
-/// Fixed thresholds over the last window.
+/// Judges by fixed thresholds over the last window, for each route and all together. Returns true
+/// if the target is unsound.
 pub fn judge_window(window: &mut ReportWindow, sums: &[RouteSums], now_ms: u64) -> bool {
     let rows = with_total(sums);
     window.push_back((now_ms, rows.clone()));
@@ -51,6 +63,7 @@
     })
 }
 
+/// Whether the target exceeds a limit in these sums.
 fn passes_limits(slice: &RouteSums) -> bool {
     let (bad, answers) = WINDOW_LEAST;
     let (times, beside, slow) = WINDOW_LIMITS;
@@ -64,7 +77,8 @@
         || is_slow(&slice.target.first, &slice.base.first)
 }
 
-/// Deviations between the sums since the order.
+/// Judges by the standard deviations between base and target in the sums since the order, for each
+/// route and all together. Returns true if the target is unsound.
 pub fn judge_whole(sums: &[RouteSums]) -> bool {
     with_total(sums).iter().any(|row| {
         let (target, base) = (&row.target, &row.base);
@@ -77,6 +91,7 @@
     })
 }
 
+/// Returns the difference of the shares of bad answers, in standard deviations.
 fn bad_deviations(target: &ArmSums, base: &ArmSums) -> f64 {
     let (target_all, base_all) = (f64::from(target.all()), f64::from(base.all().max(1)));
     let part = f64::from(target.bad + base.bad) / (target_all + base_all);
@@ -84,6 +99,8 @@
     apart / (part * (1.0 - part) * (1.0 / target_all + 1.0 / base_all)).sqrt().max(1e-9)
 }
 
+/// Returns how far the target's mean logarithm of times exceeds the base's by more than
+/// [`WHOLE_SLOW`], in standard deviations.
 fn slow_deviations(target: &LogSums, base: &LogSums) -> f64 {
     let variance = |sums: &LogSums| {
         let mean = sums.mean();
--- a/cli/src/table.rs
+++ b/cli/src/table.rs
@@ -1,6 +1,6 @@
 //! Plain text tables.
 
-/// A table as text: columns padded to their widest cell.
+/// Formats a table as text, with every column padded to its widest cell.
 pub fn to_text(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = head.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
--- a/cli/src/vm_client.rs
+++ b/cli/src/vm_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' interface of VMs: one after the other, as operators do.
+//! Calls to the operator interface of VMs, one VM after another.
 
 use std::net::{SocketAddr, ToSocketAddrs};
 use std::time::{Duration, Instant};
@@ -6,33 +6,33 @@
 use wingshed_lib::protocol::http::HttpCall;
 use wingshed_lib::transport::http_client::{CallTimes, HttpClient};
 
-/// A VM that doesn't answer within this long isn't waited for, in milliseconds: each VM answers or
-/// refuses 850 ms after it was asked.
+/// How long to wait for the answer of one VM, in milliseconds. Each VM answers or refuses within
+/// 850 ms of receiving a call, so a shorter time would abandon calls that are still answered.
 const ANSWER_MS: u64 = 1000;
-/// All VMs are asked again and again for this long. An order that is repeated later could be taken for
-/// a new one, had the first ended meanwhile: VMs know it again for 5,850 ms where nothing else is set.
+/// How long a call is repeated. VMs recognize a repeated order for 5,850 ms by default; an order
+/// that is sent again later could be taken for a new one if the first has ended in the meantime.
 const TRIED: Duration = Duration::from_millis(4500);
-/// How long until they are asked again, in milliseconds.
+/// The pause before all VMs are called again, in milliseconds.
 const AGAIN_MS: u64 = 200;
-/// The longest answer, in bytes.
+/// The longest answer that is read, in bytes.
 const LONGEST: usize = 16 << 20;
 
-/// The VMs that an operator named.
+/// Calls the VMs whose control addresses an operator named.
 pub struct VmClient {
     addresses: Vec<SocketAddr>,
 }
 
-/// What a VM answered.
+/// The answer of a VM.
 #[derive(Debug)]
 pub struct VmReply {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl VmReply {
-    /// The sentence of a refusal.
+    /// Returns the status and message of a refusal.
     pub fn refusal(&self) -> String {
         let text = String::from_utf8_lossy(&self.body);
         match text.trim() {
@@ -41,18 +41,18 @@
         }
     }
 
-    /// The body as JSON, when the call was answered with success.
+    /// Parses the body as JSON. Fails if the status isn't 200.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T, String> {
         match self.status {
             200 => serde_json::from_slice(&self.body)
-                .map_err(|error| format!("an answer can't be read: {error}")),
+                .map_err(|error| format!("the answer cannot be parsed: {error}")),
             _ => Err(self.refusal()),
         }
     }
 }
 
 impl VmClient {
-    /// A client of the VMs with these control addresses, `HOST:PORT` each.
+    /// Creates a client for the VMs with these control addresses, `HOST:PORT` each.
     pub fn new(names: &[String]) -> Result<VmClient, String> {
         if names.is_empty() {
             return Err("name a VM's control address by --at HOST:PORT".to_string());
@@ -65,8 +65,9 @@
         Ok(VmClient { addresses: names.iter().map(address).collect::<Result<_, _>>()? })
     }
 
-    /// Calls VM after VM until one answers with a status below 500. Safe to repeat: an order that is
-    /// asked for again is the same order.
+    /// Calls one VM after another until one answers with a status below 500, for [`TRIED`] at most.
+    /// A call may be sent more than once, which is safe because VMs treat a repeated order as the
+    /// same order.
     pub fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<VmReply, String> {
         let began = Instant::now();
         loop {
@@ -82,7 +83,7 @@
                 }
             }
             if began.elapsed() + Duration::from_millis(AGAIN_MS) >= TRIED {
-                return Err(format!("no VM gave an answer: {}", last.join("; ")));
+                return Err(format!("no VM answered the call: {}", last.join("; ")));
             }
             std::thread::sleep(Duration::from_millis(AGAIN_MS));
         }
@@ -108,7 +109,7 @@
     }
 }
 
-/// A name as it stands in a path.
+/// Percent-encodes a name for use as a segment of a path.
 pub fn path_part(name: &str) -> String {
     let mut text = String::new();
     for byte in name.bytes() {
