--- a/cli/src/bench_classes.rs
+++ b/cli/src/bench_classes.rs
@@ -12,7 +12,7 @@
 use crate::table::to_text;
 
 /// How long the watched callers run.
-const RUN: Duration = Duration::from_secs(10);
+const RUN_TIME: Duration = Duration::from_secs(10);
 /// The number of callers whose latency is measured.
 const WATCHED_CALLERS: usize = 12;
 /// The number of callers that make the disturbing load.
@@ -44,8 +44,8 @@
     max_tokens: 120,
     pause: Duration::ZERO,
 };
-const EVERYDAY: CallerKind = CallerKind { service: "chat", ..TEASER };
-const SURGE: CallerKind = CallerKind { workspace: 2, pause: Duration::ZERO, ..EVERYDAY };
+const NORMAL: CallerKind = CallerKind { service: "chat", ..TEASER };
+const SURGE: CallerKind = CallerKind { workspace: 2, pause: Duration::ZERO, ..NORMAL };
 
 /// Prints the time to the first token and the gaps between pieces of the watched callers, with and
 /// without each disturbance.
@@ -53,8 +53,8 @@
     let rows: [(&str, CallerKind, Option<CallerKind>, bool); 6] = [
         ("teasers alone", TEASER, None, false),
         ("teasers beside digests", TEASER, Some(DIGEST), false),
-        ("a quiet workspace alone", EVERYDAY, None, false),
-        ("a quiet workspace beside a surge", EVERYDAY, Some(SURGE), false),
+        ("a quiet workspace alone", NORMAL, None, false),
+        ("a quiet workspace beside a surge", NORMAL, Some(SURGE), false),
         ("teasers, half the engines slow", TEASER, None, true),
         ("teasers beside digests, half the engines slow", TEASER, Some(DIGEST), true),
     ];
@@ -109,7 +109,7 @@
         let others = other.map_or(Vec::new(), |kind| spawn(kind, OTHER_CALLERS, "o"));
         std::thread::sleep(Duration::from_millis(500));
         let watched = spawn(watched, WATCHED_CALLERS, "w");
-        std::thread::sleep(RUN);
+        std::thread::sleep(RUN_TIME);
         stop.store(true, Ordering::Relaxed);
         let join = |threads: Vec<std::thread::ScopedJoinHandle<'_, Vec<CallerAnswer>>>| {
             threads.into_iter().filter_map(|thread| thread.join().ok()).flatten().collect()
--- a/cli/src/bench_control.rs
+++ b/cli/src/bench_control.rs
@@ -12,9 +12,9 @@
 use crate::table::to_text;
 
 /// How long traffic is counted for each number of routers.
-const RUN: Duration = Duration::from_secs(4);
+const RUN_TIME: Duration = Duration::from_secs(4);
 /// The kinds of traffic that are requests and answers. All other kinds are control traffic.
-const DATA: [&str; 4] = ["engine", "plain", "forward", "caller"];
+const DATA_KINDS: [&str; 4] = ["engine", "plain", "forward", "caller"];
 
 /// Prints the bytes per second and router, and the largest kinds.
 pub fn control() -> Result<(), String> {
@@ -39,8 +39,8 @@
         let before = sum_wire(&system);
         let threads = thread_seconds();
         let started = Instant::now();
-        let requests = if loaded { put_load(&system) } else { 0 };
-        std::thread::sleep(RUN.saturating_sub(started.elapsed()));
+        let requests = if loaded { run_load(&system) } else { 0 };
+        std::thread::sleep(RUN_TIME.saturating_sub(started.elapsed()));
         let seconds = started.elapsed().as_secs_f64();
         let after = sum_wire(&system);
         let spent = thread_seconds();
@@ -99,7 +99,7 @@
     let routers = system.routers.iter().flatten();
     for row in routers.flat_map(|router| router.shared().wire_rows()) {
         let WireRow { kind, sent_bytes, received_bytes, .. } = row;
-        if !DATA.contains(&kind.as_str()) {
+        if !DATA_KINDS.contains(&kind.as_str()) {
             let sum = sums.entry(kind).or_default();
             sum[0] += sent_bytes;
             sum[1] += received_bytes;
@@ -108,10 +108,11 @@
     sums
 }
 
-/// Sends requests from 24 callers for [`RUN`], a tenth of them run-once, and returns their number.
-fn put_load(system: &SystemStandIn) -> usize {
+/// Sends requests from 24 callers for [`RUN_TIME`], a tenth of them run-once, and returns their
+/// number.
+fn run_load(system: &SystemStandIn) -> usize {
     let routers = system.router_addresses();
-    let until = Instant::now() + RUN;
+    let until = Instant::now() + RUN_TIME;
     std::thread::scope(|scope| {
         let callers: Vec<_> = (0..24usize)
             .map(|caller| {
--- a/cli/src/bench_decision.rs
+++ b/cli/src/bench_decision.rs
@@ -68,7 +68,7 @@
             let start = Instant::now();
             let decided = decide_policy(&program, &facts);
             let middle = Instant::now();
-            let known = PlacementContext {
+            let context = PlacementContext {
                 own: RouterId(0),
                 fleet: FLEET,
                 view: &view,
@@ -80,7 +80,7 @@
                 multiple: 1.25,
                 work: 600,
             };
-            let places = place_candidates(ChatKey(round as u64 * 7), &known, &BEST_RULE);
+            let places = place_candidates(ChatKey(round as u64 * 7), &context, &BEST_RULE);
             let end = Instant::now();
             std::hint::black_box((decided.is_ok(), places.len()));
             policy_us.push((middle - start).as_nanos() as f64 / 1000.0);
@@ -143,7 +143,7 @@
     add("claims kept by a keeper", 1_000_000, before);
 
     let before = now();
-    let configuration = big_configuration(48_000, 11_000);
+    let configuration = make_configuration(48_000, 11_000);
     let peak = now();
     // SAFETY: `malloc_trim` only returns freed memory to the system.
     unsafe { libc::malloc_trim(0) };
@@ -166,22 +166,23 @@
 }
 
 /// Makes a configuration with these numbers of workspaces and of upstreams.
-pub fn big_configuration(workspaces: usize, servers: usize) -> Configuration {
-    let mut ws = serde_json::Map::new();
+pub fn make_configuration(workspaces: usize, servers: usize) -> Configuration {
+    let mut workspace_entries = serde_json::Map::new();
     for number in 0..workspaces {
         let entry = json!({ "key_hash": "00".repeat(32), "policy": "main" });
-        ws.insert(format!("w{number}"), entry);
+        workspace_entries.insert(format!("w{number}"), entry);
     }
-    let mut ups = serde_json::Map::new();
+    let mut upstream_entries = serde_json::Map::new();
     for number in 0..servers {
         let address = format!("10.{}.{}.{}:80", number >> 16, (number >> 8) & 255, number & 255);
-        ups.insert(
+        upstream_entries.insert(
             format!("engine-{number}"),
             json!({ "fleet": "engines", "address": address, "zone": "a" }),
         );
     }
     let document = json!({
-        "fleets": { "engines": { "kind": "engine" } }, "upstreams": ups, "workspaces": ws,
+        "fleets": { "engines": { "kind": "engine" } },
+        "upstreams": upstream_entries, "workspaces": workspace_entries,
         "policies": { "main": { "source": POLICY } },
     });
     read_configuration(&document.to_string()).expect("the document is valid")
--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -30,7 +30,7 @@
 use crate::table::to_text;
 
 /// How long claims are sent for each row.
-const RUN: Duration = Duration::from_secs(3);
+const RUN_TIME: Duration = Duration::from_secs(3);
 /// The number of changes whose time until in force is measured.
 const CHANGES: usize = 60;
 /// The number of changes in the log from which a keeper restarts.
@@ -72,7 +72,7 @@
         }
         let group = KeeperGroup { nodes, list, _folder: folder };
         let until = Instant::now() + Duration::from_secs(10);
-        while !group.nodes.iter().any(|node| node.read(|_, vouched| vouched) == Some(true)) {
+        while !group.nodes.iter().any(|node| node.read(|_, confirmed| confirmed) == Some(true)) {
             if Instant::now() > until {
                 return Err("no keeper leads".to_string());
             }
@@ -82,7 +82,7 @@
     }
 
     fn client(&self) -> KeeperClient {
-        let maker = Arc::new(SealMaker::new(FLEET_KEY, rand_number()));
+        let maker = Arc::new(SealMaker::new(FLEET_KEY, random_number()));
         KeeperClient::new(self.list.clone(), maker, HttpClient::default(), CallTimes::of_ms(5000))
     }
 
@@ -95,7 +95,7 @@
 }
 
 /// Returns a random number from the random state of the standard library's hash maps.
-fn rand_number() -> u64 {
+fn random_number() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
@@ -113,10 +113,10 @@
                 let (client, next, granted) = (group.client(), &next, &granted);
                 scope.spawn(move || {
                     let mut times = Vec::new();
-                    while started.elapsed() < RUN {
+                    while started.elapsed() < RUN_TIME {
                         let first = next.fetch_add(size, Ordering::Relaxed);
                         let claims = (first..first + size).map(|number| ClaimRequest {
-                            key: ClaimKey(((rand_number() as u128) << 64) | number as u128),
+                            key: ClaimKey(((random_number() as u128) << 64) | number as u128),
                             holder: RouterId(1),
                             incarnation: Incarnation(1),
                             attempt: number,
@@ -144,7 +144,7 @@
 /// Prints all measurements of keepers.
 pub fn keeper() -> Result<(), String> {
     claims()?;
-    in_force()?;
+    change_times()?;
     restart()
 }
 
@@ -169,7 +169,7 @@
 
 /// Measures on 12 routers how long it takes until a change is accepted, and from then until it is
 /// in force on all of them.
-fn in_force() -> Result<(), String> {
+fn change_times() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let mut make = SystemMake::small(folder.path().to_path_buf());
     make.keepers = 3;
@@ -258,7 +258,8 @@
         let started = Instant::now();
         let node = KeeperNode::start(settings.clone()).map_err(|error| error.to_string())?;
         let version = |node: &KeeperNode| {
-            node.read(|keeper, vouched| vouched.then(|| keeper.configuration().version)).flatten()
+            node.read(|keeper, confirmed| confirmed.then(|| keeper.configuration().version))
+                .flatten()
         };
         while version(&node) != Some(RESTART_CHANGES) {
             if started.elapsed() > Duration::from_secs(60) {
--- a/cli/src/bench_relay.rs
+++ b/cli/src/bench_relay.rs
@@ -20,9 +20,9 @@
 use crate::table::to_text;
 
 /// The number of calls on each path.
-const CALLS: usize = 400;
+const CALL_COUNT: usize = 400;
 /// The number of pieces of an answer of these calls.
-const PIECES: u32 = 24;
+const CALL_PIECES: u32 = 24;
 /// The number of pieces of an answer of `streams`.
 const STREAM_PIECES: u32 = 200;
 /// The time between two pieces of these answers, in milliseconds.
@@ -99,7 +99,7 @@
         let until = Instant::now() + Duration::from_secs(20);
         for router in &self.routers {
             loop {
-                let ask = bench_ask("probe", "probe", 1, true);
+                let ask = bench_request("probe", "probe", 1, true);
                 if send(&self.system.client, *router, &chat_call(&ask), None).whole {
                     break;
                 }
@@ -114,7 +114,7 @@
     }
 }
 
-fn bench_ask(id: &str, chat: &str, max_tokens: u32, returning: bool) -> ChatAsk {
+fn bench_request(id: &str, chat: &str, max_tokens: u32, returning: bool) -> ChatAsk {
     ChatAsk {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
@@ -138,8 +138,8 @@
     let direct = site.system.engines[0].as_ref().map(|engine| engine.address);
     let direct = direct.ok_or("no engine runs")?;
     let mut answers: [Vec<CallerAnswer>; 3] = Default::default();
-    for number in 0..CALLS {
-        let ask = bench_ask(&format!("b{number}"), &format!("c{number}"), PIECES, true);
+    for number in 0..CALL_COUNT {
+        let ask = bench_request(&format!("b{number}"), &format!("c{number}"), CALL_PIECES, true);
         let call = chat_call(&ask);
         let direct_call = direct_chat(number, &call);
         answers[0].push(send(&client, direct, &direct_call, None));
@@ -217,7 +217,7 @@
                         .spawn_scoped(scope, move || {
                             std::thread::sleep(Duration::from_micros(500 * number as u64));
                             let id = format!("s{streams}-{number}");
-                            let ask = bench_ask(&id, &id, STREAM_PIECES, false);
+                            let ask = bench_request(&id, &id, STREAM_PIECES, false);
                             let call = chat_call(&ask);
                             send(&HttpClient::default(), site.routers[0], &call, None)
                         })
--- a/cli/src/bench_rollout_cost.rs
+++ b/cli/src/bench_rollout_cost.rs
@@ -27,20 +27,20 @@
     let mut rows = Vec::new();
     for vms in VMS {
         for routes in ROUTES {
-            rows.push(cost_of(vms, routes));
+            rows.push(measure(vms, routes));
         }
     }
     let head = ["VMs", "routes", "bytes a renewal", "take, us", "look, us", "leader, % of a core"];
     print!("{}", to_text(&head, &rows));
 }
 
-fn cost_of(vms: u32, routes: u32) -> Vec<String> {
+fn measure(vms: u32, routes: u32) -> Vec<String> {
     let mut ledgers: Vec<EvidenceLedger> = (0..vms).map(|_| EvidenceLedger::new(1)).collect();
     let (mut table, mut verdict) = (EvidenceTable::default(), VerdictState::default());
-    let (mut took_us, mut looked_us, mut bytes) = (0.0, 0.0, 0);
+    let (mut taken_us, mut judged_us, mut bytes) = (0.0, 0.0, 0);
     for round in 0..ROUNDS {
         for (vm, ledger) in ledgers.iter_mut().enumerate() {
-            send_some(ledger, routes, round + vm as u64);
+            record_requests(ledger, routes, round + vm as u64);
             let rows = ledger.rows();
             let note = RolloutReport {
                 service: VersionKey(7),
@@ -52,15 +52,15 @@
             bytes = encode(&note).len();
             let began = Instant::now();
             table.take(vm as u32, 1, rows);
-            took_us += began.elapsed().as_secs_f64() * 1e6;
+            taken_us += began.elapsed().as_secs_f64() * 1e6;
         }
         let began = Instant::now();
         let found = verdict.judge(&table.sums(), round * RENEW_MS);
-        looked_us += began.elapsed().as_secs_f64() * 1e6;
+        judged_us += began.elapsed().as_secs_f64() * 1e6;
         assert!(found.is_none(), "the base and the target have equal answers");
     }
-    let take_us = took_us / (ROUNDS * u64::from(vms)) as f64;
-    let look_us = looked_us / ROUNDS as f64;
+    let take_us = taken_us / (ROUNDS * u64::from(vms)) as f64;
+    let look_us = judged_us / ROUNDS as f64;
     let renewals_per_s = f64::from(vms) * 1000.0 / RENEW_MS as f64;
     let looks_per_s = 20.0;
     let part = (renewals_per_s * take_us + looks_per_s * look_us) / 1e4;
@@ -75,7 +75,7 @@
 }
 
 /// Records one request to the base and one to the target of each route.
-fn send_some(ledger: &mut EvidenceLedger, routes: u32, draw: u64) {
+fn record_requests(ledger: &mut EvidenceLedger, routes: u32, draw: u64) {
     for route in 0..routes {
         for arm in [RolloutArm::Base, RolloutArm::Target] {
             let pace_ms = Some(20.0 + (draw * 7 % 13) as f64);
--- a/cli/src/bench_rollouts.rs
+++ b/cli/src/bench_rollouts.rs
@@ -8,8 +8,10 @@
 use wingshed_lib::coordination::rollout_verdict::{has_enough_answers, VerdictState};
 
 use crate::bench_decision::percentile;
-use crate::rollout_play::{play, FaultTime, JudgeWay, PlayCase, PlayEnd, PlaySetting, TargetFault};
-use crate::rollout_ways::{judge_whole, judge_window};
+use crate::rollout_play::{
+    simulate, FaultTime, JudgeMethod, SimCase, SimResult, SimSetting, TargetFault,
+};
+use crate::rollout_ways::{judge_total, judge_window};
 use crate::table::to_text;
 
 /// The rates to simulate, in requests per second.
@@ -19,12 +21,12 @@
 /// The number of orders of each case.
 const SEEDS: u64 = 200;
 const THREADS: usize = 3;
-/// The names of the methods of judging, in the order of [`PlayEnd::ways`].
-const WAYS: [&str; 3] =
+/// The names of the methods of judging, in the order of [`SimResult::methods`].
+const METHODS: [&str; 3] =
     ["odds, slice by slice", "window, thresholds", "since the order, deviations"];
 /// How long after its 50th bad answer an unsound version must be rolled back at the latest, in
 /// milliseconds.
-const ROLL_BACK_MS: f64 = 5000.0;
+const MAX_ROLL_BACK_MS: f64 = 5000.0;
 
 /// Which of the cases are simulated.
 pub struct RolloutsOptions {
@@ -37,26 +39,27 @@
 }
 
 /// The cases of one line of the table.
-struct PlayLine {
+struct TableLine {
     name: String,
     fault: TargetFault,
     time: FaultTime,
-    setting: PlaySetting,
+    setting: SimSetting,
 }
 
-fn lines() -> Vec<PlayLine> {
+fn lines() -> Vec<TableLine> {
     let settings = [
-        ("steady", PlaySetting::Steady),
-        ("bursts", PlaySetting::Bursts),
-        ("cold for 3 s", PlaySetting::Cold),
-        ("leader lost", PlaySetting::LeaderLost),
-        ("an upstream crashes", PlaySetting::Crash),
-        ("a route fails 14%", PlaySetting::FailingRoute),
-        ("all routes fail 14%", PlaySetting::AllFailing),
+        ("steady", SimSetting::Steady),
+        ("bursts", SimSetting::Bursts),
+        ("cold for 3 s", SimSetting::Cold),
+        ("leader lost", SimSetting::LeaderLost),
+        ("an upstream crashes", SimSetting::Crash),
+        ("a route fails 14%", SimSetting::FailingRoute),
+        ("all routes fail 14%", SimSetting::AllFailing),
     ];
     let (fault, time) = (TargetFault::Sound, FaultTime::Always);
-    let sound = |(name, setting)| PlayLine { name: format!("sound, {name}"), fault, time, setting };
-    let mut lines: Vec<PlayLine> = settings.into_iter().map(sound).collect();
+    let sound =
+        |(name, setting)| TableLine { name: format!("sound, {name}"), fault, time, setting };
+    let mut lines: Vec<TableLine> = settings.into_iter().map(sound).collect();
     let faults = [
         ("fails 5%", TargetFault::Fails(0.05)),
         ("fails 20%", TargetFault::Fails(0.2)),
@@ -74,9 +77,9 @@
         (", one route of ten", FaultTime::OneRoute),
     ];
     for (fault_name, fault) in faults {
-        let setting = PlaySetting::Steady;
+        let setting = SimSetting::Steady;
         let line =
-            |(name, time)| PlayLine { name: format!("{fault_name}{name}"), fault, time, setting };
+            |(name, time)| TableLine { name: format!("{fault_name}{name}"), fault, time, setting };
         lines.extend(times.into_iter().map(line));
     }
     lines
@@ -96,11 +99,11 @@
         for (rate, seconds) in &grid {
             let (fault, time, setting) = (line.fault, line.time, line.setting);
             let (rate, seconds) = (*rate, *seconds);
-            let case = |seed| PlayCase { fault, time, setting, rate, seconds, seed: seed + 1 };
+            let case = |seed| SimCase { fault, time, setting, rate, seconds, seed: seed + 1 };
             cases.extend((0..seeds).map(case));
         }
     }
-    let ends = play_all(&cases);
+    let ends = simulate_all(&cases);
     let of_line =
         |at: usize| &ends[at * grid.len() * seeds as usize..][..grid.len() * seeds as usize];
     let rows: Vec<Vec<String>> =
@@ -118,7 +121,7 @@
     );
     println!("{}\n", to_text(&head, &rows));
     let rows: Vec<Vec<String>> =
-        (0..WAYS.len()).map(|way| to_way_row(way, &lines, &ends)).collect();
+        (0..METHODS.len()).map(|method| to_method_row(method, &lines, &ends)).collect();
     let head = [
         "way",
         "sound complete",
@@ -138,15 +141,15 @@
 }
 
 /// Simulates all cases on [`THREADS`] threads, and returns the results in the order of the cases.
-fn play_all(cases: &[PlayCase]) -> Vec<PlayEnd> {
+fn simulate_all(cases: &[SimCase]) -> Vec<SimResult> {
     let next = AtomicUsize::new(0);
-    let ends: Mutex<Vec<(usize, PlayEnd)>> = Mutex::new(Vec::new());
+    let ends: Mutex<Vec<(usize, SimResult)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
                 let Some(case) = cases.get(at) else { break };
-                let end = play_one(case);
+                let end = simulate_one(case);
                 ends.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((at, end));
             });
         }
@@ -157,50 +160,51 @@
 }
 
 /// Simulates one case with all methods of judging.
-fn play_one(case: &PlayCase) -> PlayEnd {
+fn simulate_one(case: &SimCase) -> SimResult {
     let mut verdict = VerdictState::default();
     let mut window = VecDeque::new();
-    let mut ways: [JudgeWay; 3] = [
-        Box::new(|sums, now_ms, begins| {
-            if begins {
+    let mut methods: [JudgeMethod; 3] = [
+        Box::new(|sums, now_ms, new_leader| {
+            if new_leader {
                 verdict = VerdictState::default();
             }
             let found = verdict.judge(sums, now_ms).is_some();
             found || (now_ms == case.move_ms() && verdict.likely_unsound(sums).is_some())
         }),
-        Box::new(|sums, now_ms, begins| {
-            if begins {
+        Box::new(|sums, now_ms, new_leader| {
+            if new_leader {
                 window.clear();
             }
             judge_window(&mut window, sums, now_ms)
         }),
-        Box::new(|sums, _, _| judge_whole(sums)),
+        Box::new(|sums, _, _| judge_total(sums)),
     ];
-    play(case, &mut ways)
+    simulate(case, &mut methods)
 }
 
 /// Returns how long after the 50th bad answer the version was found unsound, in milliseconds, or
 /// `None` if the simulation ended before that answer. A version that wasn't found counts as found
 /// at `end_ms`.
-fn past_fiftieth_ms(end: &PlayEnd, way: usize, end_ms: f64) -> Option<f64> {
-    let found_ms = end.ways[way].found_ms.map_or(end_ms, |found_ms| found_ms as f64);
+fn past_fiftieth_ms(end: &SimResult, method: usize, end_ms: f64) -> Option<f64> {
+    let found_ms = end.methods[method].found_ms.map_or(end_ms, |found_ms| found_ms as f64);
     end.fiftieth_ms.map(|fiftieth_ms| found_ms - fiftieth_ms as f64)
 }
 
-/// Whether the version was found later than [`ROLL_BACK_MS`] after its 50th bad answer, or never.
-fn is_late(end: &PlayEnd, way: usize) -> bool {
-    past_fiftieth_ms(end, way, f64::INFINITY).is_some_and(|past_ms| past_ms > ROLL_BACK_MS)
+/// Whether the version was found later than [`MAX_ROLL_BACK_MS`] after its 50th bad answer, or
+/// never.
+fn is_late(end: &SimResult, method: usize) -> bool {
+    past_fiftieth_ms(end, method, f64::INFINITY).is_some_and(|past_ms| past_ms > MAX_ROLL_BACK_MS)
 }
 
 /// Whether the version got more requests than its bound.
-fn is_over(end: &PlayEnd, way: usize) -> bool {
-    end.ways[way].exposed as f64 > end.bound
+fn exceeds_bound(end: &SimResult, method: usize) -> bool {
+    end.methods[method].exposed as f64 > end.bound
 }
 
 /// Whether the version was judged correctly: an unsound one is found, and a sound one
 /// isn't and has enough answers to complete.
-fn is_right(line: &PlayLine, end: &PlayEnd, way: usize) -> bool {
-    let found = end.ways[way].found_ms.is_some();
+fn is_correct(line: &TableLine, end: &SimResult, method: usize) -> bool {
+    let found = end.methods[method].found_ms.is_some();
     match line.fault {
         TargetFault::Sound => !found && has_enough_answers(&end.sums_at_move),
         _ => found,
@@ -208,23 +212,24 @@
 }
 
 /// Formats the results of one line with the first method.
-fn to_row(line: &PlayLine, ends: &[PlayEnd], seeds: u64) -> Vec<String> {
+fn to_row(line: &TableLine, ends: &[SimResult], seeds: u64) -> Vec<String> {
     let mut row = vec![line.name.clone()];
     for cell in ends.chunks(seeds as usize) {
-        row.push(cell.iter().filter(|end| is_right(line, end, 0)).count().to_string());
+        row.push(cell.iter().filter(|end| is_correct(line, end, 0)).count().to_string());
     }
     if line.fault == TargetFault::Sound {
         return row;
     }
-    let exposed: Vec<f64> = ends.iter().map(|end| end.ways[0].exposed as f64 / end.bound).collect();
-    let found = ends.iter().filter_map(|end| end.ways[0].found_ms);
+    let exposed: Vec<f64> =
+        ends.iter().map(|end| end.methods[0].exposed as f64 / end.bound).collect();
+    let found = ends.iter().filter_map(|end| end.methods[0].found_ms);
     let found: Vec<f64> = found.map(|found_ms| found_ms as f64 / 1000.0).collect();
-    let past = ends.iter().filter(|end| end.ways[0].found_ms.is_some());
+    let past = ends.iter().filter(|end| end.methods[0].found_ms.is_some());
     let past = past.filter_map(|end| past_fiftieth_ms(end, 0, 0.0));
     let past_most = past.fold(f64::NEG_INFINITY, f64::max) / 1000.0;
     row.push(format!("{:.2}", percentile(&exposed, 0.5)));
     row.push(format!("{:.2}", percentile(&exposed, 1.0)));
-    row.push(ends.iter().filter(|end| is_over(end, 0)).count().to_string());
+    row.push(ends.iter().filter(|end| exceeds_bound(end, 0)).count().to_string());
     row.push(format!("{:.1}", percentile(&found, 0.5)));
     row.push(if past_most.is_finite() { format!("{past_most:.1}") } else { "-".to_string() });
     row.push(ends.iter().filter(|end| is_late(end, 0)).count().to_string());
@@ -232,18 +237,18 @@
 }
 
 /// Formats the results of one method over all lines.
-fn to_way_row(way: usize, lines: &[PlayLine], ends: &[PlayEnd]) -> Vec<String> {
+fn to_method_row(method: usize, lines: &[TableLine], ends: &[SimResult]) -> Vec<String> {
     let each = ends.len() / lines.len();
     let of_lines = || lines.iter().zip(ends.chunks(each));
     let thousandths = |fault: &dyn Fn(&TargetFault) -> bool| {
         let (mut right, mut all) = (0, 0);
         for (line, ends) in of_lines().filter(|(line, _)| fault(&line.fault)) {
-            right += ends.iter().filter(|end| is_right(line, end, way)).count();
+            right += ends.iter().filter(|end| is_correct(line, end, method)).count();
             all += ends.len();
         }
         format!("{:.0}", 1000.0 * right as f64 / all.max(1) as f64)
     };
-    let mut row = vec![WAYS[way].to_string()];
+    let mut row = vec![METHODS[method].to_string()];
     row.push(thousandths(&|fault| *fault == TargetFault::Sound));
     let mut faults: Vec<TargetFault> = lines.iter().map(|line| line.fault).collect();
     faults.dedup();
@@ -251,8 +256,9 @@
         row.push(thousandths(&|fault| fault == one));
     }
     let unsound = || of_lines().filter(|(line, _)| line.fault != TargetFault::Sound);
-    let over = unsound().flat_map(|(_, ends)| ends).filter(|end| is_over(end, way)).count();
-    let late = unsound().flat_map(|(_, ends)| ends).filter(|end| is_late(end, way)).count();
+    let over =
+        unsound().flat_map(|(_, ends)| ends).filter(|end| exceeds_bound(end, method)).count();
+    let late = unsound().flat_map(|(_, ends)| ends).filter(|end| is_late(end, method)).count();
     row.extend([over.to_string(), late.to_string()]);
     row
 }
--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -51,7 +51,7 @@
 
 /// Returns a function that reads the files that the document at `path` names, relative to the
 /// folder of the document.
-fn beside(path: &Path) -> impl Fn(&str) -> Result<String, String> + '_ {
+fn sibling_reader(path: &Path) -> impl Fn(&str) -> Result<String, String> + '_ {
     move |name| {
         let folder = path.parent().unwrap_or(Path::new("."));
         std::fs::read_to_string(folder.join(name)).map_err(|error| error.to_string())
@@ -62,7 +62,8 @@
 /// finding.
 pub fn load_configuration(path: &Path) -> Result<Configuration, String> {
     let text = read(path)?;
-    read_configuration_file(&text, &beside(path)).map_err(|findings| to_lines(path, &findings))
+    read_configuration_file(&text, &sibling_reader(path))
+        .map_err(|findings| to_lines(path, &findings))
 }
 
 /// Formats findings about the file at `path`, one a line.
@@ -88,38 +89,39 @@
     if command.files.is_empty() {
         return Err("name at least one file".to_string());
     }
-    let mut good = true;
+    let mut all_valid = true;
     for path in &command.files {
         let text = match read(path) {
             Ok(text) => text,
             Err(error) => {
                 println!("{error}");
-                good = false;
+                all_valid = false;
                 continue;
             }
         };
         let checked = match command.platform {
             true => check_platform_text(&text),
-            false => check_text(&text, &beside(path)),
+            false => check_text(&text, &sibling_reader(path)),
         };
         match checked {
             Ok(kind) => println!("{}: a good {kind}.", path.display()),
             Err(findings) => {
                 println!("{}", to_lines(path, &findings));
-                good = false;
+                all_valid = false;
             }
         }
     }
-    Ok(good)
+    Ok(all_valid)
 }
 
 /// Runs the tables of cases and returns true if every case has the expected outcome.
 pub fn policy(command: &PolicyCommand) -> Result<bool, String> {
     let PolicyAction::Test(test) = &command.command;
-    let mut good = true;
+    let mut all_valid = true;
     for path in &test.files {
         let table = read_cases(&read(path)?).map_err(|findings| to_lines(path, &findings))?;
-        let source = beside(path)(&table.policy).map_err(|e| format!("{}: {e}", table.policy))?;
+        let source =
+            sibling_reader(path)(&table.policy).map_err(|e| format!("{}: {e}", table.policy))?;
         let outcomes =
             run_cases(&table, &source).map_err(|error| format!("{}: {error}", table.policy))?;
         for outcome in &outcomes {
@@ -127,7 +129,7 @@
             println!("{}: {}: {mark}", path.display(), outcome.name);
             outcome.differences.iter().for_each(|text| println!("    {text}"));
         }
-        good &= outcomes.iter().all(|outcome| outcome.differences.is_empty());
+        all_valid &= outcomes.iter().all(|outcome| outcome.differences.is_empty());
     }
-    Ok(good)
+    Ok(all_valid)
 }
--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -108,7 +108,7 @@
 }
 
 /// Returns the configuration in force, with its version.
-pub fn in_force(connection: &Connection) -> Result<Configuration, String> {
+pub fn current_configuration(connection: &Connection) -> Result<Configuration, String> {
     let value = connection.json("GET", "/operator/config", None)?;
     let version = value["version"].as_u64().unwrap_or(0);
     let read = read_configuration(&value["configuration"].to_string());
@@ -118,7 +118,7 @@
 
 fn print_diff(connection: &Connection, file: &Path) -> Result<bool, String> {
     let target = load_configuration(file)?;
-    let current = in_force(connection)?;
+    let current = current_configuration(connection)?;
     let operations = current.operations_to(&target);
     println!("In force: version {}. {} differences.", current.version, operations.len());
     operations.iter().for_each(|operation| println!("{}", to_line(operation)));
@@ -137,7 +137,7 @@
 
 fn apply_file(connection: &Connection, apply: &ConfigApply) -> Result<bool, String> {
     let target = load_configuration(&apply.file)?;
-    let current = in_force(connection)?;
+    let current = current_configuration(connection)?;
     let operations = current.operations_to(&target);
     if operations.is_empty() && apply.id.is_none() {
         println!("No change: version {} is the same as the file.", current.version);
@@ -186,23 +186,23 @@
 ) -> Result<bool, String> {
     let version = match version {
         Some(version) => version,
-        None => in_force(connection)?.version,
+        None => current_configuration(connection)?.version,
     };
     let until = Instant::now() + Duration::from_secs(seconds);
     loop {
         let status = leader_status(connection)?;
         let routers = status["routers"].as_array().cloned().unwrap_or_default();
-        let behind: Vec<String> = routers
+        let outdated: Vec<String> = routers
             .iter()
             .filter(|router| router["version"].as_u64().unwrap_or(0) < version)
             .map(|router| router["id"].to_string())
             .collect();
-        if behind.is_empty() {
+        if outdated.is_empty() {
             println!("Version {version} is in force on all {} routers.", routers.len());
             return Ok(true);
         }
         if Instant::now() >= until {
-            println!("Version {version} is not yet in force on routers {}.", behind.join(", "));
+            println!("Version {version} is not yet in force on routers {}.", outdated.join(", "));
             return Ok(false);
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -259,7 +259,7 @@
 /// version, because versions never decrease. The earlier contents are rebuilt by applying the
 /// history from its first change, so it fails if the history doesn't begin with version 1.
 fn roll_back(connection: &Connection, version: u64) -> Result<bool, String> {
-    let current = in_force(connection)?;
+    let current = current_configuration(connection)?;
     let records = history(connection)?;
     let oldest = records.first().map_or(u64::MAX, |record| record.version);
     if oldest > 1 || version > current.version {
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -19,7 +19,7 @@
 
 const REQUESTS: usize = 480;
 const CALLERS: usize = 12;
-const CHATS: usize = 60;
+const CHAT_COUNT: usize = 60;
 const SERVICES: [&str; 5] = ["chat", "alert", "digest", "teaser", "plain"];
 
 /// start a small system in this process, run a mixed load while engines leave and crash, and print
@@ -70,7 +70,7 @@
     }
     let started = Instant::now();
     let wire_before = control_bytes(&system);
-    let (results, skew) = put_load(&mut system);
+    let (results, skew) = run_load(&mut system);
     let seconds = started.elapsed().as_secs_f64();
     let wire = (control_bytes(&system) - wire_before) / seconds / system.make.routers as f64;
     Ok(report(&system, &results, &skew, wire))
@@ -95,7 +95,7 @@
 
 /// Sends requests from callers that look up routers in the directory, while engines leave and
 /// crash. Returns the results and samples of the load skew.
-fn put_load(system: &mut SystemStandIn) -> (Vec<DemoResult>, Vec<f64>) {
+fn run_load(system: &mut SystemStandIn) -> (Vec<DemoResult>, Vec<f64>) {
     let routers = system.router_addresses();
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
@@ -106,7 +106,7 @@
         let mut step = 0;
         while callers.iter().any(|caller| !caller.is_finished()) {
             std::thread::sleep(Duration::from_millis(20));
-            skew.extend(skew_now(system));
+            skew.extend(current_skew(system));
             step += 1;
             churn(system, step);
         }
@@ -137,13 +137,13 @@
 fn run_caller(routers: &[SocketAddr], next: &AtomicUsize, results: &Mutex<Vec<DemoResult>>) {
     let client = HttpClient::default();
     // The router to which the next request of each chat goes, according to its last answer.
-    let mut kept: HashMap<String, SocketAddr> = HashMap::new();
+    let mut next_routers: HashMap<String, SocketAddr> = HashMap::new();
     loop {
         let number = next.fetch_add(1, Ordering::Relaxed);
         if number >= REQUESTS {
             return;
         }
-        let result = one_request(&client, routers, number, &mut kept);
+        let result = one_request(&client, routers, number, &mut next_routers);
         results.lock().unwrap_or_else(|poison| poison.into_inner()).push(result);
     }
 }
@@ -152,13 +152,13 @@
     client: &HttpClient,
     routers: &[SocketAddr],
     number: usize,
-    kept: &mut HashMap<String, SocketAddr>,
+    next_routers: &mut HashMap<String, SocketAddr>,
 ) -> DemoResult {
     let service = SERVICES[number % SERVICES.len()];
     let workspace = format!("w{}", number % 3);
-    let chat = format!("{workspace}-{}", (number * 7) % CHATS);
-    let returning = kept.contains_key(&chat);
-    let address = kept.get(&chat).copied().or_else(|| {
+    let chat = format!("{workspace}-{}", (number * 7) % CHAT_COUNT);
+    let returning = next_routers.contains_key(&chat);
+    let address = next_routers.get(&chat).copied().or_else(|| {
         let query = format!("workspace={workspace}&service={service}");
         directory(client, routers[number % routers.len()], &query).first().copied()
     });
@@ -188,7 +188,7 @@
     let call = chat_call(&ask);
     let answer = send(client, address, &call, None);
     if let Some(next) = answer.next {
-        kept.insert(ask.chat.clone(), next);
+        next_routers.insert(ask.chat.clone(), next);
     }
     // Every alert is a run-once request: sent a second time, to another router, it must not run
     // again.
@@ -200,7 +200,7 @@
 
 /// Returns the largest number of open runs on an engine divided by the mean, or `None` while the
 /// mean is below 1.
-fn skew_now(system: &SystemStandIn) -> Option<f64> {
+fn current_skew(system: &SystemStandIn) -> Option<f64> {
     let open: Vec<f64> =
         system.engines.iter().flatten().map(|engine| engine.open_runs() as f64).collect();
     let mean = open.iter().sum::<f64>() / open.len().max(1) as f64;
@@ -278,14 +278,15 @@
     let rows: Vec<Vec<String>> =
         summary.iter().map(|(name, value)| vec![name.to_string(), value.clone()]).collect();
     println!("{}", to_text(&["measure", "value"], &rows));
-    let bad = |r: &&DemoResult| verdict(r) == AnswerVerdict::Wrong;
-    for result in results.iter().filter(bad).take(5) {
+    let is_wrong = |r: &&DemoResult| verdict(r) == AnswerVerdict::Wrong;
+    for result in results.iter().filter(is_wrong).take(5) {
         println!("wrong: {} {:?}", result.service, result.answer);
     }
-    let undropped = alerts.iter().filter(|result| !result.view(&starts).second_holds()).count();
-    let held = wrong == 0 && doubled == 0 && undropped == 0;
-    println!("\n{}", if held { "All guarantees held." } else { "A guarantee was violated." });
-    held
+    let second_invalid =
+        alerts.iter().filter(|result| !result.view(&starts).second_holds()).count();
+    let all_held = wrong == 0 && doubled == 0 && second_invalid == 0;
+    println!("\n{}", if all_held { "All guarantees held." } else { "A guarantee was violated." });
+    all_held
 }
 
 /// Returns the counters of all routers, summed by name.
--- a/cli/src/explain.rs
+++ b/cli/src/explain.rs
@@ -40,7 +40,7 @@
         let text = serde_json::to_string_pretty(&story).map_err(|error| error.to_string())?;
         println!("{text}");
     } else {
-        story.iter().for_each(|line| println!("{}", written(line)));
+        story.iter().for_each(|line| println!("{}", format_line(line)));
     }
     if story.is_empty() {
         eprintln!(
@@ -72,7 +72,7 @@
 }
 
 /// Formats one line: the reason why it was selected, then time, VM, log target, message and fields.
-fn written(story: &StoryLine) -> String {
+fn format_line(story: &StoryLine) -> String {
     let mark = match story.reason {
         StoryReason::Request => "*",
         StoryReason::VmState => "believed",
--- a/cli/src/fleet.rs
+++ b/cli/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::vm_client::{path_part, VmClient};
 
 /// The pause between requests for the status of a roll-out that the command waits for.
-const LOOK_AGAIN: Duration = Duration::from_millis(500);
+const POLL_PAUSE: Duration = Duration::from_millis(500);
 /// How much longer than its granted time the command waits for a roll-out, in seconds. A roll-out
 /// ends by its deadline, but after the loss of a leader the next one counts the time from its own
 /// start, and VMs may not answer for a while.
@@ -197,11 +197,11 @@
         seconds: start.seconds,
     };
     let body = serde_json::to_vec(&body).map_err(|error| error.to_string())?;
-    let began: RolloutView = client.call("POST", ROLLOUTS_PATH, &body)?.json()?;
+    let started: RolloutView = client.call("POST", ROLLOUTS_PATH, &body)?.json()?;
     if !start.wait {
-        return print_rollouts(&[began], start.json);
+        return print_rollouts(&[started], start.json);
     }
-    let end = wait_end(&client, began)?;
+    let end = wait_end(&client, started)?;
     let complete = end.is_complete();
     print_rollouts(&[end], start.json)?;
     if !complete {
@@ -211,11 +211,11 @@
 }
 
 /// Waits until the roll-out has ended, and prints each phase that it reaches.
-fn wait_end(client: &VmClient, began: RolloutView) -> Result<RolloutView, String> {
+fn wait_end(client: &VmClient, started: RolloutView) -> Result<RolloutView, String> {
     // Limits the time to the longest that can be granted, whatever a VM answers.
-    let wait_s = began.granted_s.clamp(0.0, LONGEST_GRANT_S) + WAIT_MARGIN_S;
+    let wait_s = started.granted_s.clamp(0.0, LONGEST_GRANT_S) + WAIT_MARGIN_S;
     let until = Instant::now() + Duration::from_secs_f64(wait_s);
-    let mut view = began;
+    let mut view = started;
     while !view.is_end() {
         eprintln!("wingshed: order {} is in phase {}", view.number, view.phase);
         view = next_phase(client, &view, until)?;
@@ -223,29 +223,29 @@
     Ok(view)
 }
 
-/// Requests the status until the phase differs from that in `known`. Fails if another roll-out of
-/// the service has started, or if there is no change at `until`.
+/// Requests the status until the phase differs from that in `previous`. Fails if another roll-out
+/// of the service has started, or if there is no change at `until`.
 fn next_phase(
     client: &VmClient,
-    known: &RolloutView,
+    previous: &RolloutView,
     until: Instant,
 ) -> Result<RolloutView, String> {
     loop {
-        std::thread::sleep(LOOK_AGAIN);
-        let late = Instant::now() >= until;
-        match rollout_view(client, &known.service) {
-            Ok(view) if view.number != known.number => {
+        std::thread::sleep(POLL_PAUSE);
+        let timed_out = Instant::now() >= until;
+        match rollout_view(client, &previous.service) {
+            Ok(view) if view.number != previous.number => {
                 return Err(format!(
                     "order {} has ended and order {} has started; the result of the first is no longer \
                      available",
-                    known.number, view.number
+                    previous.number, view.number
                 ));
             }
-            Ok(view) if view.phase != known.phase => return Ok(view),
-            Ok(view) if late => {
+            Ok(view) if view.phase != previous.phase => return Ok(view),
+            Ok(view) if timed_out => {
                 return Err(format!("order {} is still in phase {}", view.number, view.phase));
             }
-            Err(text) if late => return Err(text),
+            Err(text) if timed_out => return Err(text),
             // VMs that can't answer now may be able to later.
             Ok(_) | Err(_) => {}
         }
@@ -278,8 +278,8 @@
 /// Runs a subcommand of `wingshed zone`.
 pub fn zone(command: &ZoneCommand) -> Result<bool, String> {
     match &command.command {
-        ZoneAction::Evacuate(order) => order_zone(&order.at, &order.zone, true, order.json),
-        ZoneAction::Return(order) => order_zone(&order.at, &order.zone, false, order.json),
+        ZoneAction::Evacuate(order) => set_zone(&order.at, &order.zone, true, order.json),
+        ZoneAction::Return(order) => set_zone(&order.at, &order.zone, false, order.json),
         ZoneAction::List(list) => {
             let views = zone_views(&VmClient::new(&list.at)?)?;
             print_zones(&views, list.json)
@@ -288,9 +288,9 @@
 }
 
 /// Evacuates a zone or returns it to service, then prints its state.
-fn order_zone(at: &[String], zone: &str, emptied: bool, json: bool) -> Result<bool, String> {
+fn set_zone(at: &[String], zone: &str, evacuate: bool, json: bool) -> Result<bool, String> {
     let client = VmClient::new(at)?;
-    let verb = if emptied { "empty" } else { "return" };
+    let verb = if evacuate { "empty" } else { "return" };
     let path = format!("{ZONES_PATH}/{}/{verb}", path_part(zone));
     let reply = client.call("POST", &path, b"")?;
     if reply.status != 200 {
@@ -311,8 +311,8 @@
         return Ok(true);
     }
     let row = |view: &ZoneView| {
-        let emptied = if view.evacuated { "yes" } else { "no" };
-        vec![view.zone.clone(), emptied.to_string(), view.number.to_string()]
+        let evacuated = if view.evacuated { "yes" } else { "no" };
+        vec![view.zone.clone(), evacuated.to_string(), view.number.to_string()]
     };
     let rows: Vec<Vec<String>> = views.iter().map(row).collect();
     println!("{}", to_text(&["zone", "emptied", "orders"], &rows));
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -57,7 +57,7 @@
     let arguments: Arguments = argh::from_env();
     let result = match arguments.command {
         Command::Demo(command) => demo::run(&command),
-        Command::Trace(command) => replay::make(&command),
+        Command::Trace(command) => replay::make_file(&command),
         Command::Replay(command) => replay::run(&command),
         Command::Report(command) => report::run(&command),
         Command::Bench(command) => bench::run(&command),
--- a/cli/src/operate.rs
+++ b/cli/src/operate.rs
@@ -14,7 +14,7 @@
 use wingshed_lib::transport::http_client::{CallTimes, HttpClient};
 use wingshed_lib::transport::keeper_node::restore_backup;
 
-use crate::config::{in_force, leader_status, submit};
+use crate::config::{current_configuration, leader_status, submit};
 use crate::operator_client::{message_of, read_connection, Connection};
 use crate::table::to_text;
 
@@ -142,10 +142,11 @@
 
 /// Writes a backup into the data folder that the settings name.
 fn restore(restore: &KeeperRestore) -> Result<bool, String> {
-    let place = |error: &dyn std::fmt::Display| format!("{}: {error}", restore.settings.display());
-    let text = std::fs::read_to_string(&restore.settings).map_err(|error| place(&error))?;
+    let with_path =
+        |error: &dyn std::fmt::Display| format!("{}: {error}", restore.settings.display());
+    let text = std::fs::read_to_string(&restore.settings).map_err(|error| with_path(&error))?;
     let settings = read_keeper_settings(&text).map_err(|findings| {
-        let lines = findings.iter().map(|finding| place(finding));
+        let lines = findings.iter().map(|finding| with_path(finding));
         lines.collect::<Vec<_>>().join("\n")
     })?;
     let image = std::fs::read(&restore.file)
@@ -265,7 +266,7 @@
             Ok(true)
         }
         "upstream" => {
-            let current = in_force(&connection)?;
+            let current = current_configuration(&connection)?;
             let entry = current.value_of(Section::Upstreams, &command.name);
             let mut entry = entry.ok_or_else(|| format!("no upstream `{}`", command.name))?;
             entry["draining"] = json!(!command.undo);
@@ -310,24 +311,29 @@
     let remove = json!({ "step": "remove", "id": replace.lost });
     let add = json!({ "step": "add", "id": replace.new, "address": replace.address });
     let promote = json!({ "step": "promote", "id": replace.new });
-    let same = replace.lost == replace.new;
-    if same {
+    let same_number = replace.lost == replace.new;
+    if same_number {
         // Removed first, because the lost and the new incarnation of one number can't both be
         // members.
-        step(connection, "remove the lost incarnation", &remove, until)?;
+        change_members(connection, "remove the lost incarnation", &remove, until)?;
     }
-    step(connection, "add the new keeper", &add, until)?;
-    if !same {
-        step(connection, "remove the lost keeper", &remove, until)?;
+    change_members(connection, "add the new keeper", &add, until)?;
+    if !same_number {
+        change_members(connection, "remove the lost keeper", &remove, until)?;
     }
-    step(connection, "promote the new keeper to a voter", &promote, until)?;
+    change_members(connection, "promote the new keeper to a voter", &promote, until)?;
     println!("Keeper {} votes in place of {}.", replace.new, replace.lost);
     Ok(true)
 }
 
 /// Makes one change of the membership. Retries while the keepers answer 409, which means that
 /// they can't make the change in their present state.
-fn step(connection: &Connection, what: &str, body: &Value, until: Instant) -> Result<(), String> {
+fn change_members(
+    connection: &Connection,
+    what: &str,
+    body: &Value,
+    until: Instant,
+) -> Result<(), String> {
     loop {
         match connection.json("POST", "/operator/members", Some(body)) {
             Ok(_) => {
--- a/cli/src/operator_client.rs
+++ b/cli/src/operator_client.rs
@@ -10,9 +10,9 @@
 use wingshed_lib::transport::http_client::{CallTimes, HttpClient};
 
 /// The longest answer that is read, in bytes. A backup contains the whole replicated state.
-const LONGEST: usize = 256 << 20;
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 /// How many times all keepers are called until one of them answers as the leader.
-const ROUNDS: usize = 20;
+const MAX_ROUNDS: usize = 20;
 
 /// The contents of a connection file: the keepers and the operator's credentials.
 #[derive(Deserialize)]
@@ -60,7 +60,9 @@
         };
         let client = HttpClient::default();
         let times = CallTimes::of_ms(8000);
-        client.call(address, &call, times, LONGEST, "operator").map_err(|error| error.to_string())
+        client
+            .call(address, &call, times, MAX_ANSWER_BYTES, "operator")
+            .map_err(|error| error.to_string())
     }
 
     /// Calls the keepers one after another until one answers as the leader. A call may be sent more
@@ -72,7 +74,7 @@
         body: Option<&Value>,
     ) -> Result<HttpReply, String> {
         let mut last = String::new();
-        for round in 0..ROUNDS {
+        for round in 0..MAX_ROUNDS {
             for address in &self.keepers {
                 match self.call_at(*address, method, path, body) {
                     Ok(reply) if matches!(reply.status, 421 | 503) => last = message_of(&reply),
@@ -80,7 +82,7 @@
                     Err(error) => last = format!("{address}: {error}"),
                 }
             }
-            if round + 1 < ROUNDS {
+            if round + 1 < MAX_ROUNDS {
                 std::thread::sleep(std::time::Duration::from_millis(100));
             }
         }
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -75,7 +75,7 @@
 }
 
 /// Generates a trace and writes it to a file.
-pub fn make(command: &TraceCommand) -> Result<bool, String> {
+pub fn make_file(command: &TraceCommand) -> Result<bool, String> {
     let deployment = TraceDeployment::named(&command.deployment)
         .ok_or_else(|| format!("there is no deployment `{}`", command.deployment))?;
     let case = TraceCase::named(&command.case)
--- a/cli/src/report.rs
+++ b/cli/src/report.rs
@@ -13,10 +13,10 @@
 use crate::table::to_text;
 
 /// The width and height of a plot, in pixels.
-const SIZE: (u32, u32) = (900, 480);
+const PLOT_SIZE: (u32, u32) = (900, 480);
 /// The multiples of the mean load for which the trace is replayed.
 const MULTIPLES: [f64; 8] = [1.1, 1.15, 1.25, 1.35, 1.5, 1.65, 1.8, 2.0];
-const HOME: ReplayRule = ReplayRule::Home(BEST_RULE, Some(NO_IMPORT_RATES));
+const HOME_RULE: ReplayRule = ReplayRule::Home(BEST_RULE, Some(NO_IMPORT_RATES));
 
 /// draw plots of a replay: load of each engine, reuse, messages, and reuse against skew
 #[derive(FromArgs)]
@@ -42,17 +42,17 @@
 pub fn run(command: &ReportCommand) -> Result<bool, String> {
     let trace = load_trace(&command.trace)?;
     std::fs::create_dir_all(&command.out).map_err(|error| error.to_string())?;
-    let outcome = replay(&trace, HOME, 1);
-    let place = |name: &str| command.out.join(name);
-    plot_loads(&place("load.svg"), &outcome)?;
-    plot_reuse(&place("reuse.svg"), &outcome)?;
-    plot_messages(&place("control.svg"), &outcome)?;
+    let outcome = replay(&trace, HOME_RULE, 1);
+    let plot_path = |name: &str| command.out.join(name);
+    plot_loads(&plot_path("load.svg"), &outcome)?;
+    plot_reuse(&plot_path("reuse.svg"), &outcome)?;
+    plot_messages(&plot_path("control.svg"), &outcome)?;
     let mut curve = Vec::new();
     let mut rows = Vec::new();
     for multiple in MULTIPLES {
         let mut other = trace.clone();
         other.setup.multiple = multiple;
-        let outcome = replay(&other, HOME, 1);
+        let outcome = replay(&other, HOME_RULE, 1);
         curve.push((outcome.skew(0.99), outcome.reuse() * 100.0));
         rows.push(vec![
             format!("{multiple:.2}"),
@@ -65,7 +65,7 @@
     }
     let line = PlotLine { points: curve, color: BLUE, width: 2, name: Some("multiple 1.1 to 2.0") };
     let labels = ("skew, p99 of largest over mean", "reuse, %");
-    plot(&place("reuse-against-skew.svg"), "Reuse against skew", labels, &[line])?;
+    plot(&plot_path("reuse-against-skew.svg"), "Reuse against skew", labels, &[line])?;
     println!(
         "{}",
         to_text(&["multiple", "reuse", "skew p50", "p99", "above bound", "hops"], &rows)
@@ -89,11 +89,11 @@
             name: None,
         })
         .collect();
-    let over = |factor: f64| -> Vec<(f64, f64)> {
+    let mean_times = |factor: f64| -> Vec<(f64, f64)> {
         outcome.samples.iter().map(|s| (seconds(s.at_ms), s.mean * factor)).collect()
     };
-    lines.push(PlotLine { points: over(1.0), color: BLUE, width: 2, name: Some("mean") });
-    let bound = over(outcome.multiple());
+    lines.push(PlotLine { points: mean_times(1.0), color: BLUE, width: 2, name: Some("mean") });
+    let bound = mean_times(outcome.multiple());
     lines.push(PlotLine {
         points: bound,
         color: RED,
@@ -146,7 +146,7 @@
     };
     let across = span(points().map(|(x, _)| *x).collect());
     let up = span(points().map(|(_, y)| *y).collect());
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 20))
--- a/cli/src/rollout_play.rs
+++ b/cli/src/rollout_play.rs
@@ -17,40 +17,40 @@
 /// The number of VMs.
 const VMS: u64 = 63;
 /// The number of ticks between two reports of a VM.
-const TELL_TICKS: u64 = 6;
+const REPORT_TICKS: u64 = 6;
 /// The length of a tick, in milliseconds. The leader judges once a tick.
 pub const TICK_MS: u64 = 50;
 /// The number of ticks from a finding until all VMs have it: the leader commits it and sends it to
 /// the VMs.
-const FINDING_TICKS: u64 = 3;
+const PUBLISH_TICKS: u64 = 3;
 /// How long before the deadline traffic is moved, in milliseconds, but not before half the time.
 const MOVE_MS: u64 = 3000;
 /// How long before its deadline an order is complete, in milliseconds.
 const COMPLETE_MS: u64 = 400;
 /// The share of failing answers of all versions, unless the case sets another one.
-const FAILING: f64 = 0.003;
+const FAILURE_SHARE: f64 = 0.003;
 /// The share of failing answers on a failing route, of all versions.
-const FAILING_ROUTE: f64 = 0.14;
+const FAILING_ROUTE_SHARE: f64 = 0.14;
 /// How long the target's upstreams are cold, in milliseconds.
 const COLD_MS: u64 = 3000;
 /// How long there is no leader, in milliseconds.
 const LEADER_LOST_MS: u64 = 1500;
 /// The standard deviation of the logarithm of an answer's time under constant load.
-const SPREAD: f64 = 0.5;
+const TIME_SIGMA: f64 = 0.5;
 /// The standard deviation of the drift of the target's times. The drift is the logarithm of a
 /// factor that varies with the load of the few upstreams on trial.
-const DRIFT: f64 = 0.15;
+const DRIFT_SIGMA: f64 = 0.15;
 /// The part of the drift that is left after one tick.
-const DRIFT_KEPT: f64 = 0.97;
+const DRIFT_PERSISTENCE: f64 = 0.97;
 /// The number of events of a streamed answer.
 const STREAM_EVENTS: f64 = 20.0;
 /// The factor of the rate and of the times during a burst.
-const BURST: f64 = 3.0;
+const BURST_FACTOR: f64 = 3.0;
 /// How long a crashed upstream still gets requests, in milliseconds.
 const CRASH_MS: u64 = 300;
 /// The number of ticks for which answers can be scheduled in advance. Longer answers end with the
 /// last of them.
-const RING: usize = 1024;
+const RING_TICKS: usize = 1024;
 
 /// The fault of the target version.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -78,7 +78,7 @@
 
 /// Events during the order that are independent of the target's fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PlaySetting {
+pub enum SimSetting {
     /// No events.
     Steady,
     /// During one second in four there are three times as many requests, and all answers take three
@@ -100,13 +100,13 @@
 
 /// One case to simulate.
 #[derive(Clone, Copy, Debug)]
-pub struct PlayCase {
+pub struct SimCase {
     /// The fault of the target version.
     pub fault: TargetFault,
     /// When the fault shows.
     pub time: FaultTime,
     /// Events that are independent of the fault.
-    pub setting: PlaySetting,
+    pub setting: SimSetting,
     /// The mean number of requests per second outside bursts.
     pub rate: u64,
     /// The duration of the order, in seconds.
@@ -115,13 +115,13 @@
     pub seed: u64,
 }
 
-impl PlayCase {
+impl SimCase {
     fn ticks(&self) -> u64 {
         self.seconds * 1000 / TICK_MS
     }
 
     fn mean_requests(&self, tick: u64) -> f64 {
-        let burst = if self.in_burst(tick) { BURST } else { 1.0 };
+        let burst = if self.in_burst(tick) { BURST_FACTOR } else { 1.0 };
         burst * (self.rate * TICK_MS) as f64 / 1000.0
     }
 
@@ -136,26 +136,26 @@
     }
 
     fn in_burst(&self, tick: u64) -> bool {
-        let bursts = self.setting == PlaySetting::Bursts || self.time == FaultTime::Burst;
+        let bursts = self.setting == SimSetting::Bursts || self.time == FaultTime::Burst;
         bursts && (1000..2000).contains(&(tick * TICK_MS % 4000))
     }
 
     /// Whether there is no leader in this tick.
-    fn is_lost(&self, tick: u64) -> bool {
+    fn has_no_leader(&self, tick: u64) -> bool {
         let from = self.move_tick() / 2;
         let lost = from..from + LEADER_LOST_MS / TICK_MS;
-        self.setting == PlaySetting::LeaderLost && lost.contains(&tick)
+        self.setting == SimSetting::LeaderLost && lost.contains(&tick)
     }
 
     /// Whether the crashed upstream fails the requests of this tick.
-    fn crashes(&self, tick: u64) -> bool {
+    fn is_crashing(&self, tick: u64) -> bool {
         let from = self.move_tick() / 2;
         let refuses = from..from + CRASH_MS / TICK_MS;
-        self.setting == PlaySetting::Crash && refuses.contains(&tick)
+        self.setting == SimSetting::Crash && refuses.contains(&tick)
     }
 
     /// Whether the fault shows in this tick and on this route.
-    fn shows(&self, tick: u64, route: u64) -> bool {
+    fn fault_shows(&self, tick: u64, route: u64) -> bool {
         match self.time {
             FaultTime::Always => true,
             FaultTime::Middle => tick >= self.move_tick() / 2,
@@ -167,11 +167,11 @@
 
 /// A method of judging. It gets the sums, the time in milliseconds, and whether a new leader starts
 /// in this tick, and returns true if the target is unsound.
-pub type JudgeWay<'a> = Box<dyn FnMut(&[RouteSums], u64, bool) -> bool + 'a>;
+pub type JudgeMethod<'a> = Box<dyn FnMut(&[RouteSums], u64, bool) -> bool + 'a>;
 
 /// The result of a simulation for one method of judging.
 #[derive(Clone, Copy, Debug)]
-pub struct WayEnd {
+pub struct MethodResult {
     /// When the target was found unsound, in milliseconds, if it was before the order was complete.
     pub found_ms: Option<u64>,
     /// The number of requests that went to the target until all VMs had the finding.
@@ -180,9 +180,9 @@
 
 /// The result of a simulation.
 #[derive(Clone, Debug)]
-pub struct PlayEnd {
+pub struct SimResult {
     /// The results of the methods of judging, in their order.
-    pub ways: Vec<WayEnd>,
+    pub methods: Vec<MethodResult>,
     /// The number of requests that may go to an unsound target.
     pub bound: f64,
     /// When the 50th bad answer ended, in milliseconds, if it ended before every method had found
@@ -193,11 +193,11 @@
 }
 
 /// A random number generator (splitmix64).
-struct PlayDraws {
+struct SimRandom {
     state: u64,
 }
 
-impl PlayDraws {
+impl SimRandom {
     fn next(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.state ^ (self.state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -230,7 +230,7 @@
 }
 
 /// An answer that ends in a later tick.
-struct PlayAnswer {
+struct SimAnswer {
     vm: usize,
     route: u64,
     arm: RolloutArm,
@@ -240,12 +240,12 @@
 }
 
 /// The state of a simulation.
-struct PlayState<'a> {
-    case: &'a PlayCase,
-    draws: PlayDraws,
+struct SimState<'a> {
+    case: &'a SimCase,
+    random: SimRandom,
     vms: Vec<(EvidenceLedger, TrialLedger)>,
-    /// The answers that end in each of the coming ticks, by tick modulo [`RING`].
-    ring: Vec<Vec<PlayAnswer>>,
+    /// The answers that end in each of the coming ticks, by tick modulo [`RING_TICKS`].
+    ring: Vec<Vec<SimAnswer>>,
     /// The logarithm of the factor of the target's times.
     drift: f64,
     exposed: u64,
@@ -253,23 +253,23 @@
     fiftieth_ms: Option<u64>,
 }
 
-impl<'a> PlayState<'a> {
-    fn new(case: &'a PlayCase) -> PlayState<'a> {
-        let mut draws = PlayDraws { state: case.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) };
+impl<'a> SimState<'a> {
+    fn new(case: &'a SimCase) -> SimState<'a> {
+        let mut random = SimRandom { state: case.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) };
         let vm = |_| {
-            let trial = TrialLedger::new(BOUND, Some(VMS as u32), draws.next());
+            let trial = TrialLedger::new(BOUND, Some(VMS as u32), random.next());
             (EvidenceLedger::new(1), trial)
         };
         let vms = (0..VMS).map(vm).collect();
-        let ring = (0..RING).map(|_| Vec::new()).collect();
+        let ring = (0..RING_TICKS).map(|_| Vec::new()).collect();
         let (drift, exposed, bad) = (0.0, 0, 0);
-        PlayState { case, draws, vms, ring, drift, exposed, bad, fiftieth_ms: None }
+        SimState { case, random, vms, ring, drift, exposed, bad, fiftieth_ms: None }
     }
 
     /// Sends one request through a random VM on a random route, and schedules its answer.
     fn send(&mut self, tick: u64) {
-        let vm = (self.draws.next() % VMS) as usize;
-        let route = self.draws.next() % ROUTES;
+        let vm = (self.random.next() % VMS) as usize;
+        let route = self.random.next() % ROUTES;
         let key = RouteKey(route as u32 + 1);
         let trial = &mut self.vms[vm].1;
         let moved = tick >= self.case.move_tick();
@@ -279,67 +279,68 @@
         }
         self.exposed += u64::from(to_target);
         let (answer, took_ms) = self.answer(tick, vm, route, to_target);
-        let late = (took_ms / TICK_MS as f64).ceil().min(RING as f64 - 1.0) as u64;
-        self.ring[((tick + late) % RING as u64) as usize].push(answer);
+        let delay_ticks = (took_ms / TICK_MS as f64).ceil().min(RING_TICKS as f64 - 1.0) as u64;
+        self.ring[((tick + delay_ticks) % RING_TICKS as u64) as usize].push(answer);
     }
 
     /// Draws the answer to a request, and the time until it ends, in milliseconds.
-    fn answer(&mut self, tick: u64, vm: usize, route: u64, target: bool) -> (PlayAnswer, f64) {
+    fn answer(&mut self, tick: u64, vm: usize, route: u64, target: bool) -> (SimAnswer, f64) {
         let case = self.case;
-        let shows = target && case.shows(tick, route);
-        let (mut failing, mut slower) = (FAILING, if target { self.drift.exp() } else { 1.0 });
+        let fault_shows = target && case.fault_shows(tick, route);
+        let (mut failure_share, mut time_factor) =
+            (FAILURE_SHARE, if target { self.drift.exp() } else { 1.0 });
         match case.setting {
-            PlaySetting::FailingRoute if route == 0 => failing = FAILING_ROUTE,
-            PlaySetting::AllFailing => failing = FAILING_ROUTE,
-            PlaySetting::Crash if target && case.crashes(tick) => failing = 0.5,
+            SimSetting::FailingRoute if route == 0 => failure_share = FAILING_ROUTE_SHARE,
+            SimSetting::AllFailing => failure_share = FAILING_ROUTE_SHARE,
+            SimSetting::Crash if target && case.is_crashing(tick) => failure_share = 0.5,
             _ => {}
         }
         let mut bad = false;
         match case.fault {
-            TargetFault::Fails(part) if shows => failing += part,
-            TargetFault::Slower(part, times) if shows && self.draws.unit() < part => {
-                (slower, bad) = (slower * times, true);
+            TargetFault::Fails(part) if fault_shows => failure_share += part,
+            TargetFault::Slower(part, times) if fault_shows && self.random.unit() < part => {
+                (time_factor, bad) = (time_factor * times, true);
             }
             _ => {}
         }
-        let cold = target && case.setting == PlaySetting::Cold && tick * TICK_MS < COLD_MS;
-        slower *= if cold { 4.0 } else { 1.0 };
-        slower *= if case.in_burst(tick) { BURST } else { 1.0 };
+        let cold = target && case.setting == SimSetting::Cold && tick * TICK_MS < COLD_MS;
+        time_factor *= if cold { 4.0 } else { 1.0 };
+        time_factor *= if case.in_burst(tick) { BURST_FACTOR } else { 1.0 };
         let median_ms = 50.0 + 20.0 * route as f64;
-        let took_ms = median_ms * slower * (SPREAD * self.draws.normal()).exp();
-        let first_ms = 0.2 * median_ms * slower * (SPREAD * self.draws.normal()).exp();
+        let took_ms = median_ms * time_factor * (TIME_SIGMA * self.random.normal()).exp();
+        let first_ms = 0.2 * median_ms * time_factor * (TIME_SIGMA * self.random.normal()).exp();
         let streams = route % 2 == 0;
-        let outcome = match self.draws.unit() < failing {
+        let outcome = match self.random.unit() < failure_share {
             true => TrialOutcome::Failure,
             false => TrialOutcome::Success {
                 pace_ms: (!cold).then_some(if streams { took_ms / STREAM_EVENTS } else { took_ms }),
-                first_ms: (!cold && streams && self.draws.unit() < 0.7).then_some(first_ms),
+                first_ms: (!cold && streams && self.random.unit() < 0.7).then_some(first_ms),
             },
         };
         let arm = if target { RolloutArm::Target } else { RolloutArm::Base };
         bad |= target && outcome == TrialOutcome::Failure;
-        (PlayAnswer { vm, route, arm, outcome, bad }, took_ms + first_ms)
+        (SimAnswer { vm, route, arm, outcome, bad }, took_ms + first_ms)
     }
 
     /// Ends half of the requests that the target runs as failures.
     fn crash(&mut self, tick: u64) {
-        let mut broken = Vec::new();
+        let mut failed = Vec::new();
         for answers in &mut self.ring {
             for at in (0..answers.len()).rev() {
-                if answers[at].arm == RolloutArm::Target && self.draws.unit() < 0.5 {
-                    broken.push(answers.swap_remove(at));
+                if answers[at].arm == RolloutArm::Target && self.random.unit() < 0.5 {
+                    failed.push(answers.swap_remove(at));
                 }
             }
         }
-        for mut answer in broken {
+        for mut answer in failed {
             answer.outcome = TrialOutcome::Failure;
-            self.ring[(tick % RING as u64) as usize].push(answer);
+            self.ring[(tick % RING_TICKS as u64) as usize].push(answer);
         }
     }
 
     /// Counts the answers that end in this tick in the evidence of their VMs.
     fn end_answers(&mut self, tick: u64) {
-        let answers = std::mem::take(&mut self.ring[(tick % RING as u64) as usize]);
+        let answers = std::mem::take(&mut self.ring[(tick % RING_TICKS as u64) as usize]);
         for answer in &answers {
             let ledger = &mut self.vms[answer.vm].0;
             ledger.note(RouteKey(answer.route as u32 + 1), answer.arm, &answer.outcome);
@@ -351,12 +352,14 @@
     }
 
     fn step(&mut self, tick: u64) {
-        self.drift = DRIFT_KEPT * self.drift
-            + DRIFT * (1.0 - DRIFT_KEPT * DRIFT_KEPT).sqrt() * self.draws.normal();
-        for _ in 0..self.draws.arrivals(self.case.mean_requests(tick)) {
+        self.drift = DRIFT_PERSISTENCE * self.drift
+            + DRIFT_SIGMA
+                * (1.0 - DRIFT_PERSISTENCE * DRIFT_PERSISTENCE).sqrt()
+                * self.random.normal();
+        for _ in 0..self.random.arrivals(self.case.mean_requests(tick)) {
             self.send(tick);
         }
-        if self.case.crashes(tick) && !self.case.crashes(tick - 1) {
+        if self.case.is_crashing(tick) && !self.case.is_crashing(tick - 1) {
             self.crash(tick);
         }
         self.end_answers(tick);
@@ -364,21 +367,21 @@
 }
 
 /// Simulates an order and judges it by several methods.
-pub fn play(case: &PlayCase, ways: &mut [JudgeWay]) -> PlayEnd {
-    let mut state = PlayState::new(case);
+pub fn simulate(case: &SimCase, methods: &mut [JudgeMethod]) -> SimResult {
+    let mut state = SimState::new(case);
     let mut table = EvidenceTable::default();
-    let mut ends = vec![WayEnd { found_ms: None, exposed: 0 }; ways.len()];
-    let mut known_ticks: Vec<Option<u64>> = vec![None; ways.len()];
+    let mut ends = vec![MethodResult { found_ms: None, exposed: 0 }; methods.len()];
+    let mut published_ticks: Vec<Option<u64>> = vec![None; methods.len()];
     let mut sums_at_move = Vec::new();
-    let mut begins = false;
+    let mut new_leader = false;
     for tick in 0..case.ticks() {
         state.step(tick);
         let now_ms = tick * TICK_MS;
-        if case.is_lost(tick) {
-            (table, begins) = (EvidenceTable::default(), true);
+        if case.has_no_leader(tick) {
+            (table, new_leader) = (EvidenceTable::default(), true);
             continue;
         }
-        for vm in (0..VMS).filter(|vm| (tick + vm) % TELL_TICKS == 0) {
+        for vm in (0..VMS).filter(|vm| (tick + vm) % REPORT_TICKS == 0) {
             table.take(vm as u32, 1, state.vms[vm as usize].0.rows());
         }
         let sums = table.sums();
@@ -386,23 +389,26 @@
             sums_at_move.clone_from(&sums);
         }
         let judged = now_ms + COMPLETE_MS < case.seconds * 1000;
-        for (at, way) in ways.iter_mut().enumerate().filter(|_| judged) {
-            if ends[at].found_ms.is_none() && way(&sums, now_ms, begins) {
+        for (at, method) in methods.iter_mut().enumerate().filter(|_| judged) {
+            if ends[at].found_ms.is_none() && method(&sums, now_ms, new_leader) {
                 ends[at].found_ms = Some(now_ms);
-                known_ticks[at] = Some(tick + FINDING_TICKS);
+                published_ticks[at] = Some(tick + PUBLISH_TICKS);
             }
         }
-        begins = false;
-        for (end, known) in ends.iter_mut().zip(&known_ticks) {
-            if known.is_none_or(|known| tick <= known) {
+        new_leader = false;
+        for (end, published) in ends.iter_mut().zip(&published_ticks) {
+            if published.is_none_or(|published| tick <= published) {
                 end.exposed = state.exposed;
             }
         }
-        if known_ticks.iter().all(|known| known.is_some_and(|known| tick >= known)) {
+        if published_ticks
+            .iter()
+            .all(|published| published.is_some_and(|published| tick >= published))
+        {
             break;
         }
     }
     let requests: f64 = (0..case.ticks()).map(|tick| case.mean_requests(tick)).sum();
     let bound = BOUND.share * requests + BOUND.slack;
-    PlayEnd { ways: ends, bound, fiftieth_ms: state.fiftieth_ms, sums_at_move }
+    SimResult { methods: ends, bound, fiftieth_ms: state.fiftieth_ms, sums_at_move }
 }
--- a/cli/src/rollout_ways.rs
+++ b/cli/src/rollout_ways.rs
@@ -8,17 +8,17 @@
 const WINDOW_MS: u64 = 3000;
 /// The numbers of the target's bad answers, and of its timed answers, from which a window is
 /// judged.
-const WINDOW_LEAST: (u32, u32) = (4, 10);
+const WINDOW_MIN_COUNTS: (u32, u32) = (4, 10);
 /// The limits in a window: the share of bad answers may be this factor of the base's plus this
 /// margin, and the mean time may be this factor of the base's.
 const WINDOW_LIMITS: (f64, f64, f64) = (2.0, 0.05, 1.6);
 /// The number of the target's bad answers, and of timed answers on each side, from which the sums
 /// since the order are judged.
-const WHOLE_LEAST: u32 = 5;
+const TOTAL_MIN_COUNT: u32 = 5;
 /// The number of standard deviations beyond which the target is unsound.
-const WHOLE_DEVIATIONS: f64 = 4.0;
+const TOTAL_MAX_DEVIATIONS: f64 = 4.0;
 /// The factor of the base's mean time from which deviations are counted.
-const WHOLE_SLOW: f64 = 1.3;
+const TOTAL_SLOW_FACTOR: f64 = 1.3;
 
 /// The state of [`judge_window`]: earlier sums with the time of each, in milliseconds.
 pub type ReportWindow = VecDeque<(u64, Vec<RouteSums>)>;
@@ -52,23 +52,23 @@
     while window.get(1).is_some_and(|(at_ms, _)| at_ms + WINDOW_MS <= now_ms) {
         window.pop_front();
     }
-    let before = window.front().map(|(_, rows)| rows.clone()).unwrap_or_default();
+    let window_start = window.front().map(|(_, rows)| rows.clone()).unwrap_or_default();
     rows.iter().any(|row| {
-        let seen = before.iter().find(|seen| seen.route == row.route);
-        let mut slice = seen.map_or(*row, |seen| row.since(seen));
+        let earlier = window_start.iter().find(|earlier| earlier.route == row.route);
+        let mut slice = earlier.map_or(*row, |earlier| row.since(earlier));
         if slice.base.all() == 0 {
             slice.base = row.base;
         }
-        passes_limits(&slice)
+        exceeds_limits(&slice)
     })
 }
 
 /// Whether the target exceeds a limit in these sums.
-fn passes_limits(slice: &RouteSums) -> bool {
-    let (bad, answers) = WINDOW_LEAST;
-    let (times, beside, slow) = WINDOW_LIMITS;
-    let part = |arm: &ArmSums| f64::from(arm.bad) / f64::from(arm.all().max(1));
-    let fails = part(&slice.target) > times * part(&slice.base) + beside;
+fn exceeds_limits(slice: &RouteSums) -> bool {
+    let (bad, answers) = WINDOW_MIN_COUNTS;
+    let (factor, margin, slow) = WINDOW_LIMITS;
+    let share = |arm: &ArmSums| f64::from(arm.bad) / f64::from(arm.all().max(1));
+    let fails = share(&slice.target) > factor * share(&slice.base) + margin;
     let is_slow = |target: &LogSums, base: &LogSums| {
         target.count >= answers && base.count > 0 && target.mean() - base.mean() > slow.ln()
     };
@@ -79,13 +79,14 @@
 
 /// Judges by the standard deviations between base and target in the sums since the order, for each
 /// route and all together. Returns true if the target is unsound.
-pub fn judge_whole(sums: &[RouteSums]) -> bool {
+pub fn judge_total(sums: &[RouteSums]) -> bool {
     with_total(sums).iter().any(|row| {
         let (target, base) = (&row.target, &row.base);
-        let fails = target.bad >= WHOLE_LEAST && bad_deviations(target, base) > WHOLE_DEVIATIONS;
+        let fails =
+            target.bad >= TOTAL_MIN_COUNT && bad_deviations(target, base) > TOTAL_MAX_DEVIATIONS;
         let is_slow = |target: &LogSums, base: &LogSums| {
-            let enough = target.count >= WHOLE_LEAST && base.count >= WHOLE_LEAST;
-            enough && slow_deviations(target, base) > WHOLE_DEVIATIONS
+            let enough = target.count >= TOTAL_MIN_COUNT && base.count >= TOTAL_MIN_COUNT;
+            enough && slow_deviations(target, base) > TOTAL_MAX_DEVIATIONS
         };
         fails || is_slow(&target.pace, &base.pace) || is_slow(&target.first, &base.first)
     })
@@ -94,18 +95,19 @@
 /// Returns the difference of the shares of bad answers, in standard deviations.
 fn bad_deviations(target: &ArmSums, base: &ArmSums) -> f64 {
     let (target_all, base_all) = (f64::from(target.all()), f64::from(base.all().max(1)));
-    let part = f64::from(target.bad + base.bad) / (target_all + base_all);
-    let apart = f64::from(target.bad) / target_all - f64::from(base.bad) / base_all;
-    apart / (part * (1.0 - part) * (1.0 / target_all + 1.0 / base_all)).sqrt().max(1e-9)
+    let share = f64::from(target.bad + base.bad) / (target_all + base_all);
+    let difference = f64::from(target.bad) / target_all - f64::from(base.bad) / base_all;
+    difference / (share * (1.0 - share) * (1.0 / target_all + 1.0 / base_all)).sqrt().max(1e-9)
 }
 
 /// Returns how far the target's mean logarithm of times exceeds the base's by more than
-/// [`WHOLE_SLOW`], in standard deviations.
+/// [`TOTAL_SLOW_FACTOR`], in standard deviations.
 fn slow_deviations(target: &LogSums, base: &LogSums) -> f64 {
     let variance = |sums: &LogSums| {
         let mean = sums.mean();
         (f64::from(sums.squares) / f64::from(sums.count) - mean * mean).max(0.01)
     };
-    let each = variance(target) / f64::from(target.count) + variance(base) / f64::from(base.count);
-    (target.mean() - base.mean() - WHOLE_SLOW.ln()) / each.sqrt()
+    let mean_variance =
+        variance(target) / f64::from(target.count) + variance(base) / f64::from(base.count);
+    (target.mean() - base.mean() - TOTAL_SLOW_FACTOR.ln()) / mean_variance.sqrt()
 }
--- a/cli/src/vm_client.rs
+++ b/cli/src/vm_client.rs
@@ -8,14 +8,14 @@
 
 /// How long to wait for the answer of one VM, in milliseconds. Each VM answers or refuses within
 /// 850 ms of receiving a call, so a shorter time would abandon calls that are still answered.
-const ANSWER_MS: u64 = 1000;
+const ANSWER_TIMEOUT_MS: u64 = 1000;
 /// How long a call is repeated. VMs recognize a repeated order for 5,850 ms by default; an order
 /// that is sent again later could be taken for a new one if the first has ended in the meantime.
-const TRIED: Duration = Duration::from_millis(4500);
+const RETRY_WINDOW: Duration = Duration::from_millis(4500);
 /// The pause before all VMs are called again, in milliseconds.
-const AGAIN_MS: u64 = 200;
+const RETRY_PAUSE_MS: u64 = 200;
 /// The longest answer that is read, in bytes.
-const LONGEST: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Calls the VMs whose control addresses an operator named.
 pub struct VmClient {
@@ -65,9 +65,9 @@
         Ok(VmClient { addresses: names.iter().map(address).collect::<Result<_, _>>()? })
     }
 
-    /// Calls one VM after another until one answers with a status below 500, for [`TRIED`] at most.
-    /// A call may be sent more than once, which is safe because VMs treat a repeated order as the
-    /// same order.
+    /// Calls one VM after another until one answers with a status below 500, for [`RETRY_WINDOW`]
+    /// at most. A call may be sent more than once, which is safe because VMs treat a repeated order
+    /// as the same order.
     pub fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<VmReply, String> {
         let began = Instant::now();
         loop {
@@ -78,14 +78,14 @@
                     Ok(reply) => last.push(format!("{address}: {}", reply.refusal())),
                     Err(text) => last.push(format!("{address}: {text}")),
                 }
-                if began.elapsed() >= TRIED {
+                if began.elapsed() >= RETRY_WINDOW {
                     break;
                 }
             }
-            if began.elapsed() + Duration::from_millis(AGAIN_MS) >= TRIED {
+            if began.elapsed() + Duration::from_millis(RETRY_PAUSE_MS) >= RETRY_WINDOW {
                 return Err(format!("no VM answered the call: {}", last.join("; ")));
             }
-            std::thread::sleep(Duration::from_millis(AGAIN_MS));
+            std::thread::sleep(Duration::from_millis(RETRY_PAUSE_MS));
         }
     }
 
@@ -102,8 +102,8 @@
             headers: Vec::new(),
             body: body.to_vec(),
         };
-        let times = CallTimes::of_ms(ANSWER_MS);
-        let reply = HttpClient::default().call(address, &call, times, LONGEST, "operator");
+        let times = CallTimes::of_ms(ANSWER_TIMEOUT_MS);
+        let reply = HttpClient::default().call(address, &call, times, MAX_ANSWER_BYTES, "operator");
         let reply = reply.map_err(|error| error.to_string())?;
         Ok(VmReply { status: reply.status, body: reply.body })
     }
