--- a/cli/src/bench_classes.rs
+++ b/cli/src/bench_classes.rs
@@ -61,11 +61,11 @@
     let mut table = Vec::new();
     for (name, watched, other, slow) in rows {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.engine =
+        let mut options = SystemMake::small(folder.path().to_path_buf());
+        options.engine =
             EngineMake { slots: 8, piece_ms: 20, prefill_per_ms: 40, ..EngineMake::default() };
-        make.requests_per_engine = make.engine.slots as u32;
-        let system = SystemStandIn::start(make);
+        options.requests_per_engine = options.engine.slots as u32;
+        let system = SystemStandIn::start(options);
         if slow {
             for engine in system.engines.iter().flatten().step_by(2) {
                 engine.faults().slow_ms.store(SLOW_MS, Ordering::Relaxed);
@@ -130,7 +130,7 @@
     let mut router = routers[caller.len() % routers.len()];
     while !stop.load(Ordering::Relaxed) {
         let number = answers.len();
-        let ask = ChatAsk {
+        let request = ChatAsk {
             workspace: format!("w{}", kind.workspace),
             key: format!("k{}", kind.workspace),
             request_id: format!("{caller}-{number}"),
@@ -142,7 +142,7 @@
             run_once: false,
             returning: number >= 3,
         };
-        let answer = send(&system.client, router, &chat_call(&ask), None);
+        let answer = send(&system.client, router, &chat_call(&request), None);
         router = answer.next.unwrap_or(routers[number % routers.len()]);
         answers.push(answer);
         let until = Instant::now() + kind.pause;
--- a/cli/src/bench_control.rs
+++ b/cli/src/bench_control.rs
@@ -30,11 +30,11 @@
         (96, 40, false),
     ] {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.keepers = 3;
-        make.routers = routers;
-        make.engines = engines;
-        let system = SystemStandIn::start(make);
+        let mut options = SystemMake::small(folder.path().to_path_buf());
+        options.keepers = 3;
+        options.routers = routers;
+        options.engines = engines;
+        let system = SystemStandIn::start(options);
         std::thread::sleep(Duration::from_millis(1500));
         let before = sum_wire(&system);
         let threads = thread_seconds();
@@ -123,7 +123,7 @@
                     while Instant::now() < until {
                         let service = if sent % 10 == 9 { "alert" } else { "chat" };
                         let chat = format!("c{caller}-{}", sent % 7);
-                        let ask = ChatAsk {
+                        let request = ChatAsk {
                             workspace: "w0".to_string(),
                             key: "k0".to_string(),
                             request_id: format!("r{caller}-{sent}"),
@@ -135,7 +135,7 @@
                             run_once: false,
                             returning: sent >= 7,
                         };
-                        let answer = send(&system.client, router, &chat_call(&ask), None);
+                        let answer = send(&system.client, router, &chat_call(&request), None);
                         router = answer.next.unwrap_or(router);
                         sent += 1;
                     }
--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -171,11 +171,11 @@
 /// in force on all of them.
 fn change_times() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-    let mut make = SystemMake::small(folder.path().to_path_buf());
-    make.keepers = 3;
-    make.routers = 12;
-    make.engines = 40;
-    let system = SystemStandIn::start(make);
+    let mut options = SystemMake::small(folder.path().to_path_buf());
+    options.keepers = 3;
+    options.routers = 12;
+    options.engines = 40;
+    let system = SystemStandIn::start(options);
     let (mut version, _) = system.current().ok_or("no keeper leads")?;
     let mut accepted_ms = Vec::new();
     let mut force_ms = Vec::new();
--- a/cli/src/bench_relay.rs
+++ b/cli/src/bench_relay.rs
@@ -59,12 +59,12 @@
     fn start(routers: usize, engines: usize, engine: EngineMake) -> Result<BenchSite, String> {
         let program = router_program()?;
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.routers = 0;
-        make.engines = engines;
-        make.engine = engine;
-        make.multiple = 8.0;
-        let system = SystemStandIn::start(make);
+        let mut options = SystemMake::small(folder.path().to_path_buf());
+        options.routers = 0;
+        options.engines = engines;
+        options.engine = engine;
+        options.multiple = 8.0;
+        let system = SystemStandIn::start(options);
         let keepers: Vec<_> = system
             .keeper_list()
             .iter()
@@ -99,8 +99,8 @@
         let until = Instant::now() + Duration::from_secs(20);
         for router in &self.routers {
             loop {
-                let ask = bench_request("probe", "probe", 1, true);
-                if send(&self.system.client, *router, &chat_call(&ask), None).whole {
+                let request = bench_request("probe", "probe", 1, true);
+                if send(&self.system.client, *router, &chat_call(&request), None).whole {
                     break;
                 }
                 if Instant::now() > until {
@@ -139,8 +139,9 @@
     let direct = direct.ok_or("no engine runs")?;
     let mut answers: [Vec<CallerAnswer>; 3] = Default::default();
     for number in 0..CALL_COUNT {
-        let ask = bench_request(&format!("b{number}"), &format!("c{number}"), CALL_PIECES, true);
-        let call = chat_call(&ask);
+        let request =
+            bench_request(&format!("b{number}"), &format!("c{number}"), CALL_PIECES, true);
+        let call = chat_call(&request);
         let direct_call = direct_chat(number, &call);
         answers[0].push(send(&client, direct, &direct_call, None));
         let query = format!("workspace=w0&chat=c{number}&service=chat");
@@ -149,7 +150,7 @@
         // The call through two routers goes first. The home then remembers the chat, so that the
         // call to the home alone stays there.
         answers[2].push(send(&client, *other, &call, None));
-        let again = chat_call(&ChatAsk { request_id: format!("a{number}"), ..ask });
+        let again = chat_call(&ChatAsk { request_id: format!("a{number}"), ..request });
         answers[1].push(send(&client, home, &again, None));
     }
     let mut rows = Vec::new();
@@ -217,8 +218,8 @@
                         .spawn_scoped(scope, move || {
                             std::thread::sleep(Duration::from_micros(500 * number as u64));
                             let id = format!("s{streams}-{number}");
-                            let ask = bench_request(&id, &id, STREAM_PIECES, false);
-                            let call = chat_call(&ask);
+                            let request = bench_request(&id, &id, STREAM_PIECES, false);
+                            let call = chat_call(&request);
                             send(&HttpClient::default(), site.routers[0], &call, None)
                         })
                         .expect("a thread can be started")
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -173,7 +173,7 @@
         return DemoResult { service, expected: target, run, answer, duplicate: None };
     }
     let pieces = if service == "digest" { 64 } else { 24 };
-    let ask = ChatAsk {
+    let request = ChatAsk {
         workspace,
         key: format!("k{}", number % 3),
         request_id,
@@ -185,10 +185,10 @@
         run_once: service == "alert",
         returning,
     };
-    let call = chat_call(&ask);
+    let call = chat_call(&request);
     let answer = send(client, address, &call, None);
     if let Some(next) = answer.next {
-        next_routers.insert(ask.chat.clone(), next);
+        next_routers.insert(request.chat.clone(), next);
     }
     // Every alert is a run-once request: sent a second time, to another router, it must not run
     // again.
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -80,7 +80,7 @@
         .ok_or_else(|| format!("there is no deployment `{}`", command.deployment))?;
     let case = TraceCase::named(&command.case)
         .ok_or_else(|| format!("there is no case `{}`", command.case))?;
-    let make = TraceMake {
+    let options = TraceMake {
         deployment,
         case,
         minutes: command.minutes,
@@ -90,7 +90,7 @@
         engines: command.engines,
         seed: command.seed,
     };
-    let trace = make_trace(&make);
+    let trace = make_trace(&options);
     std::fs::write(&command.out, write_trace(&trace)).map_err(|error| error.to_string())?;
     println!("{}: {} lines.", command.out.display(), trace.lines.len() + 1);
     Ok(true)
