--- a/cli/tests/test_backup.rs
+++ b/cli/tests/test_backup.rs
@@ -1,12 +1,12 @@
-//! `wingshed keeper backup` against keepers whose answer is no backup.
+//! `wingshed keeper backup` against keepers whose answer is not a complete backup.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::process::Command;
 
-/// Asks a keeper that gives each caller this answer for a backup: whether the command succeeded, what it said,
-/// and whether it wrote the file.
-fn backup_of(answer: &str) -> (bool, String, bool) {
+/// Runs `wingshed keeper backup` against a keeper that sends `answer` on each connection. Returns
+/// whether the command succeeded, what it printed on stderr, and whether it wrote the file.
+fn run_backup(answer: &str) -> (bool, String, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let answer = answer.to_string();
@@ -24,22 +24,22 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_wingshed"));
     command.arg("keeper").arg("--connect").arg(&connect).arg("backup").arg(&file);
     let output = command.output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    (output.status.success(), said, file.exists())
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    (output.status.success(), stderr, file.exists())
 }
 
 #[test]
 fn a_backup_that_breaks_off_is_not_written() {
-    let (success, said, written) =
-        backup_of("HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nthe first part");
+    let (success, stderr, written) =
+        run_backup("HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nthe first part");
 
-    assert!(!success && !written, "{said}");
+    assert!(!success && !written, "{stderr}");
 }
 
 #[test]
 fn a_refusal_is_not_written_as_a_backup() {
-    let (success, said, written) =
-        backup_of("HTTP/1.1 401 Unauthorized\r\ncontent-length: 2\r\n\r\n{}");
+    let (success, stderr, written) =
+        run_backup("HTTP/1.1 401 Unauthorized\r\ncontent-length: 2\r\n\r\n{}");
 
-    assert!(!success && !written && said.contains("401"), "{said}");
+    assert!(!success && !written && stderr.contains("401"), "{stderr}");
 }
--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -1,4 +1,4 @@
-//! The command line's words, held in snapshots, and the examples checked.
+//! Checks what the commands print against snapshots, and that the examples are valid.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -7,15 +7,16 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples")
 }
 
-/// Runs `wingshed` and gives its exit code and all that it said.
+/// Runs `wingshed` and returns its exit code and all that it printed.
 fn wingshed(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_wingshed")).args(arguments).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
-    format!("exit {}\n{said}{errors}", output.status.code().unwrap_or(-1))
+    format!("exit {}\n{printed}{errors}", output.status.code().unwrap_or(-1))
 }
 
-fn in_folder(name: &str, text: &str) -> (tempfile::TempDir, String) {
+/// Writes a file into a new temporary folder, and returns the folder and the path of the file.
+fn write_file(name: &str, text: &str) -> (tempfile::TempDir, String) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join(name);
     std::fs::write(&path, text).unwrap();
@@ -36,18 +37,18 @@
     let mut arguments = vec!["check"];
     arguments.extend(names.iter().map(String::as_str));
 
-    let said = wingshed(&arguments);
+    let printed = wingshed(&arguments);
 
-    assert!(said.starts_with("exit 0"), "{said}");
-    assert_eq!(said.matches(": a good ").count(), 32);
+    assert!(printed.starts_with("exit 0"), "{printed}");
+    assert_eq!(printed.matches(": a good ").count(), 32);
 }
 
 #[test]
 fn every_policy_case_of_the_examples_comes_out() {
     for deployment in ["hotare", "campanario"] {
         let path = examples().join(deployment).join("policy-cases.json");
-        let said = wingshed(&["policy", "test", &path.to_string_lossy()]);
-        assert!(said.starts_with("exit 0") && said.matches(": ok").count() == 6, "{said}");
+        let printed = wingshed(&["policy", "test", &path.to_string_lossy()]);
+        assert!(printed.starts_with("exit 0") && printed.matches(": ok").count() == 6, "{printed}");
     }
 }
 
@@ -65,12 +66,12 @@
   "fleet_key": "short",
   "limits": { "drain_ms": 1000, "in_flight": 0 }
 }"#;
-    let (folder, path) = in_folder("router.json", text);
+    let (folder, path) = write_file("router.json", text);
 
-    let said = wingshed(&["check", &path]);
+    let printed = wingshed(&["check", &path]);
 
-    let said = said.replace(&*folder.path().to_string_lossy(), "FOLDER");
-    insta::assert_snapshot!(said);
+    let printed = printed.replace(&*folder.path().to_string_lossy(), "FOLDER");
+    insta::assert_snapshot!(printed);
 }
 
 #[test]
@@ -86,12 +87,12 @@
     "q": { "source_file": "absent.rhai" }
   }
 }"#;
-    let (folder, path) = in_folder("configuration.json", text);
+    let (folder, path) = write_file("configuration.json", text);
 
-    let said = wingshed(&["check", &path]);
+    let printed = wingshed(&["check", &path]);
 
-    let said = said.replace(&*folder.path().to_string_lossy(), "FOLDER");
-    insta::assert_snapshot!(said);
+    let printed = printed.replace(&*folder.path().to_string_lossy(), "FOLDER");
+    insta::assert_snapshot!(printed);
 }
 
 #[test]
@@ -105,20 +106,20 @@
     let path = folder.path().join("cases.json");
     std::fs::write(&path, cases).unwrap();
 
-    let said = wingshed(&["policy", "test", &path.to_string_lossy()]);
+    let printed = wingshed(&["policy", "test", &path.to_string_lossy()]);
 
-    let said = said.replace(&*folder.path().to_string_lossy(), "FOLDER");
-    insta::assert_snapshot!(said);
+    let printed = printed.replace(&*folder.path().to_string_lossy(), "FOLDER");
+    insta::assert_snapshot!(printed);
 }
 
 #[test]
 fn a_trace_that_is_no_trace_is_refused_with_its_lines() {
-    let (folder, path) = in_folder("bad.jsonl", "{\"at\": 0}\nnot json\n");
+    let (folder, path) = write_file("bad.jsonl", "{\"at\": 0}\nnot json\n");
 
-    let said = wingshed(&["replay", &path]);
+    let printed = wingshed(&["replay", &path]);
 
-    let said = said.replace(&*folder.path().to_string_lossy(), "FOLDER");
-    insta::assert_snapshot!(said);
+    let printed = printed.replace(&*folder.path().to_string_lossy(), "FOLDER");
+    insta::assert_snapshot!(printed);
 }
 
 #[test]
@@ -131,8 +132,8 @@
     assert!(good.contains("a good configuration of the platform."), "{good}");
 
     let bad = wingshed(&["check", "--platform", &file("bad-settings.json")]);
-    let said: Vec<&str> = bad.lines().filter_map(|line| line.split(".json: ").nth(1)).collect();
-    insta::assert_snapshot!(said.join("\n"), @r"
+    let printed: Vec<&str> = bad.lines().filter_map(|line| line.split(".json: ").nth(1)).collect();
+    insta::assert_snapshot!(printed.join("\n"), @r"
     $.node: is empty
     $.portRange: is no range of ports
     $.listen.ready: is the same as 'front'
@@ -148,14 +149,14 @@
    5.0000 vm-a {"level":"INFO","message":"broken","life":"i-1","attempt":"x1","aside":true,"target":"upstream"}
    5.0010 vm-a {"level":"INFO","message":"failed: broken","sent":1,"attempt":"x1","target":"request"}
 "#;
-    let (_folder, path) = in_folder("day.log", log);
+    let (_folder, path) = write_file("day.log", log);
 
     insta::assert_snapshot!(wingshed(&["explain", "--attempt", "x1", &path]));
 }
 
 #[test]
 fn explain_says_what_it_lacks() {
-    let (_folder, path) = in_folder("day.log", "no log line");
+    let (_folder, path) = write_file("day.log", "no log line");
 
     let neither = wingshed(&["explain", &path]);
     let nothing = wingshed(&["explain", "--attempt", "x1", &path]);
