--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -214,9 +214,9 @@
 /// Writes a keeper's folder whose log has [`RESTART_CHANGES`] changes, with no snapshot of them.
 fn write_log(folder: &Path, address: std::net::SocketAddr) -> Result<(), String> {
     let text = |error: wingshed_lib::state::log_store::StoreError| error.to_string();
-    let life = Incarnation(7);
-    let (mut store, _) = LogStore::open(folder, KeeperId(1), life).map_err(text)?;
-    let member = GroupMember { incarnation: life, address, votes: true };
+    let keeper_incarnation = Incarnation(7);
+    let (mut store, _) = LogStore::open(folder, KeeperId(1), keeper_incarnation).map_err(text)?;
+    let member = GroupMember { incarnation: keeper_incarnation, address, votes: true };
     let membership = GroupMembership { members: [(KeeperId(1), member)].into() };
     let snapshot = LogSnapshot { index: 0, term: 0, membership, image: Vec::new() };
     let hard_state = HardState { term: 1, voted_for: None };
--- a/cli/src/bench_rollout_cost.rs
+++ b/cli/src/bench_rollout_cost.rs
@@ -34,6 +34,7 @@
     print!("{}", to_text(&head, &rows));
 }
 
+/// Measures [`ROUNDS`] renewals of each VM, and returns a row of the table.
 fn measure(vms: u32, routes: u32) -> Vec<String> {
     let mut ledgers: Vec<EvidenceLedger> = (0..vms).map(|_| EvidenceLedger::new(1)).collect();
     let (mut table, mut verdict) = (EvidenceTable::default(), VerdictState::default());
--- a/cli/src/bench_rollouts.rs
+++ b/cli/src/bench_rollouts.rs
@@ -46,6 +46,8 @@
     setting: SimSetting,
 }
 
+/// Returns the lines of the table: sound versions under each setting, and unsound versions with each
+/// fault and time.
 fn lines() -> Vec<TableLine> {
     let settings = [
         ("steady", SimSetting::Steady),
--- a/cli/src/operate.rs
+++ b/cli/src/operate.rs
@@ -18,6 +18,7 @@
 use crate::operator_client::{message_of, read_connection, Connection};
 use crate::table::to_text;
 
+/// The default path of the connection file.
 fn default_connect() -> PathBuf {
     PathBuf::from("connect.json")
 }
@@ -313,8 +314,8 @@
     let promote = json!({ "step": "promote", "id": replace.new });
     let same_number = replace.lost == replace.new;
     if same_number {
-        // Removed first, because the lost and the new incarnation of one number can't both be
-        // members.
+        // Removed first, because the lost incarnation must not count as a member beside the new
+        // one, which has the same number.
         change_members(connection, "remove the lost incarnation", &remove, until)?;
     }
     change_members(connection, "add the new keeper", &add, until)?;
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -169,7 +169,7 @@
 ];
 
 /// Formats the outcome of a rule as a row of the table. `best` is the best possible reuse, and `us`
-/// the time per request.
+/// the time per request, in microseconds.
 fn to_row(name: &str, outcome: &ReplayOutcome, best: f64, us: f64) -> Vec<String> {
     let percent = |share: f64| format!("{:.1}%", share * 100.0);
     let tokens = &outcome.first_token_ms;
--- a/cli/src/rollout_play.rs
+++ b/cli/src/rollout_play.rs
@@ -351,6 +351,7 @@
         }
     }
 
+    /// Simulates one tick: new requests, a crash that starts in it, and the answers that end in it.
     fn step(&mut self, tick: u64) {
         self.drift = DRIFT_PERSISTENCE * self.drift
             + DRIFT_SIGMA
