--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -1,4 +1,5 @@
-//! The keepers: claims and changes a second, time until in force, restart.
+//! Measures the keepers: claims per second, the time until a change is in force, and the time of a
+//! restart.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -28,10 +29,14 @@
 use crate::bench_decision::percentile;
 use crate::table::to_text;
 
-const RUN: Duration = Duration::from_secs(3);
+/// How long claims are sent for each row.
+const RUN_TIME: Duration = Duration::from_secs(3);
+/// The number of changes whose time until in force is measured.
 const CHANGES: usize = 60;
+/// The number of changes in the log from which a keeper restarts.
 const RESTART_CHANGES: u64 = 10_000;
 
+/// Keepers in this process, in a temporary folder.
 struct KeeperGroup {
     nodes: Vec<KeeperNode>,
     list: Vec<KeeperAddress>,
@@ -53,6 +58,7 @@
 }
 
 impl KeeperGroup {
+    /// Starts the keepers and waits until one of them is the confirmed leader.
     fn start(size: u32) -> Result<KeeperGroup, String> {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
         let list: Vec<KeeperAddress> = (1..=size)
@@ -66,7 +72,7 @@
         }
         let group = KeeperGroup { nodes, list, _folder: folder };
         let until = Instant::now() + Duration::from_secs(10);
-        while !group.nodes.iter().any(|node| node.read(|_, vouched| vouched) == Some(true)) {
+        while !group.nodes.iter().any(|node| node.read(|_, confirmed| confirmed) == Some(true)) {
             if Instant::now() > until {
                 return Err("no keeper leads".to_string());
             }
@@ -76,10 +82,11 @@
     }
 
     fn client(&self) -> KeeperClient {
-        let maker = Arc::new(SealMaker::new(FLEET_KEY, rand_number()));
+        let maker = Arc::new(SealMaker::new(FLEET_KEY, random_number()));
         KeeperClient::new(self.list.clone(), maker, HttpClient::default(), CallTimes::of_ms(5000))
     }
 
+    /// Returns the number of disk syncs of the leader.
     fn syncs(&self) -> u64 {
         let statuses = self.nodes.iter().filter_map(|node| node.read(|keeper, _| keeper.status()));
         let leader = statuses.into_iter().find(|status| status.role == RaftRole::Leader);
@@ -87,13 +94,14 @@
     }
 }
 
-fn rand_number() -> u64 {
+/// Returns a random number from the random state of the standard library's hash maps.
+fn random_number() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
 
-/// Callers each send calls of `size` claims one after another; gives claims a second, the
-/// calls' times in milliseconds, and syncs a second.
+/// Runs callers that each send calls of `size` claims one after another. Returns the granted claims
+/// per second, the times of the calls in milliseconds, and the leader's disk syncs per second.
 fn claims_run(group: &KeeperGroup, callers: u64, size: u64) -> (f64, Vec<f64>, f64) {
     let next = AtomicU64::new(1);
     let granted = AtomicU64::new(0);
@@ -105,10 +113,10 @@
                 let (client, next, granted) = (group.client(), &next, &granted);
                 scope.spawn(move || {
                     let mut times = Vec::new();
-                    while started.elapsed() < RUN {
+                    while started.elapsed() < RUN_TIME {
                         let first = next.fetch_add(size, Ordering::Relaxed);
                         let claims = (first..first + size).map(|number| ClaimRequest {
-                            key: ClaimKey(((rand_number() as u128) << 64) | number as u128),
+                            key: ClaimKey(((random_number() as u128) << 64) | number as u128),
                             holder: RouterId(1),
                             incarnation: Incarnation(1),
                             attempt: number,
@@ -136,7 +144,7 @@
 /// Prints all measurements of keepers.
 pub fn keeper() -> Result<(), String> {
     claims()?;
-    in_force()?;
+    change_times()?;
     restart()
 }
 
@@ -159,13 +167,15 @@
     Ok(())
 }
 
-fn in_force() -> Result<(), String> {
+/// Measures on 12 routers how long it takes until a change is accepted, and from then until it is
+/// in force on all of them.
+fn change_times() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-    let mut make = SystemMake::small(folder.path().to_path_buf());
-    make.keepers = 3;
-    make.routers = 12;
-    make.engines = 40;
-    let system = SystemStandIn::start(make);
+    let mut options = SystemMake::small(folder.path().to_path_buf());
+    options.keepers = 3;
+    options.routers = 12;
+    options.engines = 40;
+    let system = SystemStandIn::start(options);
     let (mut version, _) = system.current().ok_or("no keeper leads")?;
     let mut accepted_ms = Vec::new();
     let mut force_ms = Vec::new();
@@ -201,12 +211,12 @@
     Ok(())
 }
 
-/// A keeper's folder with so many changes in its log and no snapshot of them.
+/// Writes a keeper's folder whose log has [`RESTART_CHANGES`] changes, with no snapshot of them.
 fn write_log(folder: &Path, address: std::net::SocketAddr) -> Result<(), String> {
     let text = |error: wingshed_lib::state::log_store::StoreError| error.to_string();
-    let life = Incarnation(7);
-    let (mut store, _) = LogStore::open(folder, KeeperId(1), life).map_err(text)?;
-    let member = GroupMember { incarnation: life, address, votes: true };
+    let keeper_incarnation = Incarnation(7);
+    let (mut store, _) = LogStore::open(folder, KeeperId(1), keeper_incarnation).map_err(text)?;
+    let member = GroupMember { incarnation: keeper_incarnation, address, votes: true };
     let membership = GroupMembership { members: [(KeeperId(1), member)].into() };
     let snapshot = LogSnapshot { index: 0, term: 0, membership, image: Vec::new() };
     let hard_state = HardState { term: 1, voted_for: None };
@@ -237,6 +247,8 @@
     Ok(())
 }
 
+/// Measures how long a restarted keeper needs until it serves the last change, first from the log
+/// alone, then from a snapshot and the log after it.
 fn restart() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let list = [KeeperAddress { id: KeeperId(1), address: free_address() }];
@@ -246,17 +258,18 @@
         let started = Instant::now();
         let node = KeeperNode::start(settings.clone()).map_err(|error| error.to_string())?;
         let version = |node: &KeeperNode| {
-            node.read(|keeper, vouched| vouched.then(|| keeper.configuration().version)).flatten()
+            node.read(|keeper, confirmed| confirmed.then(|| keeper.configuration().version))
+                .flatten()
         };
         while version(&node) != Some(RESTART_CHANGES) {
             if started.elapsed() > Duration::from_secs(60) {
-                return Err("the keeper does not come back".to_string());
+                return Err("the keeper did not restart".to_string());
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         println!(
-            "Restart after {RESTART_CHANGES} changes, {name}: {:.0} ms until it vouches for what \
-             is in force (a lone keeper waits for no election).",
+            "Restart after {RESTART_CHANGES} changes, {name}: {:.0} ms until it confirms the \
+             configuration in force (a single keeper waits for no election).",
             started.elapsed().as_secs_f64() * 1000.0
         );
         node.stop_now();
