--- a/soak/src/answer_make.rs
+++ b/soak/src/answer_make.rs
@@ -99,7 +99,7 @@
 
 /// One answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerMake {
+pub struct AnswerPlan {
     /// The run, whose number each event carries.
     pub run: u64,
     /// What is answered.
@@ -135,10 +135,10 @@
     of[random.gen_range(0..of.len())]
 }
 
-impl AnswerMake {
+impl AnswerPlan {
     /// An answer that is whole.
-    pub fn draw(random: &mut StdRng, run: u64, kind: AnswerKind) -> AnswerMake {
-        AnswerMake {
+    pub fn draw(random: &mut StdRng, run: u64, kind: AnswerKind) -> AnswerPlan {
+        AnswerPlan {
             run,
             kind,
             framing: pick(random, &[Framing::Length, Framing::Chunked, Framing::Connection]),
@@ -148,9 +148,9 @@
         }
     }
 
-    /// The same, broken off. Ends that make a whole answer of a shorter one aren't drawn: a plain body without
+    /// The same, broken off. Ends that plan a whole answer of a shorter one aren't drawn: a plain body without
     /// framing that is closed cleanly, and a stream whose framing ends it between events.
-    pub fn broken_off(mut self, random: &mut StdRng, attempt: &str) -> AnswerMake {
+    pub fn broken_off(mut self, random: &mut StdRng, attempt: &str) -> AnswerPlan {
         let pieces = self.pieces(attempt);
         let lengths: Vec<usize> = pieces.iter().map(Vec::len).collect();
         let whole: usize = lengths.iter().sum();
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -12,9 +12,9 @@
 use rand::{Rng, SeedableRng};
 
 use crate::http::{connect, CallSender};
-use crate::ledger::{AskEnd, AskKind, AskRow, RunLedger, SeenAnswer};
+use crate::ledger::{ReceivedAnswer, RequestEnd, RequestKind, RequestRow, RunLedger};
 use crate::platform::{ATTEMPT, STAMP};
-use crate::process::VmPlace;
+use crate::process::VmSpec;
 
 /// How long a caller waits for a connection.
 const CONNECT_WAIT: Duration = Duration::from_secs(1);
@@ -23,19 +23,19 @@
 /// The deadline that a caller sends, in milliseconds.
 const DEADLINE_MS: &str = "4000";
 /// The pause of a caller between two requests.
-const ASK_PAUSE: std::ops::Range<u64> = 20..120;
+const REQUEST_PAUSE: std::ops::Range<u64> = 20..120;
 
-/// What callers ask, all the same.
-const USUAL_BODY: &str = "question";
+/// What callers request, all the same.
+const DEFAULT_BODY: &str = "question";
 
 /// The routes that callers use.
-const ROUTES: [(&str, AskKind); 6] = [
-    ("once", AskKind::Once),
-    ("safe", AskKind::Safe),
-    ("stream", AskKind::Stream),
-    ("resume", AskKind::Resume),
-    ("moved", AskKind::Once),
-    ("twice", AskKind::Once),
+const ROUTES: [(&str, RequestKind); 6] = [
+    ("once", RequestKind::Once),
+    ("safe", RequestKind::Safe),
+    ("stream", RequestKind::Stream),
+    ("resume", RequestKind::Resume),
+    ("moved", RequestKind::Once),
+    ("twice", RequestKind::Once),
 ];
 
 /// What all callers share.
@@ -45,78 +45,78 @@
     /// Keys, the newest last.
     pub keys: RefCell<Vec<String>>,
     /// Whether callers go on.
-    pub asking: Cell<bool>,
+    pub active: Cell<bool>,
 }
 
 /// One caller.
 pub struct SoakCaller {
     shared: Rc<CallerShared>,
-    place: VmPlace,
+    spec: VmSpec,
     random: StdRng,
     sender: Option<CallSender>,
-    steady: bool,
-    old: bool,
+    steady_key: bool,
+    http10: bool,
 }
 
 impl SoakCaller {
-    /// A caller of the VM at `place`.
-    pub fn new(shared: Rc<CallerShared>, place: VmPlace, seed: u64) -> SoakCaller {
+    /// A caller of the VM at `spec`.
+    pub fn new(shared: Rc<CallerShared>, spec: VmSpec, seed: u64) -> SoakCaller {
         SoakCaller {
             shared,
-            place,
+            spec,
             random: StdRng::seed_from_u64(seed),
             sender: None,
-            steady: false,
-            old: false,
+            steady_key: false,
+            http10: false,
         }
     }
 
     /// The same with the key that is never taken away.
-    pub fn steady(self) -> SoakCaller {
-        SoakCaller { steady: true, ..self }
+    pub fn with_steady_key(self) -> SoakCaller {
+        SoakCaller { steady_key: true, ..self }
     }
 
     /// The same, by HTTP/1.0 if `old`.
-    pub fn old(self, old: bool) -> SoakCaller {
-        SoakCaller { old, ..self }
+    pub fn http10(self, http10: bool) -> SoakCaller {
+        SoakCaller { http10, ..self }
     }
 
     /// Asks until callers shall stop.
-    pub async fn ask_on(mut self) {
-        while self.shared.asking.get() {
+    pub async fn run(mut self) {
+        while self.shared.active.get() {
             let (route, kind) = ROUTES[self.random.gen_range(0..ROUTES.len())];
-            self.ask(route, kind).await;
-            let pause = self.random.gen_range(ASK_PAUSE);
+            self.request(route, kind).await;
+            let pause = self.random.gen_range(REQUEST_PAUSE);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
     }
 
     /// One attempt, noted.
-    pub async fn ask(&mut self, route: &str, kind: AskKind) -> AskEnd {
+    pub async fn request(&mut self, route: &str, kind: RequestKind) -> RequestEnd {
         let attempt = format!("{:016x}", self.random.gen::<u64>());
-        self.ask_as(&attempt, route, kind, USUAL_BODY).await
+        self.request_as(&attempt, route, kind, DEFAULT_BODY).await
     }
 
     /// One attempt of this name and with this body, noted.
-    pub async fn ask_as(
+    pub async fn request_as(
         &mut self,
         attempt: &str,
         route: &str,
-        kind: AskKind,
+        kind: RequestKind,
         body: &str,
-    ) -> AskEnd {
+    ) -> RequestEnd {
         let key = self.draw_key();
         let sent_ms = self.shared.ledger.now_ms();
         let sent = self.send(route, attempt, &key, body);
         let sent = tokio::time::timeout(ANSWER_WAIT, sent).await;
-        let (end, answer) = sent.unwrap_or((AskEnd::Late, None));
-        if !matches!(end, AskEnd::Whole | AskEnd::Status(_)) {
+        let (end, answer) = sent.unwrap_or((RequestEnd::Late, None));
+        if !matches!(end, RequestEnd::Whole | RequestEnd::Status(_)) {
             self.sender = None;
         }
         let ended_ms = self.shared.ledger.now_ms();
-        let row = AskRow {
+        let row = RequestRow {
             attempt: attempt.to_string(),
-            vm: self.place.index,
+            vm: self.spec.index,
             kind,
             route: route.to_string(),
             key,
@@ -124,15 +124,15 @@
             ended_ms,
             end: end.clone(),
             answer,
-            old: self.old,
+            old: self.http10,
         };
-        self.shared.ledger.rows.borrow_mut().asks.push(row);
+        self.shared.ledger.rows.borrow_mut().requests.push(row);
         end
     }
 
     fn draw_key(&mut self) -> String {
         let keys = self.shared.keys.borrow();
-        if self.steady {
+        if self.steady_key {
             return keys.first().cloned().unwrap_or_default();
         }
         // Now and then the key before the newest, which may be taken away by now.
@@ -146,20 +146,20 @@
         attempt: &str,
         key: &str,
         body: &str,
-    ) -> (AskEnd, Option<SeenAnswer>) {
+    ) -> (RequestEnd, Option<ReceivedAnswer>) {
         let mut sender = match self.sender.take().filter(|sender| !sender.is_closed()) {
             Some(sender) => sender,
-            None => match connect(self.place.front_link(), CONNECT_WAIT).await {
+            None => match connect(self.spec.front_link(), CONNECT_WAIT).await {
                 Some(sender) => sender,
-                None => return (AskEnd::Unreached, None),
+                None => return (RequestEnd::Unreached, None),
             },
         };
         if sender.ready().await.is_err() {
-            return (AskEnd::Unreached, None);
+            return (RequestEnd::Unreached, None);
         }
         let request = Request::builder()
             .method("POST")
-            .version(if self.old { Version::HTTP_10 } else { Version::HTTP_11 })
+            .version(if self.http10 { Version::HTTP_10 } else { Version::HTTP_11 })
             .uri(format!("/{route}/x"))
             .header("host", "a.example")
             .header(ATTEMPT, attempt)
@@ -167,29 +167,32 @@
             .header("x-deadline-ms", DEADLINE_MS)
             .body(Full::new(Bytes::from(body.to_string())))
             .expect("a plain head");
-        let Ok(answer) = sender.send_request(request).await else { return (AskEnd::Cut, None) };
+        let Ok(answer) = sender.send_request(request).await else { return (RequestEnd::Cut, None) };
         let read = read_answer(answer, attempt).await;
-        if !self.old {
+        if !self.http10 {
             self.sender = Some(sender);
         }
         read
     }
 }
 
-async fn read_answer(answer: Response<Incoming>, attempt: &str) -> (AskEnd, Option<SeenAnswer>) {
+async fn read_answer(
+    answer: Response<Incoming>,
+    attempt: &str,
+) -> (RequestEnd, Option<ReceivedAnswer>) {
     let status = answer.status().as_u16();
     let stamped = answer.headers().contains_key(STAMP);
     let named = answer.headers().get(ATTEMPT).and_then(|id| id.to_str().ok());
     let named = named.map(str::to_string);
     let body = match answer.into_body().collect().await {
         Ok(body) => body.to_bytes().to_vec(),
-        Err(_) => return (AskEnd::Cut, None),
+        Err(_) => return (RequestEnd::Cut, None),
     };
-    let seen = SeenAnswer { status, stamped, body };
+    let seen = ReceivedAnswer { status, stamped, body };
     let end = match status {
-        200 if named.as_deref() == Some(attempt) => AskEnd::Whole,
-        200 => AskEnd::Wrong(format!("the answer names {named:?}")),
-        status => AskEnd::Status(status),
+        200 if named.as_deref() == Some(attempt) => RequestEnd::Whole,
+        200 => RequestEnd::Wrong(format!("the answer names {named:?}")),
+        status => RequestEnd::Status(status),
     };
     (end, Some(seen))
 }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -16,8 +16,8 @@
 pub type CallSender = SendRequest<Full<Bytes>>;
 
 /// Opens a connection.
-pub async fn connect(address: SocketAddr, most: Duration) -> Option<CallSender> {
-    let stream = tokio::time::timeout(most, TcpStream::connect(address)).await.ok()?.ok()?;
+pub async fn connect(address: SocketAddr, timeout: Duration) -> Option<CallSender> {
+    let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(connection);
@@ -30,10 +30,10 @@
     method: &str,
     path: &str,
     body: &str,
-    most: Duration,
+    timeout: Duration,
 ) -> Option<(u16, String)> {
     let whole = async {
-        let mut sender = connect(address, most).await?;
+        let mut sender = connect(address, timeout).await?;
         let request = Request::builder().method(method).uri(path).header("host", "a.example");
         let request = request.body(Full::new(Bytes::from(body.to_string()))).ok()?;
         let answer: Response<Incoming> = sender.send_request(request).await.ok()?;
@@ -41,5 +41,5 @@
         let body = answer.into_body().collect().await.ok()?.to_bytes();
         Some((status, String::from_utf8_lossy(&body).into_owned()))
     };
-    tokio::time::timeout(most, whole).await.ok().flatten()
+    tokio::time::timeout(timeout, whole).await.ok().flatten()
 }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -7,8 +7,8 @@
 
 use crate::judge_answers::answer_fault;
 use crate::ledger::{
-    ArrivalRow, AskEnd, AskKind, AskRow, DocumentRow, LedgerRows, OrderRow, OrderWhat, RollOutRow,
-    RunRow, SpanRow, Touched,
+    ArrivalRow, DocumentRow, LedgerRows, OrderContent, OrderRow, RequestEnd, RequestKind,
+    RequestRow, RollOutRow, RunRow, SpanRow, Touched,
 };
 use crate::operator::version_of;
 use crate::rollouts::UNKNOWN;
@@ -22,15 +22,15 @@
 /// A leaving upstream gets nothing after this (`drainMs`).
 const DRAIN_MS: u64 = 4_000;
 /// An emptied zone gets nothing after this (`evacMs`).
-const EMPTY_MS: u64 = 5_000;
+const EVACUATION_MS: u64 = 5_000;
 /// What a disturbed core adds (`outerMs`).
-const OUTER_MS: u64 = 6_000;
+const CORE_ALLOWANCE_MS: u64 = 6_000;
 /// A planned stop lasts at most this (`graceS`), and a second more is counted.
-const STOP_MS: u64 = 9_000;
+const PLANNED_STOP_MS: u64 = 9_000;
 /// What an unsound version may get of the requests of its service (`exposeShare`).
-const EXPOSE_SHARE: f64 = 0.1;
+const EXPOSURE_SHARE: f64 = 0.1;
 /// And this many more (`exposeSlack`).
-const EXPOSE_SLACK: f64 = 50.0;
+const EXPOSURE_SLACK: f64 = 50.0;
 /// An unsound version gets nothing so long after its 50th bad answer (`rollbackMs`).
 const ROLL_BACK_MS: u64 = 5_000;
 /// Bad answers from which that counts.
@@ -38,13 +38,13 @@
 /// An order may be taken until it is no longer sent (`ackMs`).
 const REPEAT_MS: u64 = 5_000;
 /// Observers of one clock may note one moment this far apart on a loaded machine.
-const NOTE_MS: u64 = 250;
+const CLOCK_SLACK_MS: u64 = 250;
 /// Upstreams that may end under one request before it is known for it, and sends beyond that.
-const FATAL_BORNE: usize = 3;
+const FATAL_TOLERANCE: usize = 3;
 /// Requests that one VM may send to an upstream within a rest that it asked that VM for, from
-/// [`REST_GRACE_MS`] after it did.
-const REST_BORNE: usize = 2;
-const REST_GRACE_MS: u64 = 500;
+/// [`BACKOFF_GRACE_MS`] after it did.
+const BACKOFF_TOLERANCE: usize = 2;
+const BACKOFF_GRACE_MS: u64 = 500;
 /// VMs that keep what is agreed on.
 const CORE_VMS: usize = 3;
 
@@ -54,12 +54,12 @@
     /// Its name.
     pub promise: &'static str,
     /// What was seen.
-    pub seen: String,
+    pub details: String,
 }
 
 struct RunJudge<'a> {
     rows: &'a LedgerRows,
-    asks: HashMap<&'a str, &'a AskRow>,
+    requests: HashMap<&'a str, &'a RequestRow>,
     runs: HashMap<&'a str, Vec<&'a RunRow>>,
     broken: Vec<BrokenPromise>,
 }
@@ -70,78 +70,82 @@
     for run in &rows.runs {
         runs.entry(&run.attempt).or_default().push(run);
     }
-    let asks = rows.asks.iter().map(|ask| (ask.attempt.as_str(), ask)).collect();
-    let mut judge = RunJudge { rows, asks, runs, broken: Vec::new() };
-    for seen in &rows.seen {
-        judge.add("recovery", seen.clone());
+    let requests =
+        rows.requests.iter().map(|request| (request.attempt.as_str(), request)).collect();
+    let mut judge = RunJudge { rows, requests, runs, broken: Vec::new() };
+    for fault in &rows.run_faults {
+        judge.add("recovery", fault.clone());
     }
-    judge.answers();
-    judge.planned_stops();
-    judge.leaving();
-    judge.sent_after_notice();
-    judge.rests();
-    judge.zones();
-    judge.documents_in_force();
-    judge.keys();
-    judge.reads();
-    judge.rollouts();
-    judge.fatal_requests();
+    judge.check_answers();
+    judge.check_planned_stops();
+    judge.check_leaving();
+    judge.check_notices();
+    judge.check_backoffs();
+    judge.check_zones();
+    judge.check_documents();
+    judge.check_keys();
+    judge.check_reads();
+    judge.check_rollouts();
+    judge.check_fatal_requests();
     judge.broken
 }
 
 impl<'a> RunJudge<'a> {
-    fn add(&mut self, promise: &'static str, seen: String) {
-        self.broken.push(BrokenPromise { promise, seen });
+    fn add(&mut self, promise: &'static str, details: String) {
+        self.broken.push(BrokenPromise { promise, details });
     }
 
-    fn runs_of(&self, ask: &AskRow) -> &[&'a RunRow] {
-        self.runs.get(ask.attempt.as_str()).map_or(&[], Vec::as_slice)
+    fn runs_of(&self, request: &RequestRow) -> &[&'a RunRow] {
+        self.runs.get(request.attempt.as_str()).map_or(&[], Vec::as_slice)
     }
 
-    fn answers(&mut self) {
-        for ask in &self.rows.asks {
-            let runs = self.runs_of(ask).len();
-            if let AskEnd::Wrong(how) = &ask.end {
-                self.add("whole answers", format!("{how}: {ask:?}"));
+    fn check_answers(&mut self) {
+        for request in &self.rows.requests {
+            let runs = self.runs_of(request).len();
+            if let RequestEnd::Wrong(how) = &request.end {
+                self.add("whole answers", format!("{how}: {request:?}"));
             }
-            let repeats = matches!(ask.kind, AskKind::Safe | AskKind::Resume);
+            let repeats = matches!(request.kind, RequestKind::Safe | RequestKind::Resume);
             if runs > 1 && !repeats {
-                self.add("runs once", format!("{runs} runs: {ask:?}"));
+                self.add("runs once", format!("{runs} runs: {request:?}"));
             }
-            if matches!(ask.end, AskEnd::Status(408 | 421 | 429 | 503)) && runs > 0 && !repeats {
-                self.add("not run", format!("{runs} runs: {ask:?}"));
+            if matches!(request.end, RequestEnd::Status(408 | 421 | 429 | 503))
+                && runs > 0
+                && !repeats
+            {
+                self.add("not run", format!("{runs} runs: {request:?}"));
             }
-            if let Some(how) = answer_fault(self.rows, ask, self.runs_of(ask)) {
-                self.add("whole answers", format!("{how}: {ask:?}"));
+            if let Some(how) = answer_fault(self.rows, request, self.runs_of(request)) {
+                self.add("whole answers", format!("{how}: {request:?}"));
             }
         }
     }
 
     /// Whether anything but a planned stop was disturbed in this time.
-    fn unplanned(&self, from_ms: u64, until_ms: u64) -> bool {
+    fn was_disturbed_unplanned(&self, from_ms: u64, until_ms: u64) -> bool {
         let unplanned = |span: &&SpanRow| !matches!(span.touched, Touched::PlannedVm(_));
-        self.rows.spans.iter().filter(unplanned).any(|span| meets(span, from_ms, until_ms))
+        self.rows.spans.iter().filter(unplanned).any(|span| overlaps(span, from_ms, until_ms))
     }
 
-    fn planned_stops(&mut self) {
-        for ask in &self.rows.asks {
+    fn check_planned_stops(&mut self) {
+        for request in &self.rows.requests {
             let stop = self.rows.spans.iter().find(|span| {
-                span.touched == Touched::PlannedVm(ask.vm)
-                    && (span.from_ms..span.from_ms + STOP_MS).contains(&ask.ended_ms)
+                span.touched == Touched::PlannedVm(request.vm)
+                    && (span.from_ms..span.from_ms + PLANNED_STOP_MS).contains(&request.ended_ms)
             });
-            let cut = matches!(ask.end, AskEnd::Cut | AskEnd::Late);
-            let sent_on = !self.runs_of(ask).is_empty();
+            let cut = matches!(request.end, RequestEnd::Cut | RequestEnd::Late);
+            let sent_on = !self.runs_of(request).is_empty();
             if stop.is_some() && cut && sent_on {
-                let from_ms = ask.sent_ms.saturating_sub(CONTACT_MS);
-                if !self.unplanned(from_ms, ask.ended_ms + NOTE_MS) {
-                    self.add("planned stops cut nothing", format!("{ask:?}"));
+                let from_ms = request.sent_ms.saturating_sub(CONTACT_MS);
+                if !self.was_disturbed_unplanned(from_ms, request.ended_ms + CLOCK_SLACK_MS) {
+                    self.add("planned stops cut nothing", format!("{request:?}"));
                 }
             }
         }
     }
 
     /// Since when the VM has been in touch at `at_ms`; none when it isn't.
-    fn in_touch_since(&self, vm: usize, at_ms: u64) -> Option<u64> {
+    fn in_contact_since(&self, vm: usize, at_ms: u64) -> Option<u64> {
         let mut since = 0;
         for span in &self.rows.spans {
             let own = matches!(span.touched, Touched::Vm(x) | Touched::PlannedVm(x) if x == vm);
@@ -153,25 +157,25 @@
     }
 
     /// What a core that was disturbed between these moments adds.
-    fn outer(&self, from_ms: u64, until_ms: u64) -> u64 {
+    fn core_allowance_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
         let core = self.rows.spans.iter().any(|span| {
             let vm = match span.touched {
                 Touched::Vm(vm) | Touched::PlannedVm(vm) => vm,
                 _ => return false,
             };
-            vm < CORE_VMS && meets(span, from_ms.saturating_sub(CONTACT_MS), until_ms)
+            vm < CORE_VMS && overlaps(span, from_ms.saturating_sub(CONTACT_MS), until_ms)
         });
         if core {
-            OUTER_MS
+            CORE_ALLOWANCE_MS
         } else {
             0
         }
     }
 
-    fn leaving(&mut self) {
+    fn check_leaving(&mut self) {
         for run in &self.rows.runs {
-            let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-            let Some(mut since) = self.in_touch_since(ask.vm, run.at_ms) else { continue };
+            let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+            let Some(mut since) = self.in_contact_since(request.vm, run.at_ms) else { continue };
             for span in &self.rows.spans {
                 if span.touched == Touched::List && span.from_ms <= run.at_ms {
                     since = since.max(span.until_ms.unwrap_or(run.at_ms) + CONTACT_MS);
@@ -180,150 +184,163 @@
             let left = self.rows.leaving.iter().find(|row| {
                 let until_ms = row.until_ms.unwrap_or(u64::MAX);
                 row.upstream == run.upstream
-                    && row.life == run.life
+                    && row.incarnation == run.life
                     && run.at_ms < until_ms
-                    && run.at_ms > row.from_ms.max(since) + DRAIN_MS + NOTE_MS
+                    && run.at_ms > row.from_ms.max(since) + DRAIN_MS + CLOCK_SLACK_MS
             });
             if let Some(row) = left {
                 let late = run.at_ms - row.from_ms;
-                self.add("leaving upstreams", format!("{late} ms after: {run:?}, VM {}", ask.vm));
+                self.add(
+                    "leaving upstreams",
+                    format!("{late} ms after: {run:?}, VM {}", request.vm),
+                );
             }
         }
     }
 
     /// Whether a VM started anew, stood still or was cut off in this time, or the link to an upstream was
     /// harmed, on which either may be late.
-    fn excused(&self, vm: usize, upstream: usize, from_ms: u64, until_ms: u64) -> bool {
+    fn is_excused(&self, vm: usize, upstream: usize, from_ms: u64, until_ms: u64) -> bool {
         let touched = |span: &&SpanRow| match span.touched {
             Touched::Vm(other) | Touched::PlannedVm(other) => other == vm,
             Touched::Upstream(other) => other == upstream,
             Touched::Front(_) | Touched::List => false,
         };
-        self.rows.spans.iter().filter(touched).any(|span| meets(span, from_ms, until_ms))
+        self.rows.spans.iter().filter(touched).any(|span| overlaps(span, from_ms, until_ms))
     }
 
     /// What a VM sent to an upstream whose answer, passed on before, said that it leaves.
-    fn sent_after_notice(&mut self) {
+    fn check_notices(&mut self) {
         let mut first_notice: HashMap<(usize, u64), u64> = HashMap::new();
         for run in self.rows.runs.iter().filter(|run| run.leaving) {
-            let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
+            let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
             // Of several answers one may not have been passed on.
-            if ask.end == AskEnd::Whole && self.runs_of(ask).len() == 1 {
-                let notice_ms = first_notice.entry((ask.vm, run.life)).or_insert(ask.ended_ms);
-                *notice_ms = ask.ended_ms.min(*notice_ms);
+            if request.end == RequestEnd::Whole && self.runs_of(request).len() == 1 {
+                let notice_ms =
+                    first_notice.entry((request.vm, run.life)).or_insert(request.ended_ms);
+                *notice_ms = request.ended_ms.min(*notice_ms);
             }
         }
         for run in &self.rows.runs {
-            let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-            let Some(notice_ms) = first_notice.get(&(ask.vm, run.life)).copied() else { continue };
-            let late = ask.sent_ms > notice_ms + DRAIN_MS + NOTE_MS;
-            if late && !self.excused(ask.vm, run.upstream, notice_ms, run.at_ms) {
-                let after = ask.sent_ms - notice_ms;
-                self.add("told leaving", format!("{after} ms after: {run:?}, VM {}", ask.vm));
+            let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+            let Some(notice_ms) = first_notice.get(&(request.vm, run.life)).copied() else {
+                continue;
+            };
+            let late = request.sent_ms > notice_ms + DRAIN_MS + CLOCK_SLACK_MS;
+            if late && !self.is_excused(request.vm, run.upstream, notice_ms, run.at_ms) {
+                let after = request.sent_ms - notice_ms;
+                self.add("told leaving", format!("{after} ms after: {run:?}, VM {}", request.vm));
             }
         }
     }
 
     /// What a VM sent to an upstream within a rest that this had asked it for.
-    fn rests(&mut self) {
+    fn check_backoffs(&mut self) {
         let mut sent: HashMap<(usize, u64), Vec<&ArrivalRow>> = HashMap::new();
         for row in &self.rows.arrivals {
-            let Some(ask) = self.asks.get(row.attempt.as_str()) else { continue };
-            sent.entry((ask.vm, row.life)).or_default().push(row);
+            let Some(request) = self.requests.get(row.attempt.as_str()) else { continue };
+            sent.entry((request.vm, row.life)).or_default().push(row);
         }
         for ((vm, _), rows) in sent {
             for asked in rows.iter().filter(|row| row.rest_ms > 0) {
                 let until_ms = asked.at_ms + asked.rest_ms;
                 let within = rows.iter().filter(|row| {
-                    row.at_ms > asked.at_ms + REST_GRACE_MS + NOTE_MS && row.at_ms < until_ms
+                    row.at_ms > asked.at_ms + BACKOFF_GRACE_MS + CLOCK_SLACK_MS
+                        && row.at_ms < until_ms
                 });
                 let within = within.count();
-                if within > REST_BORNE && !self.excused(vm, asked.upstream, asked.at_ms, until_ms) {
+                if within > BACKOFF_TOLERANCE
+                    && !self.is_excused(vm, asked.upstream, asked.at_ms, until_ms)
+                {
                     self.add("rest", format!("{within} within it, VM {vm}: {asked:?}"));
                 }
             }
         }
     }
 
-    fn zones(&mut self) {
+    fn check_zones(&mut self) {
         for order in &self.rows.orders {
-            let (OrderWhat::EmptyZone(zone), Some(acked_ms)) = (&order.what, order.acked_ms) else {
+            let (OrderContent::EmptyZone(zone), Some(acked_ms)) = (&order.content, order.acked_ms)
+            else {
                 continue;
             };
-            let until_ms = self.return_sent(zone, order.sent_ms);
+            let until_ms = self.return_sent_ms(zone, order.sent_ms);
             for run in self.rows.runs.iter().filter(|run| run.zone == *zone) {
-                let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-                let Some(since) = self.in_touch_since(ask.vm, run.at_ms) else { continue };
+                let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+                let Some(since) = self.in_contact_since(request.vm, run.at_ms) else { continue };
                 let from_ms = acked_ms.max(since);
-                let bound = EMPTY_MS + self.outer(acked_ms, run.at_ms) + NOTE_MS;
+                let bound =
+                    EVACUATION_MS + self.core_allowance_ms(acked_ms, run.at_ms) + CLOCK_SLACK_MS;
                 if run.at_ms > from_ms + bound && run.at_ms < until_ms {
                     let late = run.at_ms - acked_ms;
-                    self.add("emptied zones", format!("{late} ms after: {run:?}, VM {}", ask.vm));
+                    self.add(
+                        "emptied zones",
+                        format!("{late} ms after: {run:?}, VM {}", request.vm),
+                    );
                 }
             }
         }
     }
 
-    fn return_sent(&self, zone: &str, after_ms: u64) -> u64 {
-        let returns =
-            self.rows.orders.iter().filter(
-                |order| matches!(&order.what, OrderWhat::ReturnZone(other) if other == zone),
-            );
+    fn return_sent_ms(&self, zone: &str, after_ms: u64) -> u64 {
+        let returns = self.rows.orders.iter().filter(
+            |order| matches!(&order.content, OrderContent::ReturnZone(other) if other == zone),
+        );
         let sent = returns.map(|order| order.sent_ms).filter(|sent| *sent > after_ms);
         sent.min().unwrap_or(u64::MAX)
     }
 
     fn documents(&self) -> impl Iterator<Item = (&'a DocumentRow, &'a OrderRow)> + use<'a> {
-        self.rows.orders.iter().filter_map(|order| match &order.what {
-            OrderWhat::Document(row) if order.refused.is_none() => Some((row, order)),
+        self.rows.orders.iter().filter_map(|order| match &order.content {
+            OrderContent::Document(row) if order.refused.is_none() => Some((row, order)),
             _ => None,
         })
     }
 
     /// The oldest version that may still be gone by for what is sent at `sent_ms`.
-    fn oldest(&self, sent_ms: u64, bound: u64) -> u64 {
+    fn oldest_allowed(&self, sent_ms: u64, bound: u64) -> u64 {
         let held = self.documents().filter(|(_, order)| {
-            order.acked_ms.is_some_and(|acked_ms| acked_ms + bound + NOTE_MS < sent_ms)
+            order.acked_ms.is_some_and(|acked_ms| acked_ms + bound + CLOCK_SLACK_MS < sent_ms)
         });
         held.map(|(row, _)| row.version).max().unwrap_or(0)
     }
 
-    fn documents_in_force(&mut self) {
-        for ask in self.rows.asks.iter().filter(|ask| ask.route == "moved") {
-            let Some(since) = self.in_touch_since(ask.vm, ask.sent_ms) else { continue };
-            let bound = APPLY_MS + self.outer(since, ask.sent_ms);
-            if ask.sent_ms < since + bound {
+    fn check_documents(&mut self) {
+        for request in self.rows.requests.iter().filter(|request| request.route == "moved") {
+            let Some(since) = self.in_contact_since(request.vm, request.sent_ms) else { continue };
+            let bound = APPLY_MS + self.core_allowance_ms(since, request.sent_ms);
+            if request.sent_ms < since + bound {
                 continue;
             }
-            let oldest = self.oldest(ask.sent_ms, bound);
+            let oldest = self.oldest_allowed(request.sent_ms, bound);
             let may = self.documents().filter(|(row, _)| row.version >= oldest);
             let may: Vec<&str> = may.map(|(row, _)| row.moved_to.as_str()).collect();
-            let runs = self.runs_of(ask).iter();
+            let runs = self.runs_of(request).iter();
             let other = runs.copied().find(|run| !may.contains(&run.service.as_str()));
             if let Some(run) = other {
-                self.add("orders in force", format!("{oldest} held, but {run:?} of {ask:?}"));
+                self.add("orders in force", format!("{oldest} held, but {run:?} of {request:?}"));
             }
         }
     }
 
-    fn keys(&mut self) {
-        for ask in &self.rows.asks {
-            let oldest = self.oldest(ask.sent_ms, REVOKE_MS);
+    fn check_keys(&mut self) {
+        for request in &self.rows.requests {
+            let oldest = self.oldest_allowed(request.sent_ms, REVOKE_MS);
             let mut may = self.documents().filter(|(row, _)| row.version >= oldest);
-            let held = may.any(|(row, _)| row.keys.contains(&ask.key));
-            if !held && !self.runs_of(ask).is_empty() {
-                self.add("keys taken away", format!("{oldest} held, but it ran: {ask:?}"));
+            let held = may.any(|(row, _)| row.keys.contains(&request.key));
+            if !held && !self.runs_of(request).is_empty() {
+                self.add("keys taken away", format!("{oldest} held, but it ran: {request:?}"));
             }
         }
     }
 
-    fn reads(&mut self) {
+    fn check_reads(&mut self) {
         for read in &self.rows.reads {
             let Some(version) = version_of(&read.text) else {
                 self.add("orders kept", format!("can't be read: {}", read.text));
                 continue;
             };
-            let oldest = self.oldest(read.sent_ms, APPLY_MS);
+            let oldest = self.oldest_allowed(read.sent_ms, APPLY_MS);
             if version < oldest {
                 self.add("orders kept", format!("{version} read at VM {}, {oldest} held", read.vm));
             }
@@ -335,36 +352,38 @@
         }
     }
 
-    fn rollouts(&mut self) {
+    fn check_rollouts(&mut self) {
         for row in &self.rows.rollouts {
-            self.roll_out_end(row);
+            self.check_rollout_end(row);
             if row.unsound {
-                self.exposure(row);
-                self.roll_back(row);
+                self.check_exposure(row);
+                self.check_roll_back(row);
             }
         }
     }
 
-    fn fatal_requests(&mut self) {
+    fn check_fatal_requests(&mut self) {
         for row in &self.rows.fatal {
-            let Some(third_ms) = row.ended_ms.get(FATAL_BORNE - 1).copied() else { continue };
-            let asks = row.attempts.iter().filter_map(|attempt| self.asks.get(attempt.as_str()));
-            let late = asks.flat_map(|ask| {
-                let runs = self.runs_of(ask).iter().map(|run| run.at_ms);
+            let Some(third_ms) = row.ended_ms.get(FATAL_TOLERANCE - 1).copied() else { continue };
+            let requests =
+                row.attempts.iter().filter_map(|attempt| self.requests.get(attempt.as_str()));
+            let late = requests.flat_map(|request| {
+                let runs = self.runs_of(request).iter().map(|run| run.at_ms);
                 runs.filter(|at_ms| {
-                    let bound = CONTACT_MS + self.outer(third_ms, *at_ms) + NOTE_MS;
-                    *at_ms > third_ms + bound && self.in_touch_since(ask.vm, *at_ms).is_some()
+                    let bound =
+                        CONTACT_MS + self.core_allowance_ms(third_ms, *at_ms) + CLOCK_SLACK_MS;
+                    *at_ms > third_ms + bound && self.in_contact_since(request.vm, *at_ms).is_some()
                 })
             });
             let late: Vec<u64> = late.map(|at_ms| at_ms - third_ms).collect();
-            if late.len() > FATAL_BORNE {
-                let seen = format!("sent {late:?} ms after the third upstream ended: {row:?}");
-                self.add("requests that end upstreams", seen);
+            if late.len() > FATAL_TOLERANCE {
+                let details = format!("sent {late:?} ms after the third upstream ended: {row:?}");
+                self.add("requests that end upstreams", details);
             }
         }
     }
 
-    fn roll_out_end(&mut self, row: &RollOutRow) {
+    fn check_rollout_end(&mut self, row: &RollOutRow) {
         if let Some(lost) = row.reports.iter().find(|report| report.state == UNKNOWN) {
             self.add("orders kept", format!("a roll-out is lost: {lost:?} of {row:?}"));
         }
@@ -384,29 +403,29 @@
     fn exposed(&self, row: &RollOutRow) -> Vec<(&'a RunRow, u64)> {
         let of = self.rows.runs.iter().filter(|run| run.version == row.target);
         let asked = of.filter_map(|run| {
-            let ask = self.asks.get(run.attempt.as_str())?;
-            self.in_touch_since(ask.vm, run.at_ms)?;
-            Some((run, ask.sent_ms))
+            let request = self.requests.get(run.attempt.as_str())?;
+            self.in_contact_since(request.vm, run.at_ms)?;
+            Some((run, request.sent_ms))
         });
         asked.collect()
     }
 
-    fn exposure(&mut self, row: &RollOutRow) {
+    fn check_exposure(&mut self, row: &RollOutRow) {
         let until_ms = row.acked_ms.unwrap_or(row.sent_ms + REPEAT_MS) + row.duration_ms;
         let within = |run: &RunRow| (row.sent_ms..until_ms).contains(&run.at_ms);
         let all = self.rows.runs.iter().filter(|run| run.service == row.service && within(run));
-        let bound = EXPOSE_SHARE * all.count() as f64 + EXPOSE_SLACK;
+        let bound = EXPOSURE_SHARE * all.count() as f64 + EXPOSURE_SLACK;
         let exposed = self.exposed(row).iter().filter(|(run, _)| within(run)).count();
         if exposed as f64 > bound {
             self.add("exposure", format!("{exposed} runs, {bound:.0} allowed: {row:?}"));
         }
     }
 
-    fn roll_back(&mut self, row: &RollOutRow) {
+    fn check_roll_back(&mut self, row: &RollOutRow) {
         let bad = self.rows.runs.iter().filter(|run| run.version == row.target && run.bad);
         let Some(from) = bad.map(|run| run.at_ms).nth(BAD_ANSWERS - 1) else { return };
         let late = self.exposed(row).into_iter().find(|(_, sent_ms)| {
-            let bound = ROLL_BACK_MS + self.outer(from, *sent_ms) + NOTE_MS;
+            let bound = ROLL_BACK_MS + self.core_allowance_ms(from, *sent_ms) + CLOCK_SLACK_MS;
             *sent_ms > from + bound
         });
         if let Some((run, sent_ms)) = late {
@@ -416,7 +435,7 @@
     }
 }
 
-fn meets(span: &SpanRow, from_ms: u64, until_ms: u64) -> bool {
+fn overlaps(span: &SpanRow, from_ms: u64, until_ms: u64) -> bool {
     span.from_ms <= until_ms && span.until_ms.is_none_or(|until| until >= from_ms)
 }
 
--- a/soak/src/judge_answers.rs
+++ b/soak/src/judge_answers.rs
@@ -1,16 +1,16 @@
 //! Whether what a caller can take as complete is what upstreams sent as whole, byte for byte.
 
-use crate::answer_make::{AnswerKind, AnswerMake, EarlyEnd, Framing, STREAM_EVENTS};
-use crate::ledger::{AskKind, AskRow, LedgerRows, RunRow, SentEnd, Touched};
+use crate::answer_make::{AnswerKind, AnswerPlan, EarlyEnd, Framing, STREAM_EVENTS};
+use crate::ledger::{LedgerRows, RequestKind, RequestRow, RunRow, SentEnd, Touched};
 
 /// What is wrong with an answer that ended as complete.
-pub fn answer_fault(rows: &LedgerRows, ask: &AskRow, runs: &[&RunRow]) -> Option<String> {
-    let seen = ask.answer.as_ref()?;
+pub fn answer_fault(rows: &LedgerRows, request: &RequestRow, runs: &[&RunRow]) -> Option<String> {
+    let seen = request.answer.as_ref()?;
     if (200..300).contains(&seen.status) && !seen.stamped {
         return Some("a success without a stamp".to_string());
     }
     // A VM's own refusals carry none.
-    if !seen.stamped || (ask.old && is_ended_vm(rows, ask)) {
+    if !seen.stamped || (request.old && overlaps_vm_disturbance(rows, request)) {
         return None;
     }
     if runs.is_empty() {
@@ -19,46 +19,47 @@
     let ends: Vec<RunEnd> = runs.iter().map(|run| run_end(rows, run)).collect();
     let of = runs.iter().zip(&ends);
     let whole = of.clone().any(|(run, end)| {
-        let made = run.make.pieces(&ask.attempt).concat();
+        let made = run.make.pieces(&request.attempt).concat();
         run.make.status() == seen.status && *end == RunEnd::Whole && made == seen.body
     });
     if whole {
         return None;
     }
-    let streams = matches!(ask.kind, AskKind::Stream | AskKind::Resume) && seen.status == 200;
+    let streams =
+        matches!(request.kind, RequestKind::Stream | RequestKind::Resume) && seen.status == 200;
     if !streams {
-        return Some(format!("complete, but of {:?}", makes(runs, &ends)));
+        return Some(format!("complete, but of {:?}", plans(runs, &ends)));
     }
     let mut joined = JoinedRuns { rest: &seen.body, next: 1, ended: false };
     for (run, end) in of {
-        if joined.next == 1 || ask.kind == AskKind::Resume {
-            joined.take(&ask.attempt, &run.make, *end);
+        if joined.next == 1 || request.kind == RequestKind::Resume {
+            joined.consume(&request.attempt, &run.make, *end);
         }
     }
     match (joined.rest.is_empty(), joined.ended) {
         (true, true) => None,
         (true, false) => {
-            Some(format!("complete after {} events, of {:?}", joined.next - 1, makes(runs, &ends)))
+            Some(format!("complete after {} events, of {:?}", joined.next - 1, plans(runs, &ends)))
         }
         (false, _) => Some(format!(
             "{} bytes after event {} are none of its runs', of {:?}",
             joined.rest.len(),
             joined.next - 1,
-            makes(runs, &ends)
+            plans(runs, &ends)
         )),
     }
 }
 
 /// By HTTP/1.0 an answer ends with its connection, which the end of a VM's process closes too.
-fn is_ended_vm(rows: &LedgerRows, ask: &AskRow) -> bool {
+fn overlaps_vm_disturbance(rows: &LedgerRows, request: &RequestRow) -> bool {
     rows.spans.iter().any(|span| {
-        span.touched == Touched::Vm(ask.vm)
-            && span.from_ms <= ask.ended_ms
-            && span.until_ms.is_none_or(|until_ms| until_ms >= ask.sent_ms)
+        span.touched == Touched::Vm(request.vm)
+            && span.from_ms <= request.ended_ms
+            && span.until_ms.is_none_or(|until_ms| until_ms >= request.sent_ms)
     })
 }
 
-fn makes(runs: &[&RunRow], ends: &[RunEnd]) -> Vec<(AnswerMake, RunEnd)> {
+fn plans(runs: &[&RunRow], ends: &[RunEnd]) -> Vec<(AnswerPlan, RunEnd)> {
     runs.iter().zip(ends).map(|(run, end)| (run.make, *end)).collect()
 }
 
@@ -75,9 +76,9 @@
 }
 
 fn run_end(rows: &LedgerRows, run: &RunRow) -> RunEnd {
-    let make = &run.make;
-    let sent = match rows.sent.iter().find(|sent| sent.run == make.run).map(|sent| sent.end) {
-        Some(SentEnd::AsMade) => match make.early {
+    let plan = &run.make;
+    let sent = match rows.sent.iter().find(|sent| sent.run == plan.run).map(|sent| sent.end) {
+        Some(SentEnd::AsMade) => match plan.early {
             None => return RunEnd::Whole,
             Some(early) if early.end == EarlyEnd::Reset => return RunEnd::Broken,
             Some(early) => early.sent,
@@ -85,11 +86,11 @@
         Some(SentEnd::Closed(sent)) => sent,
         None => return RunEnd::Broken,
     };
-    if make.framing != Framing::Connection || !matches!(make.kind, AnswerKind::Stream(_)) {
+    if plan.framing != Framing::Connection || !matches!(plan.kind, AnswerKind::Stream(_)) {
         return RunEnd::Broken;
     }
     let (mut bytes, mut events) = (0, 0);
-    for piece in make.pieces(&run.attempt) {
+    for piece in plan.pieces(&run.attempt) {
         if bytes == sent {
             break;
         }
@@ -111,14 +112,14 @@
 }
 
 impl JoinedRuns<'_> {
-    fn take(&mut self, attempt: &str, make: &AnswerMake, end: RunEnd) {
-        let AnswerKind::Stream(after) = make.kind else { return };
-        if make.status() != 200 || after >= self.next {
+    fn consume(&mut self, attempt: &str, plan: &AnswerPlan, end: RunEnd) {
+        let AnswerKind::Stream(after) = plan.kind else { return };
+        if plan.status() != 200 || after >= self.next {
             return;
         }
         let before = self.next - 1;
         let skipped = (self.next - 1 - after) as usize;
-        for event in make.pieces(attempt).iter().skip(skipped) {
+        for event in plan.pieces(attempt).iter().skip(skipped) {
             let Some(rest) = self.rest.strip_prefix(event.as_slice()) else { break };
             self.rest = rest;
             self.next += 1;
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -6,11 +6,11 @@
 use std::cell::RefCell;
 use std::time::Instant;
 
-use crate::answer_make::AnswerMake;
+use crate::answer_make::AnswerPlan;
 
 /// What a route promises about being run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskKind {
+pub enum RequestKind {
     /// Runs at most once.
     Once,
     /// May run again.
@@ -23,7 +23,7 @@
 
 /// How an attempt ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AskEnd {
+pub enum RequestEnd {
     /// An answer to this request that ended as complete.
     Whole,
     /// An answer without success.
@@ -40,7 +40,7 @@
 
 /// An answer that its caller can take as complete.
 #[derive(Clone, PartialEq, Eq)]
-pub struct SeenAnswer {
+pub struct ReceivedAnswer {
     /// Its status.
     pub status: u16,
     /// Whether it carries an upstream's stamp.
@@ -49,7 +49,7 @@
     pub body: Vec<u8>,
 }
 
-impl std::fmt::Debug for SeenAnswer {
+impl std::fmt::Debug for ReceivedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let from = self.body.len().saturating_sub(60);
         let end = String::from_utf8_lossy(&self.body[from..]);
@@ -77,13 +77,13 @@
 
 /// One attempt of a caller.
 #[derive(Clone, Debug)]
-pub struct AskRow {
+pub struct RequestRow {
     /// The id of the attempt.
     pub attempt: String,
     /// The VM that was asked.
     pub vm: usize,
     /// The kind of its route.
-    pub kind: AskKind,
+    pub kind: RequestKind,
     /// The first part of its path.
     pub route: String,
     /// The key it carried.
@@ -93,9 +93,9 @@
     /// When it ended.
     pub ended_ms: u64,
     /// How it ended.
-    pub end: AskEnd,
+    pub end: RequestEnd,
     /// What came, if it ended as complete.
-    pub answer: Option<SeenAnswer>,
+    pub answer: Option<ReceivedAnswer>,
     /// Whether the caller spoke HTTP/1.0 and read to the end of the connection.
     pub old: bool,
 }
@@ -126,7 +126,7 @@
     /// Whether its answer says that the upstream leaves.
     pub leaving: bool,
     /// What it answers.
-    pub make: AnswerMake,
+    pub make: AnswerPlan,
 }
 
 /// One request that reached an upstream, run or not.
@@ -146,7 +146,7 @@
 
 /// What an operator asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderWhat {
+pub enum OrderContent {
     /// A configuration.
     Document(DocumentRow),
     /// A configuration that is not valid.
@@ -174,7 +174,7 @@
 #[derive(Clone, Debug)]
 pub struct OrderRow {
     /// What was asked for.
-    pub what: OrderWhat,
+    pub content: OrderContent,
     /// When it was sent first.
     pub sent_ms: u64,
     /// When it was acknowledged.
@@ -226,7 +226,7 @@
     /// The index of the upstream.
     pub upstream: usize,
     /// Its life: one that starts in its place meanwhile is listed as ready.
-    pub life: u64,
+    pub incarnation: u64,
     /// When the list showed it.
     pub from_ms: u64,
     /// When the upstream stood there as ready again.
@@ -235,7 +235,7 @@
 
 /// What a VM reported of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RollOutEnd {
+pub struct RollOutReport {
     /// The VM.
     pub vm: usize,
     /// When the report came.
@@ -262,7 +262,7 @@
     /// When it was acknowledged.
     pub acked_ms: Option<u64>,
     /// What VMs reported of it.
-    pub reports: Vec<RollOutEnd>,
+    pub reports: Vec<RollOutReport>,
 }
 
 /// A request that ends the upstreams that run it.
@@ -280,7 +280,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LedgerRows {
     /// Attempts.
-    pub asks: Vec<AskRow>,
+    pub requests: Vec<RequestRow>,
     /// Runs.
     pub runs: Vec<RunRow>,
     /// Ends of answers.
@@ -300,7 +300,7 @@
     /// Requests that end upstreams.
     pub fatal: Vec<FatalRow>,
     /// Promises that the run itself saw broken while it waited for something.
-    pub seen: Vec<String>,
+    pub run_faults: Vec<String>,
 }
 
 /// The rows and the clock of a run.
@@ -324,7 +324,7 @@
     }
 
     /// Notes the start of a disturbance; the number it returns ends it.
-    pub fn disturb(&self, touched: Touched) -> usize {
+    pub fn begin_span(&self, touched: Touched) -> usize {
         let row = SpanRow { touched, from_ms: self.now_ms(), until_ms: None };
         let spans = &mut self.rows.borrow_mut().spans;
         spans.push(row);
@@ -332,7 +332,7 @@
     }
 
     /// Notes the end of a disturbance.
-    pub fn calm(&self, span: usize) {
+    pub fn end_span(&self, span: usize) {
         self.rows.borrow_mut().spans[span].until_ms = Some(self.now_ms());
     }
 }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,7 +1,7 @@
-//! A link on loopback that can be delayed, reset, cut one way or silenced.
+//! A link forward loopback that can be delayed, reset, cut one way or silenced.
 //!
 //! Bytes are held and never dropped: below a connection that lives, the network sends them again.
-//! One that was held for longer than [`GIVEN_UP_MS`] is reset.
+//! One that was held for longer than [`MAX_HELD_MS`] is reset.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,18 +23,18 @@
     Delay(u64),
     /// Connections that stand and new ones are reset.
     Reset,
-    /// What is sent by whoever connected stays on its way.
+    /// What is sent by whoever connected stays forward its way.
     HoldForward,
-    /// What is sent to whoever connected stays on its way.
+    /// What is sent to whoever connected stays forward its way.
     HoldBack,
     /// Nothing passes.
     Silent,
 }
 
 /// A peer that acknowledges nothing for this long is given up by whoever sends to it.
-const GIVEN_UP_MS: u128 = 2_500;
+const MAX_HELD_MS: u128 = 2_500;
 /// How often a held link looks whether it passes again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 struct LinkState {
     mode: Cell<LinkMode>,
@@ -55,14 +55,14 @@
         let shared = state.clone();
         let accepting = spawn_local(async move {
             while let Ok((near, _)) = listener.accept().await {
-                spawn_local(join(near, to, shared.clone()));
+                spawn_local(relay_connection(near, to, shared.clone()));
             }
         });
         Ok(LinkProxy { state, accepting })
     }
 
     /// A closure that returns how the link stands.
-    pub fn watch(&self) -> impl Fn() -> LinkMode {
+    pub fn mode_reader(&self) -> impl Fn() -> LinkMode {
         let state = self.state.clone();
         move || state.mode.get()
     }
@@ -84,7 +84,7 @@
     }
 }
 
-async fn join(near: TcpStream, to: SocketAddr, state: Rc<LinkState>) {
+async fn relay_connection(near: TcpStream, to: SocketAddr, state: Rc<LinkState>) {
     if state.mode.get() == LinkMode::Reset {
         return reset(&near);
     }
@@ -94,8 +94,8 @@
     let (far_read, mut far_write) = far.into_split();
     let both = async {
         tokio::try_join!(
-            pass(near_read, &mut far_write, &state, true),
-            pass(far_read, &mut near_write, &state, false)
+            relay(near_read, &mut far_write, &state, true),
+            relay(far_read, &mut near_write, &state, false)
         )
     };
     let broken = tokio::select! {
@@ -115,30 +115,30 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A connection of the link is to be reset on both sides.
-struct LinkBroken;
+/// A connection of the link is to be reset forward both sides.
+struct ConnectionBroken;
 
-async fn pass(
+async fn relay(
     mut read: OwnedReadHalf,
     write: &mut OwnedWriteHalf,
     state: &LinkState,
-    on: bool,
-) -> Result<(), LinkBroken> {
+    forward: bool,
+) -> Result<(), ConnectionBroken> {
     let mut piece = [0; 8192];
     loop {
         let count = read.read(&mut piece).await;
-        if held(state, on).await {
-            return Err(LinkBroken);
+        if wait_while_held(state, forward).await {
+            return Err(ConnectionBroken);
         }
         match count {
             Ok(0) => {
                 let _ = write.shutdown().await;
                 return Ok(());
             }
-            Err(_) => return Err(LinkBroken),
+            Err(_) => return Err(ConnectionBroken),
             Ok(count) => {
                 if write.write_all(&piece[..count]).await.is_err() {
-                    return Err(LinkBroken);
+                    return Err(ConnectionBroken);
                 }
             }
         }
@@ -146,18 +146,18 @@
 }
 
 /// Waits while the link holds what goes this way; true when it was held for too long.
-async fn held(state: &LinkState, on: bool) -> bool {
+async fn wait_while_held(state: &LinkState, forward: bool) -> bool {
     let since = std::time::Instant::now();
     loop {
-        match (state.mode.get(), on) {
+        match (state.mode.get(), forward) {
             (LinkMode::Silent, _) | (LinkMode::HoldForward, true) | (LinkMode::HoldBack, false) => {
-                tokio::time::sleep(LOOK_AGAIN).await
+                tokio::time::sleep(CHECK_INTERVAL).await
             }
             (LinkMode::Delay(ms), _) => {
                 tokio::time::sleep(Duration::from_millis(ms)).await;
                 return false;
             }
-            _ => return since.elapsed().as_millis() > GIVEN_UP_MS,
+            _ => return since.elapsed().as_millis() > MAX_HELD_MS,
         }
     }
 }
--- a/soak/src/list.rs
+++ b/soak/src/list.rs
@@ -17,7 +17,7 @@
 
 use crate::link::LinkProxy;
 use crate::platform::entry::entry;
-use crate::upstream::UpstreamPlace;
+use crate::upstream::UpstreamSpec;
 
 /// Entries of one page.
 const PAGE_ROWS: usize = 4;
@@ -25,12 +25,12 @@
 /// One entry of the list.
 #[derive(Clone, Debug)]
 pub struct ListRow {
-    /// The upstream's place.
-    pub place: UpstreamPlace,
+    /// The upstream's spec.
+    pub spec: UpstreamSpec,
     /// The id of its life.
     pub id: String,
     /// When that life began, in Unix milliseconds.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// The version of its software.
     pub version: String,
     /// Whether it leaves.
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -7,9 +7,9 @@
 use argh::FromArgs;
 use tokio::signal::unix::{signal, SignalKind};
 use wingshed_soak::cases::cases;
-use wingshed_soak::ledger::{AskEnd, LedgerRows};
+use wingshed_soak::ledger::{LedgerRows, RequestEnd};
 use wingshed_soak::run::{play_steps, run_network, RunPlan, RunVerdict};
-use wingshed_soak::schedule::{schedule, PlannedStep, RunSize, LARGE_SIZE, USUAL_SIZE};
+use wingshed_soak::schedule::{schedule, PlannedStep, RunSize, DEFAULT_SIZE, LARGE_SIZE};
 
 /// breaks real processes by the schedules of seeds and checks what was promised
 #[derive(FromArgs)]
@@ -70,7 +70,7 @@
 }
 
 /// What is to be played: its name, its seed and its steps.
-fn planned(arguments: &SoakArguments, size: RunSize) -> Vec<(String, u64, Vec<PlannedStep>)> {
+fn planned_runs(arguments: &SoakArguments, size: RunSize) -> Vec<(String, u64, Vec<PlannedStep>)> {
     let Some(name) = &arguments.case else {
         let seeds = arguments.from..arguments.from + arguments.seeds;
         return seeds.map(|seed| (format!("seed-{seed}"), seed, schedule(seed, size))).collect();
@@ -81,9 +81,9 @@
 }
 
 async fn play_seeds(arguments: &SoakArguments) -> u64 {
-    let size = if arguments.large { LARGE_SIZE } else { USUAL_SIZE };
+    let size = if arguments.large { LARGE_SIZE } else { DEFAULT_SIZE };
     let (mut played, mut failed) = (0, 0);
-    for (name, seed, steps) in planned(arguments, size) {
+    for (name, seed, steps) in planned_runs(arguments, size) {
         let plan = RunPlan {
             seed,
             size,
@@ -113,8 +113,8 @@
 /// How many requests ended how.
 fn ends(rows: &LedgerRows) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for ask in &rows.asks {
-        *counts.entry(format!("{:?}", ask.end)).or_default() += 1;
+    for request in &rows.requests {
+        *counts.entry(format!("{:?}", request.end)).or_default() += 1;
     }
     let texts: Vec<String> = counts.iter().map(|(end, count)| format!("{end} {count}")).collect();
     texts.join(", ")
@@ -123,12 +123,12 @@
 /// Prints what a seed showed; true when nothing was broken.
 fn print_verdict(name: &str, plan: &RunPlan, verdict: &RunVerdict) -> bool {
     let rows = &verdict.rows;
-    let whole = rows.asks.iter().filter(|ask| ask.end == AskEnd::Whole);
-    let (asks, runs, whole) = (rows.asks.len(), rows.runs.len(), whole.count());
+    let whole = rows.requests.iter().filter(|request| request.end == RequestEnd::Whole);
+    let (requests, runs, whole) = (rows.requests.len(), rows.runs.len(), whole.count());
     let orders = rows.orders.len();
     let acked = rows.orders.iter().filter(|order| order.acked_ms.is_some()).count();
     println!(
-        "{name}: {} steps, {asks} requests ({whole} whole), {runs} runs, {orders} orders \
+        "{name}: {} steps, {requests} requests ({whole} whole), {runs} runs, {orders} orders \
          ({acked} taken), {} broken",
         verdict.steps.len(),
         verdict.broken.len()
@@ -147,7 +147,7 @@
         println!("  {:>6} {:?}", step.at_ms, step.disturbance);
     }
     for broken in verdict.broken.iter().take(20) {
-        println!("  BROKEN {}: {}", broken.promise, broken.seen);
+        println!("  BROKEN {}: {}", broken.promise, broken.details);
     }
     println!("  spans: {:?}", rows.spans);
     println!("  logs: {}", plan.folder.display());
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use crate::http::call_once;
-use crate::ledger::{DocumentRow, OrderRow, OrderWhat, ReadRow, RunLedger};
+use crate::ledger::{DocumentRow, OrderContent, OrderRow, ReadRow, RunLedger};
 use crate::platform::document::document;
 use crate::platform::PUT_DOCUMENT;
-use crate::process::VmPlace;
+use crate::process::VmSpec;
 
 /// A VM that has not answered by then is left for the next.
 const ANSWER_WAIT: Duration = Duration::from_secs(1);
@@ -22,7 +22,7 @@
 /// Sends orders, and knows the newest configuration.
 pub struct SoakOperator {
     ledger: Rc<RunLedger>,
-    vms: Vec<VmPlace>,
+    vms: Vec<VmSpec>,
     next_vm: Cell<usize>,
     version: Cell<u64>,
     keys_taken: Cell<u64>,
@@ -30,36 +30,36 @@
 
 impl SoakOperator {
     /// An operator of these VMs.
-    pub fn new(ledger: Rc<RunLedger>, vms: Vec<VmPlace>) -> SoakOperator {
+    pub fn new(ledger: Rc<RunLedger>, vms: Vec<VmSpec>) -> SoakOperator {
         let (next_vm, version, keys_taken) = (Cell::new(0), Cell::new(0), Cell::new(0));
         SoakOperator { ledger, vms, next_vm, version, keys_taken }
     }
 
-    /// The next configuration; with `take_key` another key stands in it for the last.
-    pub fn next_document(&self, take_key: bool) -> DocumentRow {
+    /// The next configuration; with `revoke_key` another key stands in it for the last.
+    pub fn next_document(&self, revoke_key: bool) -> DocumentRow {
         self.version.set(self.version.get() + 3);
-        self.keys_taken.set(self.keys_taken.get() + u64::from(take_key));
+        self.keys_taken.set(self.keys_taken.get() + u64::from(revoke_key));
         document(self.version.get(), self.keys_taken.get())
     }
 
     /// Sends an order until it has a clear answer or may not be repeated any longer.
-    pub async fn order(&self, what: OrderWhat, repeat_ms: u64) -> bool {
+    pub async fn order(&self, content: OrderContent, repeat_ms: u64) -> bool {
         let sent_ms = self.ledger.now_ms();
-        let row = OrderRow { what: what.clone(), sent_ms, acked_ms: None, refused: None };
+        let row = OrderRow { content: content.clone(), sent_ms, acked_ms: None, refused: None };
         let at = {
             let orders = &mut self.ledger.rows.borrow_mut().orders;
             orders.push(row);
             orders.len() - 1
         };
-        let (path, body) = match &what {
-            OrderWhat::Document(row) | OrderWhat::Invalid(row) => {
+        let (path, body) = match &content {
+            OrderContent::Document(row) | OrderContent::Invalid(row) => {
                 (PUT_DOCUMENT.to_string(), row.text.as_str())
             }
-            OrderWhat::EmptyZone(zone) => (format!("/evacuations/{zone}/start"), ""),
-            OrderWhat::ReturnZone(zone) => (format!("/evacuations/{zone}/end"), ""),
+            OrderContent::EmptyZone(zone) => (format!("/evacuations/{zone}/start"), ""),
+            OrderContent::ReturnZone(zone) => (format!("/evacuations/{zone}/end"), ""),
         };
         while self.ledger.now_ms() < sent_ms + repeat_ms {
-            let vm = self.draw_vm();
+            let vm = self.rotate_vm();
             let answer = call_once(vm.control(), "POST", &path, body, ANSWER_WAIT).await;
             let now = self.ledger.now_ms();
             match answer {
@@ -77,7 +77,7 @@
         false
     }
 
-    /// Reads the configuration at a VM, and notes what came.
+    /// Reads the configuration at a VM, and notes content came.
     pub async fn read(&self, vm: usize) -> Option<u64> {
         let sent_ms = self.ledger.now_ms();
         let control = self.vms[vm].control();
@@ -90,7 +90,7 @@
         version
     }
 
-    fn draw_vm(&self) -> &VmPlace {
+    fn rotate_vm(&self) -> &VmSpec {
         self.next_vm.set(self.next_vm.get() + 1);
         &self.vms[self.next_vm.get() % self.vms.len()]
     }
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -29,7 +29,7 @@
 
 /// Where a VM is found and what it keeps.
 #[derive(Clone, Debug)]
-pub struct VmPlace {
+pub struct VmSpec {
     /// Its index.
     pub index: usize,
     /// Its address.
@@ -44,7 +44,7 @@
     pub list: SocketAddr,
 }
 
-impl VmPlace {
+impl VmSpec {
     fn at(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip.parse().expect("an address"), port)
     }
@@ -70,7 +70,7 @@
     }
 
     /// Where other VMs find it: at the port of `of`.
-    pub fn peer(&self, of: &VmPlace) -> SocketAddr {
+    pub fn peer(&self, of: &VmSpec) -> SocketAddr {
         self.at(PEER_PORT + of.index as u16)
     }
 
@@ -96,12 +96,12 @@
 
 impl VmProcess {
     /// Starts the program of a VM.
-    pub fn start(program: &Path, place: &VmPlace, first: bool) -> std::io::Result<VmProcess> {
-        fs::create_dir_all(place.folder.join("data"))?;
-        place.write_settings(first, 0, false)?;
+    pub fn start(program: &Path, spec: &VmSpec, first: bool) -> std::io::Result<VmProcess> {
+        fs::create_dir_all(spec.folder.join("data"))?;
+        spec.write_settings(first, 0, false)?;
         let mut command = Command::new(program);
-        command.env(SETTINGS_VARIABLE, place.settings_path()).stdin(Stdio::null());
-        command.stderr(append(&place.folder.join("errors"))?).stdout(Stdio::piped());
+        command.env(SETTINGS_VARIABLE, spec.settings_path()).stdin(Stdio::null());
+        command.stderr(open_for_append(&spec.folder.join("errors"))?).stdout(Stdio::piped());
         // SAFETY: only system calls that are safe after fork.
         unsafe {
             command.pre_exec(|| {
@@ -113,7 +113,7 @@
         }
         let mut child = command.spawn()?;
         if let Some(output) = child.stdout.take() {
-            keep_log(output, append(&place.folder.join("log"))?);
+            copy_log(output, open_for_append(&spec.folder.join("log"))?);
         }
         Ok(VmProcess { child, ended: false })
     }
@@ -133,7 +133,7 @@
     }
 
     /// How it ended, once it has.
-    pub fn end_text(&mut self) -> String {
+    pub fn exit_status_text(&mut self) -> String {
         self.child.try_wait().ok().flatten().map_or(String::new(), |status| status.to_string())
     }
 
@@ -146,12 +146,12 @@
         }
     }
 
-    /// From now on no file of the process can grow beyond `most` bytes; none lifts the limit.
-    pub fn limit_files(&mut self, most: Option<u64>) {
+    /// From now on no file of the process can grow beyond `max_bytes` bytes; none lifts the limit.
+    pub fn limit_files(&mut self, max_bytes: Option<u64>) {
         if self.has_ended() {
             return;
         }
-        let soft = most.unwrap_or(libc::RLIM_INFINITY);
+        let soft = max_bytes.unwrap_or(libc::RLIM_INFINITY);
         let limit = libc::rlimit { rlim_cur: soft, rlim_max: libc::RLIM_INFINITY };
         // SAFETY: the child is ours and has not been waited for; the limit outlives the call.
         unsafe {
@@ -167,11 +167,11 @@
     }
 }
 
-fn append(path: &Path) -> std::io::Result<File> {
+fn open_for_append(path: &Path) -> std::io::Result<File> {
     File::options().create(true).append(true).open(path)
 }
 
 /// A pipe and a thread, since a file of its own would meet the limit of files' size too.
-fn keep_log(mut output: ChildStdout, mut file: File) {
+fn copy_log(mut output: ChildStdout, mut file: File) {
     std::thread::spawn(move || std::io::copy(&mut output, &mut file));
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -9,25 +9,25 @@
 
 use crate::caller::{CallerShared, SoakCaller};
 use crate::judge::{judge, BrokenPromise};
-use crate::ledger::{AskEnd, AskKind, LedgerRows, OrderWhat};
+use crate::ledger::{LedgerRows, OrderContent, RequestEnd, RequestKind};
 use crate::operator::DOCUMENT_REPEAT_MS;
-use crate::rollouts::note_state;
+use crate::rollouts::record_state;
 use crate::schedule::{schedule, PlannedStep, RunSize};
 use crate::site::SoakSite;
-use crate::steps::disturb;
+use crate::steps::run_disturbance;
 
 /// After the last disturbance everything serves again within this (`recoverS`).
-const RECOVER_MS: u64 = 15_000;
+const MAX_RECOVERY_MS: u64 = 15_000;
 /// Load goes on for this long beyond recovery, so that what returned late shows.
-const AFTER_MS: u64 = 2_000;
+const LOAD_AFTER_MS: u64 = 2_000;
 /// A first start takes no longer.
-const START_MS: u64 = 20_000;
+const MAX_START_MS: u64 = 20_000;
 /// All disturbances end within this after the last one came.
-const STEPS_MS: u64 = 60_000;
+const MAX_STEPS_MS: u64 = 60_000;
 /// Requests that show whether a VM serves.
 const PROBES: usize = 8;
 /// Callers of a VM for each one that speaks HTTP/1.0.
-const EACH_OLD: usize = 4;
+const HTTP10_INTERVAL: usize = 4;
 
 /// A run's seed, size and places.
 #[derive(Clone, Debug)]
@@ -66,38 +66,38 @@
 }
 
 async fn play_local(plan: &RunPlan, steps: Vec<PlannedStep>) -> std::io::Result<RunVerdict> {
-    fresh_folder(&plan.folder)?;
+    recreate_folder(&plan.folder)?;
     let site = SoakSite::start(plan).await?;
     let shared = Rc::new(CallerShared {
         ledger: site.ledger.clone(),
         keys: RefCell::new(vec!["steady".to_string(), "key-0".to_string()]),
-        asking: Cell::new(true),
+        active: Cell::new(true),
     });
-    let first = OrderWhat::Document(site.operator.next_document(false));
+    let first = OrderContent::Document(site.operator.next_document(false));
     site.operator.order(first, DOCUMENT_REPEAT_MS).await;
-    wait_served(&site, &shared, START_MS, "start").await;
+    wait_until_serving(&site, &shared, MAX_START_MS, "start").await;
     let callers = start_callers(&site, &shared, plan);
-    let tasks = play_all(&site, &shared, &steps).await;
+    let tasks = start_steps(&site, &shared, &steps).await;
     join_steps(&site, tasks).await;
-    wait_served(&site, &shared, RECOVER_MS, "recovery").await;
-    tokio::time::sleep(Duration::from_millis(AFTER_MS)).await;
-    shared.asking.set(false);
+    wait_until_serving(&site, &shared, MAX_RECOVERY_MS, "recovery").await;
+    tokio::time::sleep(Duration::from_millis(LOAD_AFTER_MS)).await;
+    shared.active.set(false);
     for caller in callers {
         let _ = caller.await;
     }
     let rollouts = site.ledger.rows.borrow().rollouts.len();
     for row in 0..rollouts {
         for vm in 0..site.vms.len() {
-            note_state(&site, vm, row).await;
+            record_state(&site, vm, row).await;
         }
     }
-    site.note_ends();
+    site.note_unexpected_ends();
     let rows = site.ledger.rows.borrow().clone();
     let broken = judge(&rows);
     Ok(RunVerdict { steps, rows, broken })
 }
 
-fn fresh_folder(folder: &Path) -> std::io::Result<()> {
+fn recreate_folder(folder: &Path) -> std::io::Result<()> {
     if folder.exists() {
         std::fs::remove_dir_all(folder)?;
     }
@@ -112,16 +112,16 @@
     let mut callers = Vec::new();
     for vm in &site.vms {
         for at in 0..plan.size.callers {
-            let seed = plan.seed ^ ((vm.place.index as u64 + 1) << 32) ^ ((at as u64 + 1) << 48);
-            let caller = SoakCaller::new(shared.clone(), vm.place.clone(), seed);
-            let caller = caller.old(at % EACH_OLD == 0);
-            callers.push(spawn_local(caller.ask_on()));
+            let seed = plan.seed ^ ((vm.spec.index as u64 + 1) << 32) ^ ((at as u64 + 1) << 48);
+            let caller = SoakCaller::new(shared.clone(), vm.spec.clone(), seed);
+            let caller = caller.http10(at % HTTP10_INTERVAL == 0);
+            callers.push(spawn_local(caller.run()));
         }
     }
     callers
 }
 
-async fn play_all(
+async fn start_steps(
     site: &Rc<SoakSite>,
     shared: &Rc<CallerShared>,
     steps: &[PlannedStep],
@@ -131,7 +131,7 @@
     for step in steps {
         let wait = (started_ms + step.at_ms).saturating_sub(site.ledger.now_ms());
         tokio::time::sleep(Duration::from_millis(wait)).await;
-        let task = disturb(site.clone(), shared.clone(), step.disturbance.clone());
+        let task = run_disturbance(site.clone(), shared.clone(), step.disturbance.clone());
         tasks.push(spawn_local(task));
         let vm = tasks.len() % site.vms.len();
         let site = site.clone();
@@ -144,27 +144,31 @@
     let all = async {
         for task in tasks {
             if task.await.is_err_and(|error| error.is_panic()) {
-                site.ledger.rows.borrow_mut().seen.push("the soak: a step panicked".to_string());
+                site.ledger
+                    .rows
+                    .borrow_mut()
+                    .run_faults
+                    .push("the soak: a step panicked".to_string());
             }
         }
     };
-    if tokio::time::timeout(Duration::from_millis(STEPS_MS), all).await.is_err() {
+    if tokio::time::timeout(Duration::from_millis(MAX_STEPS_MS), all).await.is_err() {
         let seen = "a VM was not ready again, or an order not taken, after 60 s".to_string();
-        site.ledger.rows.borrow_mut().seen.push(seen);
+        site.ledger.rows.borrow_mut().run_faults.push(seen);
     }
 }
 
 /// Waits until each VM is ready, serves, and reads back the newest configuration.
-async fn wait_served(site: &SoakSite, shared: &Rc<CallerShared>, most_ms: u64, when: &str) {
+async fn wait_until_serving(site: &SoakSite, shared: &Rc<CallerShared>, max_ms: u64, when: &str) {
     let from_ms = site.ledger.now_ms();
     for vm in 0..site.vms.len() {
         loop {
             let fault = serving_fault(site, shared, vm).await;
             let Some(fault) = fault else { break };
             let took = site.ledger.now_ms() - from_ms;
-            if took > most_ms {
+            if took > max_ms {
                 let seen = format!("{when}: VM {vm} after {took} ms: {fault}");
-                site.ledger.rows.borrow_mut().seen.push(seen);
+                site.ledger.rows.borrow_mut().run_faults.push(seen);
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -184,13 +188,13 @@
         return Some(format!("version {version} is read back, {acked} was acknowledged"));
     }
     let seed = site.ledger.now_ms() ^ ((vm as u64) << 56);
-    let caller = SoakCaller::new(shared.clone(), site.vms[vm].place.clone(), seed);
-    let mut caller = caller.steady();
+    let caller = SoakCaller::new(shared.clone(), site.vms[vm].spec.clone(), seed);
+    let mut caller = caller.with_steady_key();
     for at in 0..PROBES {
         let (route, kind) =
-            if at % 2 == 0 { ("safe", AskKind::Safe) } else { ("once", AskKind::Once) };
-        let end = caller.ask(route, kind).await;
-        if end != AskEnd::Whole {
+            if at % 2 == 0 { ("safe", RequestKind::Safe) } else { ("once", RequestKind::Once) };
+        let end = caller.request(route, kind).await;
+        if end != RequestEnd::Whole {
             return Some(format!("probe {at} of {PROBES}: {end:?}"));
         }
     }
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -14,12 +14,12 @@
     Fails,
     /// Half of the answers come late.
     Slow,
-    /// As `Fails`, from [`LATER_MS`] after the start on.
+    /// As `Fails`, from [`UNSOUND_AFTER_MS`] after the start on.
     FailsLater,
 }
 
 /// When a version that is sound at first turns unsound, after its start.
-pub const LATER_MS: u128 = 7_000;
+pub const UNSOUND_AFTER_MS: u128 = 7_000;
 
 impl VersionFault {
     /// Whether the run of this number, so long after the upstream's start, is bad.
@@ -28,7 +28,7 @@
             VersionFault::None => false,
             VersionFault::Fails => run % 10 < 3,
             VersionFault::Slow => run % 2 == 0,
-            VersionFault::FailsLater => age_ms > LATER_MS && run % 10 < 3,
+            VersionFault::FailsLater => age_ms > UNSOUND_AFTER_MS && run % 10 < 3,
         }
     }
 }
@@ -63,11 +63,11 @@
     /// Three in four answers of upstreams from this one on, so many of them, break off, for so many
     /// milliseconds.
     EndEarly(usize, usize, u64),
-    /// The link of VMs to an upstream.
+    /// The draw_link_mode of VMs to an upstream.
     UpstreamLink(usize, LinkMode, u64),
     /// The links between a VM and all others: what it is sent, and what it sends.
     PeerLinks(usize, LinkMode, LinkMode, u64),
-    /// The link of callers to a VM.
+    /// The draw_link_mode of callers to a VM.
     FrontLink(usize, LinkMode, u64),
     /// The list of upstreams can't be had.
     ListLink(LinkMode, u64),
@@ -111,41 +111,45 @@
 }
 
 /// The usual size.
-pub const USUAL_SIZE: RunSize = RunSize { vms: 3, upstreams: 6, callers: 12, disturbed_ms: 16_000 };
+pub const DEFAULT_SIZE: RunSize =
+    RunSize { vms: 3, upstreams: 6, callers: 12, disturbed_ms: 16_000 };
 
-/// What `--large` asks for.
+/// What `--large` requests for.
 pub const LARGE_SIZE: RunSize =
     RunSize { vms: 6, upstreams: 12, callers: 12, disturbed_ms: 40_000 };
 
 /// The size of the runs among the tests.
 pub const SHORT_SIZE: RunSize = RunSize { vms: 3, upstreams: 4, callers: 6, disturbed_ms: 6_000 };
 
-/// Each so-many-th seed holds planned work only: nothing then excuses a cut.
-const PLANNED_EACH: u64 = 4;
-/// Kinds of planned work, as [`draw`] numbers them.
+/// Each so-many-th seed holds planned work only: nothing then excuses a draw_partition.
+const PLANNED_SEED_INTERVAL: u64 = 4;
+/// Kinds of planned work, as [`draw_disturbance`] numbers them.
 const PLANNED_KINDS: std::ops::Range<u32> = 0..14;
 /// All kinds.
 const ALL_KINDS: std::ops::Range<u32> = 0..35;
 
-/// Sets the draw of requests that end upstreams apart from the others.
-const FATAL_DRAW: u64 = 0xfa7a1;
+/// Sets the draw_disturbance of requests that end upstreams apart from the others.
+const FATAL_SEED_MASK: u64 = 0xfa7a1;
 
-/// Sets the draw of what upstreams say of themselves apart from the others.
-const NOTICE_DRAW: u64 = 0x7e57;
+/// Sets the draw_disturbance of what upstreams say of themselves apart from the others.
+const NOTICE_SEED_MASK: u64 = 0x7e57;
 
-/// Sets the draw of answers that break off apart from the others.
-const EARLY_DRAW: u64 = 0xea51;
+/// Sets the draw_disturbance of answers that break off apart from the others.
+const EARLY_SEED_MASK: u64 = 0xea51;
 
 /// The schedule of a seed, in order of time.
 pub fn schedule(seed: u64, size: RunSize) -> Vec<PlannedStep> {
     let mut random = StdRng::seed_from_u64(seed);
-    let planned = seed % PLANNED_EACH == 0;
+    let planned = seed % PLANNED_SEED_INTERVAL == 0;
     let mut steps = Vec::new();
     let mut at_ms = 500;
     while at_ms < size.disturbed_ms {
         // A series: some disturbances close together, which overlap; then a pause.
         for _ in 0..random.gen_range(1..5) {
-            steps.push(PlannedStep { at_ms, disturbance: draw(&mut random, size, planned) });
+            steps.push(PlannedStep {
+                at_ms,
+                disturbance: draw_disturbance(&mut random, size, planned),
+            });
             at_ms += random.gen_range(20..400);
         }
         at_ms += random.gen_range(300..3_500);
@@ -158,9 +162,9 @@
     steps
 }
 
-/// Adds upstreams that say something of themselves, likewise by a draw of its own.
+/// Adds upstreams that say something of themselves, likewise by a draw_disturbance of its own.
 fn add_notices(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
-    let mut random = StdRng::seed_from_u64(seed ^ NOTICE_DRAW);
+    let mut random = StdRng::seed_from_u64(seed ^ NOTICE_SEED_MASK);
     for _ in 0..random.gen_range(0..4) {
         let at_ms = random.gen_range(500..size.disturbed_ms);
         let upstream = random.gen_range(0..size.upstreams);
@@ -169,8 +173,8 @@
             kind => {
                 // All of them at once, now and then.
                 let count = if kind == 1 { size.upstreams } else { random.gen_range(1..3) };
-                let (ms, rest_ms) = (random.gen_range(300..6_000), random.gen_range(200..4_000));
-                Disturbance::TireUpstreams(upstream, count, ms, rest_ms)
+                let (ms, backoff_ms) = (random.gen_range(300..6_000), random.gen_range(200..4_000));
+                Disturbance::TireUpstreams(upstream, count, ms, backoff_ms)
             }
         };
         steps.push(PlannedStep { at_ms, disturbance });
@@ -178,9 +182,9 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Adds upstreams whose answers break off, likewise by a draw of its own.
+/// Adds upstreams whose answers break off, likewise by a draw_disturbance of its own.
 fn add_early(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
-    let mut random = StdRng::seed_from_u64(seed ^ EARLY_DRAW);
+    let mut random = StdRng::seed_from_u64(seed ^ EARLY_SEED_MASK);
     for _ in 0..random.gen_range(1..4) {
         let at_ms = random.gen_range(500..size.disturbed_ms);
         let (upstream, count) = (random.gen_range(0..size.upstreams), random.gen_range(1..4));
@@ -190,10 +194,10 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Adds a request that ends upstreams to every second schedule, by a draw of its own: so a seed's other
+/// Adds a request that ends upstreams to every second schedule, by a draw_disturbance of its own: so a seed's other
 /// steps stay what they were.
 fn add_fatal(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
-    let mut random = StdRng::seed_from_u64(seed ^ FATAL_DRAW);
+    let mut random = StdRng::seed_from_u64(seed ^ FATAL_SEED_MASK);
     if random.gen() {
         return;
     }
@@ -203,7 +207,7 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-fn draw(random: &mut StdRng, size: RunSize, planned: bool) -> Disturbance {
+fn draw_disturbance(random: &mut StdRng, size: RunSize, planned: bool) -> Disturbance {
     let vm = random.gen_range(0..size.vms);
     let upstream = random.gen_range(0..size.upstreams);
     let ms = random.gen_range(100..4_000);
@@ -228,18 +232,18 @@
         22 => Disturbance::FailDisk(vm, ms),
         23..=24 => Disturbance::RestartUpstream(upstream, random.gen(), ms),
         25..=26 => Disturbance::FaultyUpstream(upstream, ms),
-        27..=28 => Disturbance::UpstreamLink(upstream, link(random), ms),
+        27..=28 => Disturbance::UpstreamLink(upstream, draw_link_mode(random), ms),
         29..=32 => {
-            let (comes, goes) = cut(random);
+            let (comes, goes) = draw_partition(random);
             Disturbance::PeerLinks(vm, comes, goes, 2 * ms)
         }
-        33 => Disturbance::FrontLink(vm, link(random), ms),
-        _ => Disturbance::ListLink(link(random), ms),
+        33 => Disturbance::FrontLink(vm, draw_link_mode(random), ms),
+        _ => Disturbance::ListLink(draw_link_mode(random), ms),
     }
 }
 
-/// How a VM is cut off: both ways, one way, or by slow links.
-fn cut(random: &mut StdRng) -> (LinkMode, LinkMode) {
+/// How a VM is draw_partition off: both ways, one way, or by slow links.
+fn draw_partition(random: &mut StdRng) -> (LinkMode, LinkMode) {
     match random.gen_range(0..5) {
         0..=1 => (LinkMode::Silent, LinkMode::Silent),
         2 => (LinkMode::Silent, LinkMode::Open),
@@ -251,7 +255,7 @@
     }
 }
 
-fn link(random: &mut StdRng) -> LinkMode {
+fn draw_link_mode(random: &mut StdRng) -> LinkMode {
     match random.gen_range(0..5) {
         0 => LinkMode::Delay(random.gen_range(20..400)),
         1 => LinkMode::Reset,
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -7,32 +7,32 @@
 use std::time::{Duration, SystemTime};
 
 use crate::http::call_once;
-use crate::ledger::{LeavingRow, OrderWhat, RunLedger, Touched};
+use crate::ledger::{LeavingRow, OrderContent, RunLedger, Touched};
 use crate::link::{LinkMode, LinkProxy};
 use crate::list::{serve_list, ListRow, ListRows};
 use crate::operator::SoakOperator;
 use crate::peer_link::PeerLink;
-use crate::process::{VmPlace, VmProcess};
+use crate::process::{VmProcess, VmSpec};
 use crate::run::RunPlan;
 use crate::schedule::{RunSize, VersionFault};
-use crate::upstream::{UpstreamLife, UpstreamPlace};
+use crate::upstream::{UpstreamIncarnation, UpstreamSpec};
 
 /// The pause between two looks at a VM.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const CHECK_PAUSE: Duration = Duration::from_millis(50);
 /// A VM that got SIGTERM ends within this: `graceS`, and time for a loaded machine.
 const STOP_WAIT_MS: u64 = 12_000;
 
 /// A VM of the site.
 pub struct SiteVm {
     /// Where it is.
-    pub place: VmPlace,
+    pub spec: VmSpec,
     /// The link of callers to it.
     pub front: LinkProxy,
     /// The links of the other VMs to it, by their index.
     pub peers: Vec<Option<PeerLink>>,
     process: RefCell<Option<VmProcess>>,
     /// Whether its end was asked for.
-    ending: Cell<bool>,
+    stop_requested: Cell<bool>,
     /// Until when it stands still.
     frozen_until_ms: Cell<u64>,
 }
@@ -40,18 +40,18 @@
 /// An upstream of the site.
 pub struct SiteUpstream {
     /// What it is.
-    pub place: UpstreamPlace,
-    /// Its life, while it has one.
-    pub life: RefCell<Option<UpstreamLife>>,
-    lives: Cell<u32>,
+    pub spec: UpstreamSpec,
+    /// Its incarnation, while it has one.
+    pub incarnation: RefCell<Option<UpstreamIncarnation>>,
+    incarnations: Cell<u32>,
     software: RefCell<(String, VersionFault)>,
 }
 
-/// Which half of a service's places is in use, and whether a roll-out is under way.
+/// Which half of a service's specs is in use, and whether a roll-out is under way.
 #[derive(Clone, Copy, Default)]
-struct ServiceSide {
+struct ServiceHalf {
     second: bool,
-    moving: bool,
+    in_rollout: bool,
 }
 
 /// All that a run starts.
@@ -69,7 +69,7 @@
     /// Whoever sends orders.
     pub operator: SoakOperator,
     program: PathBuf,
-    sides: [Cell<ServiceSide>; 2],
+    halves: [Cell<ServiceHalf>; 2],
     versions: Cell<u32>,
 }
 
@@ -78,9 +78,9 @@
 }
 
 /// Places of the VMs of a network.
-fn vm_places(network: &str, size: RunSize, folder: &Path) -> Vec<VmPlace> {
+fn vm_specs(network: &str, size: RunSize, folder: &Path) -> Vec<VmSpec> {
     let list = address(network, 1, 9000);
-    let place = |index: usize| VmPlace {
+    let spec = |index: usize| VmSpec {
         index,
         ip: format!("{network}.{}", index + 10),
         disk: index < 3,
@@ -88,17 +88,17 @@
         seeds: Vec::new(),
         list,
     };
-    let mut places: Vec<VmPlace> = (0..size.vms).map(place).collect();
-    let seeds: Vec<SocketAddr> = places.iter().take(3).map(VmPlace::control).collect();
-    for place in &mut places {
-        place.seeds.clone_from(&seeds);
+    let mut specs: Vec<VmSpec> = (0..size.vms).map(spec).collect();
+    let seeds: Vec<SocketAddr> = specs.iter().take(3).map(VmSpec::control).collect();
+    for spec in &mut specs {
+        spec.seeds.clone_from(&seeds);
     }
-    places
+    specs
 }
 
-async fn peer_links(places: &[VmPlace], to: &VmPlace) -> std::io::Result<Vec<Option<PeerLink>>> {
+async fn peer_links(specs: &[VmSpec], to: &VmSpec) -> std::io::Result<Vec<Option<PeerLink>>> {
     let mut links = Vec::new();
-    for from in places {
+    for from in specs {
         links.push(match from.index == to.index {
             true => None,
             false => Some(PeerLink::start(from.peer(from), to.peer(from), to.peer(to)).await?),
@@ -117,36 +117,36 @@
         list.borrow_mut().rows.resize(2 * size.upstreams, None);
         let list_link =
             serve_list(address(network, 1, 9000), address(network, 1, 9001), list.clone()).await?;
-        let places = vm_places(network, size, folder);
+        let specs = vm_specs(network, size, folder);
         let mut vms = Vec::new();
-        for place in &places {
+        for spec in &specs {
             vms.push(SiteVm {
-                front: LinkProxy::start(place.front_link(), place.front()).await?,
-                peers: peer_links(&places, place).await?,
-                place: place.clone(),
+                front: LinkProxy::start(spec.front_link(), spec.front()).await?,
+                peers: peer_links(&specs, spec).await?,
+                spec: spec.clone(),
                 process: RefCell::new(None),
-                ending: Cell::new(false),
+                stop_requested: Cell::new(false),
                 frozen_until_ms: Cell::new(0),
             });
         }
-        // The second half are places of new versions, with no life at first.
-        let usual = size.upstreams;
+        // The second half are specs of new versions, with no incarnation at first.
+        let first_half = size.upstreams;
         let upstream = |index: usize| SiteUpstream {
-            place: UpstreamPlace {
+            spec: UpstreamSpec {
                 index,
-                service: format!("s{}", 1 + index % usual / 3 % 2),
-                zone: format!("z-{}", index % usual % 3),
+                service: format!("s{}", 1 + index % first_half / 3 % 2),
+                zone: format!("z-{}", index % first_half % 3),
                 listed: address(network, index + 100, 9100),
                 inner: address(network, index + 100, 9101),
             },
-            life: RefCell::new(None),
-            lives: Cell::new(0),
+            incarnation: RefCell::new(None),
+            incarnations: Cell::new(0),
             software: RefCell::new(("v1".to_string(), VersionFault::None)),
         };
         let upstreams = (0..2 * size.upstreams).map(upstream).collect();
-        let operator = SoakOperator::new(ledger.clone(), places);
+        let operator = SoakOperator::new(ledger.clone(), specs);
         let program = program.to_path_buf();
-        let (sides, versions) = (Default::default(), Cell::new(1));
+        let (halves, versions) = (Default::default(), Cell::new(1));
         let site = SoakSite {
             ledger,
             vms,
@@ -155,7 +155,7 @@
             list_link,
             operator,
             program,
-            sides,
+            halves,
             versions,
         };
         for index in 0..size.upstreams {
@@ -168,17 +168,18 @@
     }
 
     fn start_process(&self, vm: &SiteVm, first: bool) -> std::io::Result<()> {
-        *vm.process.borrow_mut() = Some(VmProcess::start(&self.program, &vm.place, first)?);
-        vm.ending.set(false);
+        *vm.process.borrow_mut() = Some(VmProcess::start(&self.program, &vm.spec, first)?);
+        vm.stop_requested.set(false);
         Ok(())
     }
 
     /// Notes a process that ended though nobody asked for it.
-    fn note_end(&self, vm: &SiteVm) {
+    fn note_unexpected_end(&self, vm: &SiteVm) {
         if let Some(process) = vm.process.borrow_mut().as_mut() {
-            if process.has_ended() && !vm.ending.get() {
-                let seen = format!("VM {} ended by itself: {}", vm.place.index, process.end_text());
-                self.ledger.rows.borrow_mut().seen.push(seen);
+            if process.has_ended() && !vm.stop_requested.get() {
+                let seen =
+                    format!("VM {} ended by itself: {}", vm.spec.index, process.exit_status_text());
+                self.ledger.rows.borrow_mut().run_faults.push(seen);
             }
         }
     }
@@ -186,11 +187,11 @@
     /// Starts a VM again unless it runs.
     pub fn ensure_started(&self, index: usize) {
         let vm = &self.vms[index];
-        self.note_end(vm);
+        self.note_unexpected_end(vm);
         let runs = vm.process.borrow_mut().as_mut().is_some_and(|process| !process.has_ended());
         if !runs {
             if let Err(error) = self.start_process(vm, false) {
-                self.ledger.rows.borrow_mut().seen.push(format!("VM {index}: {error}"));
+                self.ledger.rows.borrow_mut().run_faults.push(format!("VM {index}: {error}"));
             }
         }
     }
@@ -198,9 +199,9 @@
     /// Sends a signal to a VM; true when its process runs.
     pub fn signal(&self, index: usize, signal: i32) -> bool {
         let vm = &self.vms[index];
-        self.note_end(vm);
+        self.note_unexpected_end(vm);
         if matches!(signal, libc::SIGTERM | libc::SIGKILL) {
-            vm.ending.set(true);
+            vm.stop_requested.set(true);
         }
         let mut process = vm.process.borrow_mut();
         let Some(process) = process.as_mut() else { return false };
@@ -215,9 +216,9 @@
     }
 
     /// A VM's files can't grow, or can again.
-    pub fn limit_files(&self, index: usize, most: Option<u64>) {
+    pub fn limit_files(&self, index: usize, max_bytes: Option<u64>) {
         if let Some(process) = self.vms[index].process.borrow_mut().as_mut() {
-            process.limit_files(most);
+            process.limit_files(max_bytes);
         }
     }
 
@@ -234,52 +235,53 @@
         loop {
             let ended = vm.process.borrow_mut().as_mut().is_none_or(VmProcess::has_ended);
             // Another disturbance may have killed it and started it anew.
-            if ended || !vm.ending.get() {
+            if ended || !vm.stop_requested.get() {
                 return;
             }
             let now = self.ledger.now_ms();
             if now > signalled_ms.max(vm.frozen_until_ms.get()) + STOP_WAIT_MS {
                 let seen =
                     format!("VM {index} had not ended {} ms after SIGTERM", now - signalled_ms);
-                self.ledger.rows.borrow_mut().seen.push(seen);
+                self.ledger.rows.borrow_mut().run_faults.push(seen);
                 self.signal(index, libc::SIGKILL);
                 return;
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(CHECK_PAUSE).await;
         }
     }
 
     /// Whether a VM says that it is ready.
     pub async fn is_ready(&self, index: usize) -> bool {
-        let ready = self.vms[index].place.ready();
+        let ready = self.vms[index].spec.ready();
         let answer = call_once(ready, "GET", "/ready", "", Duration::from_millis(500)).await;
         matches!(answer, Some((200, _)))
     }
 
     /// Ends the disturbance of a VM once it runs and is ready.
-    pub async fn calm_when_ready(&self, index: usize, span: usize) {
+    pub async fn end_span_when_ready(&self, index: usize, span: usize) {
         while !self.is_ready(index).await {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(CHECK_PAUSE).await;
         }
-        self.ledger.calm(span);
+        self.ledger.end_span(span);
     }
 
-    /// Starts the next life of an upstream, under the last one's id if asked for.
+    /// Starts the next incarnation of an upstream, under the last one's id if asked for.
     pub async fn start_upstream(&self, index: usize, same_id: bool) -> std::io::Result<()> {
         let upstream = &self.upstreams[index];
-        if !same_id || upstream.lives.get() == 0 {
-            upstream.lives.set(upstream.lives.get() + 1);
+        if !same_id || upstream.incarnations.get() == 0 {
+            upstream.incarnations.set(upstream.incarnations.get() + 1);
         }
-        let id = format!("i-{index}-{}", upstream.lives.get());
-        let place = upstream.place.clone();
+        let id = format!("i-{index}-{}", upstream.incarnations.get());
+        let spec = upstream.spec.clone();
         let (version, fault) = upstream.software.borrow().clone();
         let software = (version.as_str(), fault);
-        let life = UpstreamLife::start(place.clone(), &id, software, self.ledger.clone()).await?;
-        *upstream.life.borrow_mut() = Some(life);
+        let incarnation =
+            UpstreamIncarnation::start(spec.clone(), &id, software, self.ledger.clone()).await?;
+        *upstream.incarnation.borrow_mut() = Some(incarnation);
         let born = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let born_ms = born.map_or(0, |since| since.as_millis() as u64);
+        let started_ms = born.map_or(0, |since| since.as_millis() as u64);
         self.list.borrow_mut().rows[index] =
-            Some(ListRow { place, id, born_ms, version, leaving: false });
+            Some(ListRow { spec, id, started_ms, version, leaving: false });
         Ok(())
     }
 
@@ -288,41 +290,41 @@
         for link in self.vms[index].peers.iter().flatten() {
             link.proxy.set(comes);
         }
-        for other in self.vms.iter().filter(|other| other.place.index != index) {
+        for other in self.vms.iter().filter(|other| other.spec.index != index) {
             if let Some(link) = &other.peers[index] {
                 link.proxy.set(goes);
             }
         }
     }
 
-    /// The places of a service in use and those of its next version; none while it is moved.
-    pub fn next_side(&self, service: usize) -> Option<(Vec<usize>, Vec<usize>)> {
-        let side = self.sides[service].get();
-        if side.moving {
+    /// The specs of a service in use and those of its next version; none while it is moved.
+    pub fn begin_rollout(&self, service: usize) -> Option<(Vec<usize>, Vec<usize>)> {
+        let half = self.halves[service].get();
+        if half.in_rollout {
             return None;
         }
-        self.sides[service].set(ServiceSide { moving: true, ..side });
+        self.halves[service].set(ServiceHalf { in_rollout: true, ..half });
         let name = format!("s{}", service + 1);
-        let usual = self.upstreams.len() / 2;
-        let places = |second: bool| {
-            let of = self.upstreams.iter().map(|upstream| &upstream.place);
-            let of = of.filter(|place| place.service == name && (place.index >= usual) == second);
-            of.map(|place| place.index).collect()
+        let first_half = self.upstreams.len() / 2;
+        let indices = |second: bool| {
+            let of = self.upstreams.iter().map(|upstream| &upstream.spec);
+            let of = of.filter(|spec| spec.service == name && (spec.index >= first_half) == second);
+            of.map(|spec| spec.index).collect()
         };
-        Some((places(side.second), places(!side.second)))
+        Some((indices(half.second), indices(!half.second)))
     }
 
-    /// Whether a place belongs to a half that is in use or being moved to.
+    /// Whether a spec belongs to a half that is in use or being moved to.
     pub fn in_use(&self, index: usize) -> bool {
-        let place = &self.upstreams[index].place;
-        let side = self.sides[usize::from(place.service != "s1")].get();
-        side.moving || (index >= self.upstreams.len() / 2) == side.second
+        let spec = &self.upstreams[index].spec;
+        let half = self.halves[usize::from(spec.service != "s1")].get();
+        half.in_rollout || (index >= self.upstreams.len() / 2) == half.second
     }
 
     /// The service is no longer moved; its other half is in use if that `completed`.
-    pub fn end_side(&self, service: usize, completed: bool) {
-        let second = self.sides[service].get().second != completed;
-        self.sides[service].set(ServiceSide { second, moving: false });
+    pub fn end_rollout(&self, service: usize, completed: bool) {
+        let second = self.halves[service].get().second != completed;
+        self.halves[service].set(ServiceHalf { second, in_rollout: false });
     }
 
     /// A version that was never used.
@@ -331,7 +333,7 @@
         format!("v{}", self.versions.get())
     }
 
-    /// Starts a life of another version.
+    /// Starts a incarnation of another version.
     pub async fn start_version(
         &self,
         index: usize,
@@ -345,7 +347,7 @@
     /// An upstream ends, and its entry goes.
     pub fn end_upstream(&self, index: usize) {
         self.list.borrow_mut().rows[index] = None;
-        drop(self.upstreams[index].life.take());
+        drop(self.upstreams[index].incarnation.take());
     }
 
     /// Shows an upstream as leaving.
@@ -353,29 +355,33 @@
         if let Some(row) = self.list.borrow_mut().rows[index].as_mut() {
             row.leaving = true;
         }
-        if let Some(life) = self.upstreams[index].life.borrow().as_ref() {
-            life.leave();
+        if let Some(incarnation) = self.upstreams[index].incarnation.borrow().as_ref() {
+            incarnation.leave();
         }
     }
 
     /// Shows an upstream as leaving; the number ends it.
-    pub fn show_leaving(&self, index: usize) -> usize {
+    pub fn record_leaving(&self, index: usize) -> usize {
         self.mark_leaving(index);
         self.note_leaving(index)
     }
 
     fn note_leaving(&self, index: usize) -> usize {
         let from_ms = self.ledger.now_ms();
-        let life = self.upstreams[index].life.borrow().as_ref().map_or(0, UpstreamLife::number);
+        let incarnation = self.upstreams[index]
+            .incarnation
+            .borrow()
+            .as_ref()
+            .map_or(0, UpstreamIncarnation::number);
         let leaving = &mut self.ledger.rows.borrow_mut().leaving;
-        leaving.push(LeavingRow { upstream: index, life, from_ms, until_ms: None });
+        leaving.push(LeavingRow { upstream: index, incarnation, from_ms, until_ms: None });
         leaving.len() - 1
     }
 
     /// Notes all processes that ended though nobody asked for it.
-    pub fn note_ends(&self) {
+    pub fn note_unexpected_ends(&self) {
         for vm in &self.vms {
-            self.note_end(vm);
+            self.note_unexpected_end(vm);
         }
     }
 
@@ -383,26 +389,26 @@
     pub fn newest_acked(&self) -> u64 {
         let rows = self.ledger.rows.borrow();
         let acked = rows.orders.iter().filter(|order| order.acked_ms.is_some());
-        let versions = acked.filter_map(|order| match &order.what {
-            OrderWhat::Document(row) => Some(row.version),
+        let versions = acked.filter_map(|order| match &order.content {
+            OrderContent::Document(row) => Some(row.version),
             _ => None,
         });
         versions.max().unwrap_or(0)
     }
 
     /// Whether a zone was emptied, or may have been, and is not taken back.
-    pub fn is_emptied(&self, zone: &str) -> bool {
+    pub fn is_evacuated(&self, zone: &str) -> bool {
         let rows = self.ledger.rows.borrow();
-        let emptied = rows.orders.iter().rev().find_map(|order| match &order.what {
-            OrderWhat::EmptyZone(other) if other == zone => Some(true),
-            OrderWhat::ReturnZone(other) if other == zone => Some(order.acked_ms.is_none()),
+        let emptied = rows.orders.iter().rev().find_map(|order| match &order.content {
+            OrderContent::EmptyZone(other) if other == zone => Some(true),
+            OrderContent::ReturnZone(other) if other == zone => Some(order.acked_ms.is_none()),
             _ => None,
         });
         emptied.unwrap_or(false)
     }
 
     /// Starts a disturbance of this.
-    pub fn disturb(&self, touched: Touched) -> usize {
-        self.ledger.disturb(touched)
+    pub fn begin_span(&self, touched: Touched) -> usize {
+        self.ledger.begin_span(touched)
     }
 }
--- a/soak/src/steps.rs
+++ b/soak/src/steps.rs
@@ -8,15 +8,15 @@
 
 use crate::caller::CallerShared;
 use crate::fatal_request::send_fatal;
-use crate::ledger::{OrderWhat, Touched};
+use crate::ledger::{OrderContent, Touched};
 use crate::link::LinkMode;
 use crate::operator::{invalid_document, DOCUMENT_REPEAT_MS, ZONE_REPEAT_MS};
 use crate::rollouts::roll_out;
 use crate::schedule::Disturbance;
 use crate::site::SoakSite;
-use crate::upstream::UpstreamLife;
+use crate::upstream::UpstreamIncarnation;
 
-/// An address is not given to another life sooner (`reuseAfterS`).
+/// An address is not given to another incarnation sooner (`reuseAfterS`).
 const REUSE_AFTER_MS: u64 = 2_000;
 /// An order that is not valid is sent again for this long.
 const INVALID_REPEAT_MS: u64 = 8_000;
@@ -26,7 +26,7 @@
 }
 
 /// Carries out one disturbance to its end.
-pub async fn disturb(site: Rc<SoakSite>, callers: Rc<CallerShared>, what: Disturbance) {
+pub async fn run_disturbance(site: Rc<SoakSite>, callers: Rc<CallerShared>, what: Disturbance) {
     match what {
         Disturbance::StopVm(vm) => stop_vm(&site, vm).await,
         Disturbance::KillVm(vm, ms) => kill_vm(&site, vm, ms).await,
@@ -39,32 +39,32 @@
         }
         Disturbance::LeaveUpstream(at, ms) => leave_upstream(&site, at, ms).await,
         Disturbance::LeaveUnlisted(at, ms) => leave_unlisted(&site, at, ms).await,
-        Disturbance::TireUpstreams(from, count, ms, rest_ms) => {
-            tire_upstreams(&site, from, count, ms, rest_ms).await;
+        Disturbance::TireUpstreams(from, count, ms, backoff_ms) => {
+            reject_with_backoff(&site, from, count, ms, backoff_ms).await;
         }
         Disturbance::EndEarly(from, count, ms) => end_early(&site, from, count, ms).await,
         Disturbance::FaultyUpstream(at, ms) => faulty_upstream(&site, at, ms).await,
         Disturbance::UpstreamLink(at, mode, ms) => upstream_link(&site, at, mode, ms).await,
         Disturbance::PeerLinks(vm, comes, goes, ms) => {
-            let span = site.disturb(Touched::Vm(vm));
+            let span = site.begin_span(Touched::Vm(vm));
             site.set_peers(vm, comes, goes);
             pause(ms).await;
             site.set_peers(vm, LinkMode::Open, LinkMode::Open);
-            site.calm_when_ready(vm, span).await;
+            site.end_span_when_ready(vm, span).await;
         }
         Disturbance::FrontLink(vm, mode, ms) => {
-            let span = site.disturb(Touched::Front(vm));
+            let span = site.begin_span(Touched::Front(vm));
             site.vms[vm].front.set(mode);
             pause(ms).await;
             site.vms[vm].front.set(LinkMode::Open);
-            site.ledger.calm(span);
+            site.ledger.end_span(span);
         }
         Disturbance::ListLink(mode, ms) => {
-            let span = site.disturb(Touched::List);
+            let span = site.begin_span(Touched::List);
             site.list_link.set(mode);
             pause(ms).await;
             site.list_link.set(LinkMode::Open);
-            site.ledger.calm(span);
+            site.ledger.end_span(span);
         }
         Disturbance::ListEntries(ms) => {
             // Not noted: entries that can't be read are no reason to miss the others.
@@ -84,24 +84,25 @@
 }
 
 async fn stop_vm(site: &SoakSite, vm: usize) {
-    let span = site.disturb(Touched::PlannedVm(vm));
+    let span = site.begin_span(Touched::PlannedVm(vm));
     if site.signal(vm, libc::SIGTERM) {
         site.wait_end(vm).await;
     }
     site.ensure_started(vm);
-    site.calm_when_ready(vm, span).await;
+    site.end_span_when_ready(vm, span).await;
 }
 
 async fn kill_vm(site: &SoakSite, vm: usize, ms: u64) {
-    let span = site.disturb(Touched::Vm(vm));
+    let span = site.begin_span(Touched::Vm(vm));
     site.signal(vm, libc::SIGKILL);
     pause(ms).await;
     site.ensure_started(vm);
-    site.calm_when_ready(vm, span).await;
+    site.end_span_when_ready(vm, span).await;
 }
 
 async fn kill_all(site: &SoakSite) {
-    let spans: Vec<usize> = (0..site.vms.len()).map(|vm| site.disturb(Touched::Vm(vm))).collect();
+    let spans: Vec<usize> =
+        (0..site.vms.len()).map(|vm| site.begin_span(Touched::Vm(vm))).collect();
     for vm in 0..site.vms.len() {
         site.signal(vm, libc::SIGKILL);
     }
@@ -110,54 +111,54 @@
         site.ensure_started(vm);
     }
     for (vm, span) in spans.into_iter().enumerate() {
-        site.calm_when_ready(vm, span).await;
+        site.end_span_when_ready(vm, span).await;
     }
 }
 
 async fn freeze_vm(site: &SoakSite, vm: usize, ms: u64) {
-    let span = site.disturb(Touched::Vm(vm));
+    let span = site.begin_span(Touched::Vm(vm));
     if site.signal(vm, libc::SIGSTOP) {
         site.freeze_until(vm, site.ledger.now_ms() + ms);
         pause(ms).await;
         site.signal(vm, libc::SIGCONT);
     }
-    site.calm_when_ready(vm, span).await;
+    site.end_span_when_ready(vm, span).await;
 }
 
 async fn reload_vm(site: &SoakSite, vm: usize, broken: bool) {
-    let place = &site.vms[vm].place;
+    let spec = &site.vms[vm].spec;
     let change = site.ledger.now_ms();
-    if place.write_settings(false, change, broken).is_ok() {
+    if spec.write_settings(false, change, broken).is_ok() {
         site.signal(vm, libc::SIGHUP);
     }
     pause(500).await;
-    let _ = place.write_settings(false, change + 1, false);
+    let _ = spec.write_settings(false, change + 1, false);
     site.signal(vm, libc::SIGHUP);
 }
 
 async fn fail_disk(site: &SoakSite, vm: usize, ms: u64) {
-    let span = site.disturb(Touched::Vm(vm));
+    let span = site.begin_span(Touched::Vm(vm));
     site.limit_files(vm, Some(0));
     pause(ms).await;
     site.limit_files(vm, None);
-    site.calm_when_ready(vm, span).await;
+    site.end_span_when_ready(vm, span).await;
 }
 
 async fn restart_upstream(site: &SoakSite, at: usize, same_id: bool, ms: u64) {
-    let Some(life) = site.upstreams[at].life.take() else { return };
-    let span = site.disturb(Touched::Upstream(at));
-    drop(life);
+    let Some(incarnation) = site.upstreams[at].incarnation.take() else { return };
+    let span = site.begin_span(Touched::Upstream(at));
+    drop(incarnation);
     pause(ms).await;
-    start_life(site, at, same_id).await;
-    site.ledger.calm(span);
+    start_incarnation(site, at, same_id).await;
+    site.ledger.end_span(span);
 }
 
-pub(crate) async fn start_life(site: &SoakSite, at: usize, same_id: bool) {
+pub(crate) async fn start_incarnation(site: &SoakSite, at: usize, same_id: bool) {
     if !site.in_use(at) {
         return;
     }
     if let Err(error) = site.start_upstream(at, same_id).await {
-        site.ledger.rows.borrow_mut().seen.push(format!("the soak: upstream {at}: {error}"));
+        site.ledger.rows.borrow_mut().run_faults.push(format!("the soak: upstream {at}: {error}"));
     }
 }
 
@@ -166,21 +167,21 @@
         let list = site.list.borrow();
         list.rows[at].as_ref().is_some_and(|row| row.leaving)
     };
-    if leaves || site.upstreams[at].life.borrow().is_none() {
+    if leaves || site.upstreams[at].incarnation.borrow().is_none() {
         return;
     }
-    let row = site.show_leaving(at);
+    let row = site.record_leaving(at);
     pause(ms).await;
-    // It may have crashed meanwhile, and another life may have come.
+    // It may have crashed meanwhile, and another incarnation may have come.
     let still = site.list.borrow().rows[at].as_ref().is_some_and(|row| row.leaving);
     if still {
         site.list.borrow_mut().rows[at] = None;
-        let life = site.upstreams[at].life.take();
-        let ended = life.is_some();
-        drop(life);
+        let incarnation = site.upstreams[at].incarnation.take();
+        let ended = incarnation.is_some();
+        drop(incarnation);
         pause(REUSE_AFTER_MS).await;
         if ended {
-            start_life(site, at, false).await;
+            start_incarnation(site, at, false).await;
         }
     }
     let now = site.ledger.now_ms();
@@ -190,81 +191,81 @@
 /// Says nothing to the list, so that VMs know of it by answers alone; the restart that ends it is a
 /// disturbance like any other.
 async fn leave_unlisted(site: &SoakSite, at: usize, ms: u64) {
-    let number = match site.upstreams[at].life.borrow().as_ref() {
-        Some(life) => {
-            life.leave();
-            life.number()
+    let number = match site.upstreams[at].incarnation.borrow().as_ref() {
+        Some(incarnation) => {
+            incarnation.leave();
+            incarnation.number()
         }
         None => return,
     };
     pause(ms).await;
-    let same = |life: &UpstreamLife| life.number() == number;
-    if site.upstreams[at].life.borrow().as_ref().is_some_and(same) {
+    let same = |incarnation: &UpstreamIncarnation| incarnation.number() == number;
+    if site.upstreams[at].incarnation.borrow().as_ref().is_some_and(same) {
         restart_upstream(site, at, false, REUSE_AFTER_MS).await;
     }
 }
 
-async fn tire_upstreams(site: &SoakSite, from: usize, count: usize, ms: u64, rest_ms: u64) {
-    let set = |rest_ms: u64| {
+async fn reject_with_backoff(site: &SoakSite, from: usize, count: usize, ms: u64, backoff_ms: u64) {
+    let set = |backoff_ms: u64| {
         for at in 0..count {
             let upstream = &site.upstreams[(from + at) % site.upstreams.len()];
-            if let Some(life) = upstream.life.borrow().as_ref() {
-                life.set_rest(rest_ms);
+            if let Some(incarnation) = upstream.incarnation.borrow().as_ref() {
+                incarnation.set_backoff(backoff_ms);
             }
         }
     };
-    set(rest_ms);
+    set(backoff_ms);
     pause(ms).await;
     set(0);
 }
 
 async fn faulty_upstream(site: &SoakSite, at: usize, ms: u64) {
     let set = |faulty: bool| {
-        if let Some(life) = site.upstreams[at].life.borrow().as_ref() {
-            life.set_faulty(faulty);
+        if let Some(incarnation) = site.upstreams[at].incarnation.borrow().as_ref() {
+            incarnation.set_faulty(faulty);
         }
     };
-    let span = site.disturb(Touched::Upstream(at));
+    let span = site.begin_span(Touched::Upstream(at));
     set(true);
     pause(ms).await;
     set(false);
-    site.ledger.calm(span);
+    site.ledger.end_span(span);
 }
 
 async fn end_early(site: &SoakSite, from: usize, count: usize, ms: u64) {
-    let places = || (0..count).map(|at| (from + at) % site.upstreams.len());
+    let indices = || (0..count).map(|at| (from + at) % site.upstreams.len());
     let set = |early: bool| {
-        for at in places() {
-            if let Some(life) = site.upstreams[at].life.borrow().as_ref() {
-                life.set_early(early);
+        for at in indices() {
+            if let Some(incarnation) = site.upstreams[at].incarnation.borrow().as_ref() {
+                incarnation.set_early(early);
             }
         }
     };
-    let spans: Vec<usize> = places().map(|at| site.disturb(Touched::Upstream(at))).collect();
+    let spans: Vec<usize> = indices().map(|at| site.begin_span(Touched::Upstream(at))).collect();
     set(true);
     pause(ms).await;
     set(false);
-    spans.into_iter().for_each(|span| site.ledger.calm(span));
+    spans.into_iter().for_each(|span| site.ledger.end_span(span));
 }
 
 async fn upstream_link(site: &SoakSite, at: usize, mode: LinkMode, ms: u64) {
     let set = |mode: LinkMode| {
-        if let Some(life) = site.upstreams[at].life.borrow().as_ref() {
-            life.link.set(mode);
+        if let Some(incarnation) = site.upstreams[at].incarnation.borrow().as_ref() {
+            incarnation.link.set(mode);
         }
     };
-    let span = site.disturb(Touched::Upstream(at));
+    let span = site.begin_span(Touched::Upstream(at));
     set(mode);
     pause(ms).await;
     set(LinkMode::Open);
-    site.ledger.calm(span);
+    site.ledger.end_span(span);
 }
 
-async fn put_document(site: &SoakSite, callers: &CallerShared, take_key: bool) {
-    let row = site.operator.next_document(take_key);
+async fn put_document(site: &SoakSite, callers: &CallerShared, revoke_key: bool) {
+    let row = site.operator.next_document(revoke_key);
     let key = row.keys.last().cloned();
-    site.operator.order(OrderWhat::Document(row), DOCUMENT_REPEAT_MS).await;
-    if take_key {
+    site.operator.order(OrderContent::Document(row), DOCUMENT_REPEAT_MS).await;
+    if revoke_key {
         callers.keys.borrow_mut().extend(key);
     }
 }
@@ -272,25 +273,25 @@
 async fn put_invalid(site: &SoakSite) {
     let row = invalid_document(&site.operator.next_document(false));
     let version = row.version;
-    if site.operator.order(OrderWhat::Invalid(row), INVALID_REPEAT_MS).await {
+    if site.operator.order(OrderContent::Invalid(row), INVALID_REPEAT_MS).await {
         let seen = format!("the invalid configuration {version} was acknowledged");
-        site.ledger.rows.borrow_mut().seen.push(seen);
+        site.ledger.rows.borrow_mut().run_faults.push(seen);
     }
 }
 
 async fn empty_zone(site: &SoakSite, zone: usize, ms: u64) {
     let zone = format!("z-{zone}");
-    if site.is_emptied(&zone) {
+    if site.is_evacuated(&zone) {
         return;
     }
-    site.operator.order(OrderWhat::EmptyZone(zone.clone()), ZONE_REPEAT_MS).await;
+    site.operator.order(OrderContent::EmptyZone(zone.clone()), ZONE_REPEAT_MS).await;
     pause(ms).await;
     return_zone(site, &zone).await;
 }
 
 /// Takes a zone back, with as many orders as it needs.
 async fn return_zone(site: &SoakSite, zone: &str) {
-    while !site.operator.order(OrderWhat::ReturnZone(zone.to_string()), ZONE_REPEAT_MS).await {
+    while !site.operator.order(OrderContent::ReturnZone(zone.to_string()), ZONE_REPEAT_MS).await {
         pause(100).await;
     }
 }
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -12,23 +12,23 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
 
-use crate::answer_make::{draw_of, AnswerKind, AnswerMake, Framing, FOREIGN_ATTEMPT};
+use crate::answer_make::{draw_of, AnswerKind, AnswerPlan, Framing, FOREIGN_ATTEMPT};
 use crate::ledger::{ArrivalRow, RunLedger, RunRow, SentEnd, SentRow};
 use crate::link::LinkProxy;
-use crate::platform::{ATTEMPT, EXPECTED_LIFE, LEAVING, NOT_RUN, REST, STAMP};
+use crate::platform::{ATTEMPT, EXPECTED_INSTANCE, LEAVING, NOT_RUN, RETRY_AFTER, STAMP};
 use crate::schedule::VersionFault;
-use crate::upstream_wire::{split, AfterAnswer, OpenAnswer, WireRequest, WireWriter};
+use crate::upstream_wire::{split, AfterAnswer, PartialAnswer, WireRequest, WireWriter};
 
 /// Requests at which an upstream says that it is full.
-const UPSTREAM_PLACES: u32 = 32;
+const UPSTREAM_SLOTS: u32 = 32;
 /// What an unsound version of the slow kind takes longer.
-const SLOW_WORK: Duration = Duration::from_millis(700);
+const SLOW_DELAY: Duration = Duration::from_millis(700);
 /// The work of a plain request.
-const PLAIN_WORK: Duration = Duration::from_millis(20);
+const PLAIN_DELAY: Duration = Duration::from_millis(20);
 
-/// What an upstream is, apart from its lives.
+/// What an upstream is, apart from its incarnations.
 #[derive(Clone, Debug)]
-pub struct UpstreamPlace {
+pub struct UpstreamSpec {
     /// Its index.
     pub index: usize,
     /// Its service.
@@ -41,13 +41,13 @@
     pub inner: SocketAddr,
 }
 
-struct LifeState {
-    place: UpstreamPlace,
+struct IncarnationState {
+    spec: UpstreamSpec,
     id: String,
-    /// No other life has it, whatever its id.
+    /// No other incarnation has it, whatever its id.
     number: u64,
-    /// The rest that it asks for while it turns everything away, in milliseconds; 0 while it doesn't.
-    rest_ms: Cell<u64>,
+    /// The rest that it requests for while it turns everything away, in milliseconds; 0 while it doesn't.
+    backoff_ms: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
     faulty: Cell<bool>,
@@ -64,9 +64,9 @@
 /// A request whose body begins with this ends the upstream that runs it.
 pub const FATAL_BODY: &str = "fatal";
 
-/// One life of an upstream, with the link to it.
-pub struct UpstreamLife {
-    state: Rc<LifeState>,
+/// One incarnation of an upstream, with the link to it.
+pub struct UpstreamIncarnation {
+    state: Rc<IncarnationState>,
     /// The link of VMs to it.
     pub link: LinkProxy,
     accepting: JoinHandle<()>,
@@ -83,21 +83,21 @@
     })
 }
 
-impl UpstreamLife {
-    /// Starts a life.
+impl UpstreamIncarnation {
+    /// Starts a incarnation.
     pub async fn start(
-        place: UpstreamPlace,
+        spec: UpstreamSpec,
         id: &str,
         (version, fault): (&str, VersionFault),
         ledger: Rc<RunLedger>,
-    ) -> std::io::Result<UpstreamLife> {
-        let listener = TcpListener::bind(place.inner).await?;
-        let link = LinkProxy::start(place.listed, place.inner).await?;
-        let state = Rc::new(LifeState {
-            place,
+    ) -> std::io::Result<UpstreamIncarnation> {
+        let listener = TcpListener::bind(spec.inner).await?;
+        let link = LinkProxy::start(spec.listed, spec.inner).await?;
+        let state = Rc::new(IncarnationState {
+            spec,
             id: id.to_string(),
             number: next_run(),
-            rest_ms: Cell::new(0),
+            backoff_ms: Cell::new(0),
             running: Cell::new(0),
             leaving: Cell::new(false),
             faulty: Cell::new(false),
@@ -115,7 +115,7 @@
                 spawn_local(serve(stream, shared.clone()));
             }
         });
-        Ok(UpstreamLife { state, link, accepting })
+        Ok(UpstreamIncarnation { state, link, accepting })
     }
 
     /// From now on all answers say so, health checks are answered 503, and connections are closed after an
@@ -124,14 +124,14 @@
         self.state.leaving.set(true);
     }
 
-    /// Which life it is.
+    /// Which incarnation it is.
     pub fn number(&self) -> u64 {
         self.state.number
     }
 
-    /// Turns everything away and asks for so much rest, in milliseconds; 0 ends that.
-    pub fn set_rest(&self, rest_ms: u64) {
-        self.state.rest_ms.set(rest_ms);
+    /// Turns everything away and requests for so much rest, in milliseconds; 0 ends that.
+    pub fn set_backoff(&self, backoff_ms: u64) {
+        self.state.backoff_ms.set(backoff_ms);
     }
 
     /// Whether it has begun to run a request that ends it.
@@ -150,22 +150,22 @@
     }
 }
 
-impl Drop for UpstreamLife {
+impl Drop for UpstreamIncarnation {
     fn drop(&mut self) {
         self.accepting.abort();
         self.state.crash.notify_waiters();
     }
 }
 
-async fn serve(stream: TcpStream, state: Rc<LifeState>) {
+async fn serve(stream: TcpStream, state: Rc<IncarnationState>) {
     let (mut reader, mut writer) = split(stream);
     let exchanges = async {
         while let Some(request) = reader.next().await {
             let after = tokio::select! {
                 after = answer(&request, &state, &mut writer) => after.unwrap_or(AfterAnswer::Closed),
-                () = reader.gone() => AfterAnswer::Closed,
+                () = reader.wait_for_close() => AfterAnswer::Closed,
             };
-            writer.open = None;
+            writer.partial = None;
             if after != AfterAnswer::Kept {
                 return after;
             }
@@ -174,7 +174,7 @@
     };
     let after = tokio::select! {
         after = exchanges => after,
-        () = state.crash.notified() => after_crash(&state, writer.open),
+        () = state.crash.notified() => after_crash(&state, writer.partial),
     };
     match after {
         AfterAnswer::Reset => writer.reset(),
@@ -184,23 +184,23 @@
 
 /// A process that ends has its connections closed cleanly. A plain answer without framing is reset, since
 /// nothing would tell it from a whole one.
-fn after_crash(state: &LifeState, open: Option<OpenAnswer>) -> AfterAnswer {
-    let Some(OpenAnswer { make, sent }) = open else { return AfterAnswer::Closed };
-    if make.framing == Framing::Connection && !matches!(make.kind, AnswerKind::Stream(_)) {
+fn after_crash(state: &IncarnationState, open: Option<PartialAnswer>) -> AfterAnswer {
+    let Some(PartialAnswer { plan, sent }) = open else { return AfterAnswer::Closed };
+    if plan.framing == Framing::Connection && !matches!(plan.kind, AnswerKind::Stream(_)) {
         return AfterAnswer::Reset;
     }
     if let Some(sent) = sent {
-        let row = SentRow { run: make.run, end: SentEnd::Closed(sent) };
+        let row = SentRow { run: plan.run, end: SentEnd::Closed(sent) };
         state.ledger.rows.borrow_mut().sent.push(row);
     }
     AfterAnswer::Closed
 }
 
 /// Counts a request while it is worked on.
-struct RunningGuard(Rc<LifeState>);
+struct RunningGuard(Rc<IncarnationState>);
 
 impl RunningGuard {
-    fn new(state: &Rc<LifeState>) -> RunningGuard {
+    fn new(state: &Rc<IncarnationState>) -> RunningGuard {
         state.running.set(state.running.get() + 1);
         RunningGuard(state.clone())
     }
@@ -213,30 +213,31 @@
 }
 
 /// Notes a request that arrived, and tells the headers that turn it away while rest is asked for.
-fn turn_away(state: &LifeState, attempt: &str) -> Option<String> {
-    let rest_ms = state.rest_ms.get();
+fn reject_for_backoff(state: &IncarnationState, attempt: &str) -> Option<String> {
+    let backoff_ms = state.backoff_ms.get();
     state.ledger.rows.borrow_mut().arrivals.push(ArrivalRow {
         attempt: attempt.to_string(),
-        upstream: state.place.index,
+        upstream: state.spec.index,
         life: state.number,
         at_ms: state.ledger.now_ms(),
-        rest_ms,
+        rest_ms: backoff_ms,
     });
-    let rest_s = rest_ms as f64 / 1000.0;
-    let headers = format!("{NOT_RUN}: 1\r\n{ATTEMPT}: {attempt}\r\n{REST}: {rest_s:.3}\r\n");
-    (rest_ms > 0).then_some(headers)
+    let backoff_s = backoff_ms as f64 / 1000.0;
+    let headers =
+        format!("{NOT_RUN}: 1\r\n{ATTEMPT}: {attempt}\r\n{RETRY_AFTER}: {backoff_s:.3}\r\n");
+    (backoff_ms > 0).then_some(headers)
 }
 
 /// What is answered to a run, and how.
-fn make_answer(
-    state: &LifeState,
+fn plan_answer(
+    state: &IncarnationState,
     request: &WireRequest,
     attempt: &str,
     after_event: u64,
     bad: bool,
-) -> AnswerMake {
+) -> AnswerPlan {
     let run = next_run();
-    let mut random = draw_of((state.ledger.seed, attempt, state.place.index, after_event));
+    let mut random = draw_of((state.ledger.seed, attempt, state.spec.index, after_event));
     let is_stream = request.path.starts_with("/stream/") || request.path.starts_with("/resume/");
     let failure = bad && state.fault != VersionFault::Slow;
     let faulty = if state.faulty.get() && !is_stream { run % 4 } else { 3 };
@@ -246,31 +247,35 @@
         (_, _, 2) => AnswerKind::Foreign,
         _ => AnswerKind::Plain,
     };
-    let make = AnswerMake::draw(&mut random, run, kind);
+    let plan = AnswerPlan::draw(&mut random, run, kind);
     let early = state.early.get() && random.gen_ratio(3, 4);
     match early || (kind == AnswerKind::Plain && faulty == 1) {
-        true => make.broken_off(&mut random, attempt),
-        false => make,
+        true => plan.broken_off(&mut random, attempt),
+        false => plan,
     }
 }
 
-fn note_run(state: &Rc<LifeState>, request: &WireRequest, attempt: &str) -> (RunRow, RunningGuard) {
-    let after_event = request.named("last-event-id").parse().unwrap_or(0);
+fn record_run(
+    state: &Rc<IncarnationState>,
+    request: &WireRequest,
+    attempt: &str,
+) -> (RunRow, RunningGuard) {
+    let after_event = request.header_value("last-event-id").parse().unwrap_or(0);
     let guard = RunningGuard::new(state);
     let bad = state.fault.is_bad(next_run(), state.started.elapsed().as_millis());
     let row = RunRow {
         attempt: attempt.to_string(),
-        upstream: state.place.index,
-        service: state.place.service.clone(),
-        zone: state.place.zone.clone(),
+        upstream: state.spec.index,
+        service: state.spec.service.clone(),
+        zone: state.spec.zone.clone(),
         at_ms: state.ledger.now_ms(),
         version: state.version.clone(),
         bad,
         after_event,
-        workspace: request.named("x-tenant").to_string(),
+        workspace: request.header_value("x-tenant").to_string(),
         life: state.number,
         leaving: state.leaving.get(),
-        make: make_answer(state, request, attempt, after_event, bad),
+        make: plan_answer(state, request, attempt, after_event, bad),
     };
     state.ledger.rows.borrow_mut().runs.push(row.clone());
     (row, guard)
@@ -278,7 +283,7 @@
 
 async fn answer(
     request: &WireRequest,
-    state: &Rc<LifeState>,
+    state: &Rc<IncarnationState>,
     writer: &mut WireWriter,
 ) -> std::io::Result<AfterAnswer> {
     if request.path == "/health" {
@@ -286,47 +291,47 @@
         writer.send_short(status, &format!("x-instance-id: {}\r\n", state.id)).await?;
         return Ok(AfterAnswer::Kept);
     }
-    let expected = request.named(EXPECTED_LIFE);
+    let expected = request.header_value(EXPECTED_INSTANCE);
     if !expected.is_empty() && expected != state.id {
         writer.send_short(421, &format!("{NOT_RUN}: 1\r\n")).await?;
         return Ok(AfterAnswer::Kept);
     }
-    let attempt = request.named(ATTEMPT);
-    let turned_away = turn_away(state, attempt).or_else(|| {
-        let full = state.running.get() >= UPSTREAM_PLACES;
+    let attempt = request.header_value(ATTEMPT);
+    let turned_away = reject_for_backoff(state, attempt).or_else(|| {
+        let full = state.running.get() >= UPSTREAM_SLOTS;
         full.then(|| format!("{NOT_RUN}: 1\r\n"))
     });
     if let Some(headers) = turned_away {
         writer.send_short(503, &headers).await?;
         return Ok(AfterAnswer::Kept);
     }
-    let (row, guard) = note_run(state, request, attempt);
+    let (row, guard) = record_run(state, request, attempt);
     if request.body.starts_with(FATAL_BODY.as_bytes()) {
         state.fatal.set(true);
-        // Whoever watches ends this life, and with it this connection.
+        // Whoever watches ends this incarnation, and with it this connection.
         std::future::pending::<()>().await;
     }
-    let make = row.make;
-    let (named, stamp) = match make.kind {
+    let plan = row.make;
+    let (named, stamp) = match plan.kind {
         AnswerKind::Foreign => (FOREIGN_ATTEMPT, "late"),
         _ => (attempt, state.id.as_str()),
     };
     let mut headers = format!("{ATTEMPT}: {named}\r\n{STAMP}: {stamp}\r\n");
-    headers += &format!("x-server-load: {},0,{UPSTREAM_PLACES}\r\n", state.running.get());
+    headers += &format!("x-server-load: {},0,{UPSTREAM_SLOTS}\r\n", state.running.get());
     if row.leaving {
         headers += &format!("connection: close\r\n{LEAVING}: 1\r\n");
     }
     if row.bad && state.fault == VersionFault::Slow {
-        tokio::time::sleep(SLOW_WORK).await;
+        tokio::time::sleep(SLOW_DELAY).await;
     }
-    if matches!(make.kind, AnswerKind::Stream(_)) {
+    if matches!(plan.kind, AnswerKind::Stream(_)) {
         headers += "content-type: text/event-stream\r\n";
     } else if !row.bad || state.fault == VersionFault::Slow {
-        tokio::time::sleep(PLAIN_WORK).await;
+        tokio::time::sleep(PLAIN_DELAY).await;
     }
-    let after = writer.send(make, attempt, &headers).await?;
+    let after = writer.send(plan, attempt, &headers).await?;
     drop(guard);
-    let sent = SentRow { run: make.run, end: SentEnd::AsMade };
+    let sent = SentRow { run: plan.run, end: SentEnd::AsMade };
     state.ledger.rows.borrow_mut().sent.push(sent);
     Ok(if row.leaving && after == AfterAnswer::Kept { AfterAnswer::Closed } else { after })
 }
--- a/soak/src/upstream_wire.rs
+++ b/soak/src/upstream_wire.rs
@@ -7,14 +7,14 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
-use crate::answer_make::{draw_of, AnswerKind, AnswerMake, EarlyEnd, Framing};
+use crate::answer_make::{draw_of, AnswerKind, AnswerPlan, EarlyEnd, Framing};
 
 /// The pause before each event.
 const EVENT_PAUSE: Duration = Duration::from_millis(40);
 /// The pause between the pieces of an event.
 const PIECE_PAUSE: Duration = Duration::from_millis(4);
 /// How often a connection on which more came is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A request as it was read.
 pub struct WireRequest {
@@ -27,12 +27,12 @@
 
 impl WireRequest {
     /// A header's value, or nothing.
-    pub fn named(&self, name: &str) -> &str {
-        header(&self.head, name).unwrap_or_default()
+    pub fn header_value(&self, name: &str) -> &str {
+        find_header(&self.head, name).unwrap_or_default()
     }
 }
 
-fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+fn find_header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let pairs = head.split("\r\n").skip(1).filter_map(|line| line.split_once(':'));
     let mut found = pairs.filter(|(key, _)| key.trim().eq_ignore_ascii_case(name));
     found.next().map(|(_, value)| value.trim())
@@ -47,25 +47,25 @@
 impl WireReader {
     /// The next request; none once the connection has ended or can't be read.
     pub async fn next(&mut self) -> Option<WireRequest> {
-        let head_end = self.until(b"\r\n\r\n").await?;
-        let head = String::from_utf8(self.take(head_end)).ok()?;
+        let head_end = self.read_until(b"\r\n\r\n").await?;
+        let head = String::from_utf8(self.take_bytes(head_end)).ok()?;
         let path = head.split(' ').nth(1)?.to_string();
-        let chunked = header(&head, "transfer-encoding").is_some();
-        let body = match header(&head, "content-length") {
-            _ if chunked => self.chunks().await?,
-            Some(length) => self.exactly(length.parse().ok()?).await?,
+        let chunked = find_header(&head, "transfer-encoding").is_some();
+        let body = match find_header(&head, "content-length") {
+            _ if chunked => self.read_chunks().await?,
+            Some(length) => self.read_exactly(length.parse().ok()?).await?,
             None => Vec::new(),
         };
         Some(WireRequest { path, body, head })
     }
 
-    async fn chunks(&mut self) -> Option<Vec<u8>> {
+    async fn read_chunks(&mut self) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            let end = self.until(b"\r\n").await?;
-            let line = String::from_utf8(self.take(end)).ok()?;
+            let end = self.read_until(b"\r\n").await?;
+            let line = String::from_utf8(self.take_bytes(end)).ok()?;
             let length = usize::from_str_radix(line.trim(), 16).ok()?;
-            let chunk = self.exactly(length + 2).await?;
+            let chunk = self.read_exactly(length + 2).await?;
             if length == 0 {
                 return Some(body);
             }
@@ -73,46 +73,46 @@
         }
     }
 
-    async fn more(&mut self) -> Option<()> {
+    async fn read_more(&mut self) -> Option<()> {
         let count = self.read.read_buf(&mut self.buffer).await.ok()?;
         (count > 0).then_some(())
     }
 
     /// Where these bytes end, once they came.
-    async fn until(&mut self, mark: &[u8]) -> Option<usize> {
+    async fn read_until(&mut self, mark: &[u8]) -> Option<usize> {
         loop {
             if let Some(at) = self.buffer.windows(mark.len()).position(|bytes| bytes == mark) {
                 return Some(at + mark.len());
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn exactly(&mut self, length: usize) -> Option<Vec<u8>> {
+    async fn read_exactly(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.buffer.len() < length {
-            self.more().await?;
+            self.read_more().await?;
         }
-        Some(self.take(length))
+        Some(self.take_bytes(length))
     }
 
-    fn take(&mut self, length: usize) -> Vec<u8> {
+    fn take_bytes(&mut self, length: usize) -> Vec<u8> {
         self.buffer.drain(..length).collect()
     }
 
     /// Waits until the other side has ended the connection.
-    pub async fn gone(&mut self) {
+    pub async fn wait_for_close(&mut self) {
         let mut byte = [0; 1];
         while matches!(self.read.peek(&mut byte).await, Ok(1..)) {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
 /// What was sent of an answer's body so far.
 #[derive(Clone, Copy, Debug)]
-pub struct OpenAnswer {
+pub struct PartialAnswer {
     /// The answer.
-    pub make: AnswerMake,
+    pub plan: AnswerPlan,
     /// Bytes after its head that were handed to the connection; none before all of the head was.
     pub sent: Option<usize>,
 }
@@ -121,14 +121,14 @@
 pub struct WireWriter {
     write: OwnedWriteHalf,
     /// The answer under way.
-    pub open: Option<OpenAnswer>,
+    pub partial: Option<PartialAnswer>,
 }
 
 /// Both halves of a connection.
 pub fn split(stream: TcpStream) -> (WireReader, WireWriter) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    (WireReader { read, buffer: Vec::new() }, WireWriter { write, open: None })
+    (WireReader { read, buffer: Vec::new() }, WireWriter { write, partial: None })
 }
 
 /// What becomes of a connection after an answer.
@@ -152,53 +152,53 @@
     /// Sends an answer as it was made, its bytes split anywhere.
     pub async fn send(
         &mut self,
-        make: AnswerMake,
+        plan: AnswerPlan,
         attempt: &str,
         headers: &str,
     ) -> std::io::Result<AfterAnswer> {
-        self.open = Some(OpenAnswer { make, sent: None });
-        let pieces = make.pieces(attempt);
+        self.partial = Some(PartialAnswer { plan, sent: None });
+        let pieces = plan.pieces(attempt);
         let whole: usize = pieces.iter().map(Vec::len).sum();
-        let framed_early = make.early.is_some_and(|early| early.end == EarlyEnd::Framed);
-        let most = make.early.map_or(whole, |early| early.sent);
-        let framing = match make.framing {
+        let framed_early = plan.early.is_some_and(|early| early.end == EarlyEnd::Framed);
+        let most = plan.early.map_or(whole, |early| early.sent);
+        let framing = match plan.framing {
             Framing::Length => {
                 format!("content-length: {}\r\n", if framed_early { most } else { whole })
             }
             Framing::Chunked => "transfer-encoding: chunked\r\n".to_string(),
             Framing::Connection => String::new(),
         };
-        let head = format!("HTTP/1.1 {} S\r\n{headers}{framing}\r\n", make.status());
-        let mut random = draw_of(make.splits);
+        let head = format!("HTTP/1.1 {} S\r\n{headers}{framing}\r\n", plan.status());
+        let mut random = draw_of(plan.splits);
         self.write_split(head.as_bytes(), random.gen_range(0..head.len())).await?;
-        self.open = Some(OpenAnswer { make, sent: Some(0) });
+        self.partial = Some(PartialAnswer { plan, sent: Some(0) });
         let mut left = most;
         for piece in pieces {
             if left == 0 {
                 break;
             }
-            if matches!(make.kind, AnswerKind::Stream(_)) {
+            if matches!(plan.kind, AnswerKind::Stream(_)) {
                 tokio::time::sleep(EVENT_PAUSE).await;
             }
             let count = piece.len().min(left);
             // A chunk may be cut within, or be a shorter one after which nothing comes.
             let within = !framed_early && random.gen();
-            let bytes = framed(make.framing, &piece, count, within);
+            let bytes = framed(plan.framing, &piece, count, within);
             self.write_split(&bytes, random.gen_range(0..bytes.len())).await?;
             left -= count;
         }
-        let ends = make.early.is_none() || framed_early;
-        if ends && make.framing == Framing::Chunked {
+        let ends = plan.early.is_none() || framed_early;
+        if ends && plan.framing == Framing::Chunked {
             self.write.write_all(b"0\r\n\r\n").await?;
         }
-        Ok(match make.early.map(|early| early.end) {
+        Ok(match plan.early.map(|early| early.end) {
             Some(EarlyEnd::Reset) => {
                 // What was sent before a reset that follows at once is lost with it.
                 tokio::time::sleep(EVENT_PAUSE).await;
                 AfterAnswer::Reset
             }
             Some(EarlyEnd::Close) => AfterAnswer::Closed,
-            _ if make.framing == Framing::Connection => AfterAnswer::Closed,
+            _ if plan.framing == Framing::Connection => AfterAnswer::Closed,
             _ => AfterAnswer::Kept,
         })
     }
@@ -212,8 +212,8 @@
 
     async fn write_counted(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.write.write_all(bytes).await?;
-        if let Some(open) = &mut self.open {
-            open.sent = open.sent.map(|sent| sent + bytes.len());
+        if let Some(partial) = &mut self.partial {
+            partial.sent = partial.sent.map(|sent| sent + bytes.len());
         }
         Ok(())
     }
--- a/soak/tests/test_answers.rs
+++ b/soak/tests/test_answers.rs
@@ -1,35 +1,36 @@
-//! What the judge makes of answers that end early, by framing and by where they stop.
+//! What the judge plans of answers that end early, by framing and by where they stop.
 
 use wingshed_soak::answer_make::{
-    draw_of, AnswerKind, AnswerMake, EarlyEnd, EarlyStop, Framing, LineEnd, StopPlace,
+    draw_of, AnswerKind, AnswerPlan, EarlyEnd, EarlyStop, Framing, LineEnd, StopPlace,
 };
 use wingshed_soak::judge_answers::answer_fault;
 use wingshed_soak::ledger::{
-    AskEnd, AskKind, AskRow, LedgerRows, RunRow, SeenAnswer, SentEnd, SentRow, SpanRow, Touched,
+    LedgerRows, ReceivedAnswer, RequestEnd, RequestKind, RequestRow, RunRow, SentEnd, SentRow,
+    SpanRow, Touched,
 };
 
 const FRAMINGS: [Framing; 3] = [Framing::Length, Framing::Chunked, Framing::Connection];
 const LINE_ENDS: [LineEnd; 3] = [LineEnd::Lf, LineEnd::CrLf, LineEnd::Cr];
 const ENDS: [EarlyEnd; 3] = [EarlyEnd::Close, EarlyEnd::Reset, EarlyEnd::Framed];
 
-fn make(run: u64, kind: AnswerKind, framing: Framing, line_end: LineEnd) -> AnswerMake {
-    AnswerMake { run, kind, framing, line_end, early: None, splits: 0 }
+fn plan(run: u64, kind: AnswerKind, framing: Framing, line_end: LineEnd) -> AnswerPlan {
+    AnswerPlan { run, kind, framing, line_end, early: None, splits: 0 }
 }
 
-fn stream(run: u64, after: u64, framing: Framing) -> AnswerMake {
-    make(run, AnswerKind::Stream(after), framing, LineEnd::Lf)
+fn stream(run: u64, after: u64, framing: Framing) -> AnswerPlan {
+    plan(run, AnswerKind::Stream(after), framing, LineEnd::Lf)
 }
 
-fn early(make: AnswerMake, sent: usize, end: EarlyEnd) -> AnswerMake {
-    AnswerMake { early: Some(EarlyStop { place: StopPlace::Inside, end, sent }), ..make }
+fn early(plan: AnswerPlan, sent: usize, end: EarlyEnd) -> AnswerPlan {
+    AnswerPlan { early: Some(EarlyStop { place: StopPlace::Inside, end, sent }), ..plan }
 }
 
-fn body(make: &AnswerMake) -> Vec<u8> {
-    make.pieces("a").concat()
+fn body(plan: &AnswerPlan) -> Vec<u8> {
+    plan.pieces("a").concat()
 }
 
-fn ask(kind: AskKind, body: &[u8]) -> AskRow {
-    AskRow {
+fn request_row(kind: RequestKind, body: &[u8]) -> RequestRow {
+    RequestRow {
         attempt: "a".to_string(),
         vm: 0,
         kind,
@@ -37,13 +38,13 @@
         key: "k".to_string(),
         sent_ms: 1_000,
         ended_ms: 2_000,
-        end: AskEnd::Whole,
-        answer: Some(SeenAnswer { status: 200, stamped: true, body: body.to_vec() }),
+        end: RequestEnd::Whole,
+        answer: Some(ReceivedAnswer { status: 200, stamped: true, body: body.to_vec() }),
         old: false,
     }
 }
 
-fn run(make: AnswerMake) -> RunRow {
+fn run(plan: AnswerPlan) -> RunRow {
     RunRow {
         attempt: "a".to_string(),
         upstream: 0,
@@ -56,16 +57,16 @@
         workspace: "t1".to_string(),
         life: 1,
         leaving: false,
-        make,
+        make: plan,
     }
 }
 
 /// What is wrong with a complete answer of these bytes to a request that had these runs.
-fn fault(kind: AskKind, seen: &[u8], makes: &[AnswerMake]) -> Option<String> {
-    let runs: Vec<RunRow> = makes.iter().map(|make| run(*make)).collect();
-    let sent = makes.iter().map(|make| SentRow { run: make.run, end: SentEnd::AsMade });
+fn fault(kind: RequestKind, seen: &[u8], plans: &[AnswerPlan]) -> Option<String> {
+    let runs: Vec<RunRow> = plans.iter().map(|plan| run(*plan)).collect();
+    let sent = plans.iter().map(|plan| SentRow { run: plan.run, end: SentEnd::AsMade });
     let rows = LedgerRows { sent: sent.collect(), ..LedgerRows::default() };
-    answer_fault(&rows, &ask(kind, seen), &runs.iter().collect::<Vec<_>>())
+    answer_fault(&rows, &request_row(kind, seen), &runs.iter().collect::<Vec<_>>())
 }
 
 #[test]
@@ -73,11 +74,11 @@
     for framing in FRAMINGS {
         for line_end in LINE_ENDS {
             for (kind, of) in [
-                (AskKind::Once, AnswerKind::Plain),
-                (AskKind::Stream, AnswerKind::Stream(0)),
-                (AskKind::Resume, AnswerKind::Stream(0)),
+                (RequestKind::Once, AnswerKind::Plain),
+                (RequestKind::Stream, AnswerKind::Stream(0)),
+                (RequestKind::Resume, AnswerKind::Stream(0)),
             ] {
-                let made = make(1, of, framing, line_end);
+                let made = plan(1, of, framing, line_end);
                 let mut bytes = body(&made);
                 assert_eq!(fault(kind, &bytes, &[made]), None, "{made:?}");
                 for at in [0, bytes.len() / 2, bytes.len() - 1] {
@@ -102,7 +103,7 @@
 fn an_answer_that_broke_off_is_told_but_for_the_one_that_nothing_tells_from_a_whole_one() {
     for framing in FRAMINGS {
         for line_end in LINE_ENDS {
-            let whole = make(1, AnswerKind::Stream(0), framing, line_end);
+            let whole = plan(1, AnswerKind::Stream(0), framing, line_end);
             let pieces = whole.pieces("a");
             let bytes = body(&whole);
             let two = pieces[0].len() + pieces[1].len();
@@ -111,7 +112,7 @@
                     let made = early(whole, sent, end);
                     let boundary = sent == two || sent == pieces[0].len();
                     let clean = framing == Framing::Connection && end != EarlyEnd::Reset;
-                    for kind in [AskKind::Stream, AskKind::Resume] {
+                    for kind in [RequestKind::Stream, RequestKind::Resume] {
                         let told = fault(kind, &bytes[..sent], &[made]).is_some();
                         assert_eq!(told, !(boundary && clean), "{kind:?} {made:?}");
                     }
@@ -124,17 +125,17 @@
 #[test]
 fn a_plain_answer_that_broke_off_is_told_under_each_framing() {
     for framing in FRAMINGS {
-        let whole = make(1, AnswerKind::Plain, framing, LineEnd::Lf);
+        let whole = plan(1, AnswerKind::Plain, framing, LineEnd::Lf);
         let bytes = body(&whole);
         for end in [EarlyEnd::Close, EarlyEnd::Reset] {
             for sent in [0, 1, bytes.len() - 1] {
                 let made = early(whole, sent, end);
-                assert!(fault(AskKind::Once, &bytes[..sent], &[made]).is_some(), "{made:?}");
+                assert!(fault(RequestKind::Once, &bytes[..sent], &[made]).is_some(), "{made:?}");
             }
         }
         let broken = early(whole, 5, EarlyEnd::Reset);
-        let again = AnswerMake { run: 2, ..whole };
-        assert_eq!(fault(AskKind::Safe, &bytes, &[broken, again]), None, "asked for again");
+        let again = AnswerPlan { run: 2, ..whole };
+        assert_eq!(fault(RequestKind::Safe, &bytes, &[broken, again]), None, "asked for again");
     }
 }
 
@@ -143,8 +144,8 @@
     let whole = stream(1, 0, Framing::Chunked);
     let bytes = body(&whole);
     let made = early(whole, bytes.len(), EarlyEnd::Close);
-    assert!(fault(AskKind::Stream, &bytes, &[made]).is_some());
-    assert!(fault(AskKind::Resume, &bytes, &[made]).is_some());
+    assert!(fault(RequestKind::Stream, &bytes, &[made]).is_some());
+    assert!(fault(RequestKind::Resume, &bytes, &[made]).is_some());
 }
 
 #[test]
@@ -154,18 +155,18 @@
     let broken = early(first, begun.len() + 3, EarlyEnd::Close);
     let rest = stream(2, 2, Framing::Chunked);
     let joined = [begun.clone(), body(&rest)].concat();
-    assert_eq!(fault(AskKind::Resume, &joined, &[broken, rest]), None);
+    assert_eq!(fault(RequestKind::Resume, &joined, &[broken, rest]), None);
 
     let with_rest_of_event = [begun.clone(), b"id:".to_vec(), body(&rest)].concat();
-    assert!(fault(AskKind::Resume, &with_rest_of_event, &[broken, rest]).is_some());
-    assert!(fault(AskKind::Stream, &joined, &[broken, rest]).is_some(), "may not be joined");
+    assert!(fault(RequestKind::Resume, &with_rest_of_event, &[broken, rest]).is_some());
+    assert!(fault(RequestKind::Stream, &joined, &[broken, rest]).is_some(), "may not be joined");
     let lacks_one = [begun.clone(), stream(2, 3, Framing::Chunked).pieces("a").concat()].concat();
-    assert!(fault(AskKind::Resume, &lacks_one, &[broken, rest]).is_some());
+    assert!(fault(RequestKind::Resume, &lacks_one, &[broken, rest]).is_some());
     let broken_again = early(rest, 10, EarlyEnd::Close);
-    assert!(fault(AskKind::Resume, &begun, &[broken, broken_again]).is_some());
+    assert!(fault(RequestKind::Resume, &begun, &[broken, broken_again]).is_some());
     let seen = [begun, rest.pieces("a")[0].clone()].concat();
     let looked_whole = early(rest, 5, EarlyEnd::Close);
-    assert!(fault(AskKind::Resume, &seen, &[broken, looked_whole]).is_some());
+    assert!(fault(RequestKind::Resume, &seen, &[broken, looked_whole]).is_some());
 }
 
 #[test]
@@ -173,10 +174,11 @@
     let made = stream(1, 0, Framing::Connection);
     let event = made.pieces("a")[0].clone();
     let told = |sent: usize, framing: Framing| {
-        let made = AnswerMake { framing, ..made };
+        let made = AnswerPlan { framing, ..made };
         let end = SentEnd::Closed(sent);
         let rows = LedgerRows { sent: vec![SentRow { run: 1, end }], ..LedgerRows::default() };
-        answer_fault(&rows, &ask(AskKind::Stream, &body(&made)[..sent]), &[&run(made)]).is_some()
+        answer_fault(&rows, &request_row(RequestKind::Stream, &body(&made)[..sent]), &[&run(made)])
+            .is_some()
     };
     assert!(!told(event.len(), Framing::Connection));
     assert!(told(event.len() - 1, Framing::Connection));
@@ -187,8 +189,8 @@
 
 #[test]
 fn an_answer_without_a_stamp_or_by_nobody_is_told() {
-    let made = make(1, AnswerKind::Plain, Framing::Length, LineEnd::Lf);
-    let mut unstamped = ask(AskKind::Once, &body(&made));
+    let made = plan(1, AnswerKind::Plain, Framing::Length, LineEnd::Lf);
+    let mut unstamped = request_row(RequestKind::Once, &body(&made));
     assert!(answer_fault(&LedgerRows::default(), &unstamped, &[]).is_some());
     unstamped.answer.as_mut().unwrap().stamped = false;
     assert!(answer_fault(&LedgerRows::default(), &unstamped, &[&run(made)]).is_some());
@@ -196,10 +198,10 @@
 
 #[test]
 fn an_old_caller_of_a_vm_that_ended_can_t_tell() {
-    let made = make(1, AnswerKind::Plain, Framing::Length, LineEnd::Lf);
-    let mut asked = ask(AskKind::Once, &body(&made)[..5]);
+    let made = plan(1, AnswerKind::Plain, Framing::Length, LineEnd::Lf);
+    let mut asked = request_row(RequestKind::Once, &body(&made)[..5]);
     let span = |vm| SpanRow { touched: Touched::Vm(vm), from_ms: 1_500, until_ms: Some(1_600) };
-    let told = |asked: &AskRow, vm| {
+    let told = |asked: &RequestRow, vm| {
         let rows = LedgerRows { spans: vec![span(vm)], ..LedgerRows::default() };
         answer_fault(&rows, asked, &[&run(made)]).is_some()
     };
@@ -215,12 +217,12 @@
     for draw in 0..20_000_u64 {
         let mut random = draw_of(draw);
         let kind = if draw % 3 == 0 { AnswerKind::Plain } else { AnswerKind::Stream(draw % 5) };
-        let made = AnswerMake::draw(&mut random, 1, kind).broken_off(&mut random, "a");
+        let made = AnswerPlan::draw(&mut random, 1, kind).broken_off(&mut random, "a");
         let stop = made.early.unwrap();
         seen.insert((made.framing, kind == AnswerKind::Plain, stop.place, stop.end));
         let bytes = body(&made);
         assert!(stop.sent <= bytes.len(), "{made:?}");
-        let told = fault(AskKind::Once, &bytes[..stop.sent], &[made]).is_some();
+        let told = fault(RequestKind::Once, &bytes[..stop.sent], &[made]).is_some();
         let unframed = made.framing == Framing::Connection && stop.end == EarlyEnd::Close;
         let may_look_whole = kind != AnswerKind::Plain && unframed;
         assert!(told || may_look_whole, "{made:?}");
--- a/soak/tests/test_judge.rs
+++ b/soak/tests/test_judge.rs
@@ -1,28 +1,29 @@
 //! Each promise that is broken by the rows of a run is told, and none that holds.
 
-use wingshed_soak::answer_make::{AnswerKind, AnswerMake, Framing, LineEnd};
+use wingshed_soak::answer_make::{AnswerKind, AnswerPlan, Framing, LineEnd};
 use wingshed_soak::judge::judge;
 use wingshed_soak::ledger::{
-    ArrivalRow, AskEnd, AskKind, AskRow, DocumentRow, FatalRow, LeavingRow, LedgerRows, OrderRow,
-    OrderWhat, ReadRow, RunRow, SeenAnswer, SentEnd, SentRow, SpanRow, Touched,
+    ArrivalRow, DocumentRow, FatalRow, LeavingRow, LedgerRows, OrderContent, OrderRow, ReadRow,
+    ReceivedAnswer, RequestEnd, RequestKind, RequestRow, RunRow, SentEnd, SentRow, SpanRow,
+    Touched,
 };
 
-fn ask(kind: AskKind, sent_ms: u64, end: AskEnd) -> AskRow {
+fn request_row(kind: RequestKind, sent_ms: u64, end: RequestEnd) -> RequestRow {
     let (attempt, key) = ("a".to_string(), "k1".to_string());
     let route = "moved".to_string();
-    let answer = (end == AskEnd::Whole).then(|| seen(make(AnswerKind::Plain)));
+    let answer = (end == RequestEnd::Whole).then(|| seen(plan(AnswerKind::Plain)));
     let ended_ms = sent_ms + 50;
-    AskRow { attempt, vm: 0, kind, route, key, sent_ms, ended_ms, end, answer, old: false }
+    RequestRow { attempt, vm: 0, kind, route, key, sent_ms, ended_ms, end, answer, old: false }
 }
 
-fn make(kind: AnswerKind) -> AnswerMake {
+fn plan(kind: AnswerKind) -> AnswerPlan {
     let (framing, line_end) = (Framing::Chunked, LineEnd::Lf);
-    AnswerMake { run: 7, kind, framing, line_end, early: None, splits: 0 }
+    AnswerPlan { run: 7, kind, framing, line_end, early: None, splits: 0 }
 }
 
 /// A whole answer as its caller sees it.
-fn seen(make: AnswerMake) -> SeenAnswer {
-    SeenAnswer { status: make.status(), stamped: true, body: make.pieces("a").concat() }
+fn seen(plan: AnswerPlan) -> ReceivedAnswer {
+    ReceivedAnswer { status: plan.status(), stamped: true, body: plan.pieces("a").concat() }
 }
 
 fn run(at_ms: u64) -> RunRow {
@@ -38,21 +39,21 @@
         workspace: "t1".to_string(),
         life: 1,
         leaving: false,
-        make: make(AnswerKind::Plain),
+        make: plan(AnswerKind::Plain),
     }
 }
 
 fn document(version: u64, moved_to: &str, key: &str, acked_ms: u64) -> OrderRow {
     let (moved_to, keys) = (moved_to.to_string(), vec![key.to_string()]);
     let text = format!("{{\"version\":{version}}}");
-    let what = OrderWhat::Document(DocumentRow { version, moved_to, keys, text });
-    OrderRow { what, sent_ms: acked_ms, acked_ms: Some(acked_ms), refused: None }
+    let content = OrderContent::Document(DocumentRow { version, moved_to, keys, text });
+    OrderRow { content, sent_ms: acked_ms, acked_ms: Some(acked_ms), refused: None }
 }
 
 /// Rows of a request that is sent once and served.
-fn sound(kind: AskKind, sent_ms: u64) -> LedgerRows {
+fn sound(kind: RequestKind, sent_ms: u64) -> LedgerRows {
     LedgerRows {
-        asks: vec![ask(kind, sent_ms, AskEnd::Whole)],
+        requests: vec![request_row(kind, sent_ms, RequestEnd::Whole)],
         runs: vec![run(sent_ms + 5)],
         sent: vec![SentRow { run: 7, end: SentEnd::AsMade }],
         orders: vec![document(3, "s1", "k1", 10)],
@@ -66,48 +67,48 @@
 
 #[test]
 fn a_request_that_is_served_breaks_nothing() {
-    assert_eq!(told(&sound(AskKind::Once, 60_000)), Vec::<&str>::new());
+    assert_eq!(told(&sound(RequestKind::Once, 60_000)), Vec::<&str>::new());
 }
 
 #[test]
 fn two_runs_of_what_may_run_once_are_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
+    let mut rows = sound(RequestKind::Once, 60_000);
     rows.runs.push(run(60_020));
     assert_eq!(told(&rows), ["runs once"]);
 }
 
 #[test]
 fn two_runs_of_what_may_repeat_are_not_told() {
-    let mut rows = sound(AskKind::Safe, 60_000);
+    let mut rows = sound(RequestKind::Safe, 60_000);
     rows.runs.push(run(60_020));
     assert_eq!(told(&rows), Vec::<&str>::new());
 }
 
 #[test]
 fn a_refusal_of_what_ran_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
-    rows.asks[0].end = AskEnd::Status(503);
+    let mut rows = sound(RequestKind::Once, 60_000);
+    rows.requests[0].end = RequestEnd::Status(503);
     assert_eq!(told(&rows), ["not run"]);
 }
 
 #[test]
 fn a_request_to_an_upstream_that_left_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
-    rows.leaving.push(LeavingRow { upstream: 0, life: 1, from_ms: 55_000, until_ms: None });
+    let mut rows = sound(RequestKind::Once, 60_000);
+    rows.leaving.push(LeavingRow { upstream: 0, incarnation: 1, from_ms: 55_000, until_ms: None });
     assert_eq!(told(&rows), ["leaving upstreams"]);
 }
 
 #[test]
 fn a_request_to_the_next_life_of_an_upstream_that_left_is_not_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
-    rows.leaving.push(LeavingRow { upstream: 0, life: 7, from_ms: 55_000, until_ms: None });
+    let mut rows = sound(RequestKind::Once, 60_000);
+    rows.leaving.push(LeavingRow { upstream: 0, incarnation: 7, from_ms: 55_000, until_ms: None });
     assert_eq!(told(&rows), Vec::<&str>::new());
 }
 
 #[test]
 fn a_vm_that_was_disturbed_a_moment_ago_may_not_know_of_an_upstream_that_left() {
-    let mut rows = sound(AskKind::Once, 60_000);
-    rows.leaving.push(LeavingRow { upstream: 0, life: 1, from_ms: 55_000, until_ms: None });
+    let mut rows = sound(RequestKind::Once, 60_000);
+    rows.leaving.push(LeavingRow { upstream: 0, incarnation: 1, from_ms: 55_000, until_ms: None });
     let touched = Touched::Vm(0);
     rows.spans.push(SpanRow { touched, from_ms: 50_000, until_ms: Some(58_000) });
     assert_eq!(told(&rows), Vec::<&str>::new());
@@ -115,12 +116,12 @@
 
 /// An upstream's answer at 60 s says that it leaves, and the VM sends on at this time.
 fn sent_after_told(sent_ms: u64) -> LedgerRows {
-    let mut rows = sound(AskKind::Once, 60_000);
+    let mut rows = sound(RequestKind::Once, 60_000);
     rows.runs[0].leaving = true;
-    rows.asks.push(AskRow {
+    rows.requests.push(RequestRow {
         attempt: "b".to_string(),
         answer: None,
-        ..ask(AskKind::Once, sent_ms, AskEnd::Whole)
+        ..request_row(RequestKind::Once, sent_ms, RequestEnd::Whole)
     });
     rows.runs.push(RunRow { attempt: "b".to_string(), ..run(sent_ms + 5) });
     rows
@@ -139,14 +140,17 @@
     assert_eq!(told(&started), Vec::<&str>::new());
 }
 
-/// An upstream asks for 3 s of rest at 60 s, and so many requests come to it from 61 s on.
+/// An upstream requests for 3 s of rest at 60 s, and so many requests come to it from 61 s on.
 fn sent_within_rest(count: usize) -> LedgerRows {
     let mut rows = LedgerRows::default();
     for at in 0..=count {
         let attempt = format!("r{at}");
         let sent_ms = 60_000 + if at == 0 { 0 } else { 1_000 + 10 * at as u64 };
-        let refused = AskEnd::Status(503);
-        rows.asks.push(AskRow { attempt: attempt.clone(), ..ask(AskKind::Once, sent_ms, refused) });
+        let refused = RequestEnd::Status(503);
+        rows.requests.push(RequestRow {
+            attempt: attempt.clone(),
+            ..request_row(RequestKind::Once, sent_ms, refused)
+        });
         rows.arrivals.push(ArrivalRow {
             attempt,
             upstream: 0,
@@ -163,7 +167,7 @@
     assert_eq!(told(&sent_within_rest(3)), ["rest"]);
     assert_eq!(told(&sent_within_rest(2)), Vec::<&str>::new());
     let mut other_vm = sent_within_rest(3);
-    other_vm.asks[0].vm = 1;
+    other_vm.requests[0].vm = 1;
     assert_eq!(told(&other_vm), Vec::<&str>::new(), "it was asked of another VM");
     let mut cut = sent_within_rest(3);
     let touched = Touched::Vm(0);
@@ -173,29 +177,29 @@
 
 #[test]
 fn a_request_to_an_emptied_zone_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
-    let what = OrderWhat::EmptyZone("z-0".to_string());
-    rows.orders.push(OrderRow { what, sent_ms: 50_000, acked_ms: Some(50_010), refused: None });
+    let mut rows = sound(RequestKind::Once, 60_000);
+    let content = OrderContent::EmptyZone("z-0".to_string());
+    rows.orders.push(OrderRow { content, sent_ms: 50_000, acked_ms: Some(50_010), refused: None });
     assert_eq!(told(&rows), ["emptied zones"]);
 }
 
 #[test]
 fn a_request_that_goes_by_an_older_configuration_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
+    let mut rows = sound(RequestKind::Once, 60_000);
     rows.orders.push(document(6, "s2", "k1", 50_000));
     assert_eq!(told(&rows), ["orders in force"]);
 }
 
 #[test]
 fn a_request_with_a_key_that_was_taken_away_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
+    let mut rows = sound(RequestKind::Once, 60_000);
     rows.orders.push(document(6, "s1", "k2", 50_000));
     assert_eq!(told(&rows), ["keys taken away"]);
 }
 
 #[test]
 fn an_older_configuration_that_is_read_back_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
+    let mut rows = sound(RequestKind::Once, 60_000);
     rows.orders.push(document(6, "s1", "k1", 50_000));
     let text = "{\"version\":3}".to_string();
     rows.reads.push(ReadRow { vm: 0, sent_ms: 60_000, text });
@@ -204,8 +208,8 @@
 
 #[test]
 fn a_request_that_a_planned_stop_cut_is_told() {
-    let mut rows = sound(AskKind::Once, 60_000);
-    rows.asks[0].end = AskEnd::Cut;
+    let mut rows = sound(RequestKind::Once, 60_000);
+    rows.requests[0].end = RequestEnd::Cut;
     let touched = Touched::PlannedVm(0);
     rows.spans.push(SpanRow { touched, from_ms: 58_000, until_ms: Some(64_000) });
     assert_eq!(told(&rows), ["planned stops cut nothing"]);
@@ -217,8 +221,10 @@
     let mut row = FatalRow { ended_ms: vec![20_000, 21_000, 22_000], ..FatalRow::default() };
     for (at, sent_ms) in sent_ms.iter().enumerate() {
         let attempt = format!("f{at}");
-        rows.asks
-            .push(AskRow { attempt: attempt.clone(), ..ask(AskKind::Once, *sent_ms, AskEnd::Cut) });
+        rows.requests.push(RequestRow {
+            attempt: attempt.clone(),
+            ..request_row(RequestKind::Once, *sent_ms, RequestEnd::Cut)
+        });
         rows.runs.push(RunRow { attempt: attempt.clone(), ..run(sent_ms + 5) });
         row.attempts.push(attempt);
     }
--- a/soak/tests/test_readers.rs
+++ b/soak/tests/test_readers.rs
@@ -9,9 +9,9 @@
 use tokio::task::{spawn_local, LocalSet};
 use wingshed_soak::caller::{CallerShared, SoakCaller};
 use wingshed_soak::http::call_once;
-use wingshed_soak::ledger::{AskEnd, AskKind, RunLedger};
+use wingshed_soak::ledger::{RequestEnd, RequestKind, RunLedger};
 use wingshed_soak::platform::{ATTEMPT, STAMP};
-use wingshed_soak::process::VmPlace;
+use wingshed_soak::process::VmSpec;
 
 const WAIT: Duration = Duration::from_secs(3);
 
@@ -30,8 +30,8 @@
     }
 }
 
-fn place(ip: &str) -> VmPlace {
-    VmPlace {
+fn spec(ip: &str) -> VmSpec {
+    VmSpec {
         index: 0,
         ip: ip.to_string(),
         disk: false,
@@ -42,14 +42,14 @@
 }
 
 /// How an answer ends for a caller by HTTP/1.1 and for one by HTTP/1.0, and whether a call takes it.
-fn ends(framing: &str, body: &str, reset: bool) -> (AskEnd, AskEnd, bool) {
-    let place = place(&format!("127.250.{}.7", std::process::id() % 250));
+fn ends(framing: &str, body: &str, reset: bool) -> (RequestEnd, RequestEnd, bool) {
+    let spec = spec(&format!("127.250.{}.7", std::process::id() % 250));
     let bytes = format!(
         "HTTP/1.1 200 OK\r\n{ATTEMPT}: 00000000000000aa\r\n{STAMP}: s\r\n{framing}\r\n{body}"
     );
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        let listener = TcpListener::bind(place.front_link()).await.unwrap();
+        let listener = TcpListener::bind(spec.front_link()).await.unwrap();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 spawn_local(answer(stream, bytes.clone(), reset));
@@ -58,14 +58,14 @@
         let shared = Rc::new(CallerShared {
             ledger: Rc::new(RunLedger::new(1)),
             keys: RefCell::new(vec!["k".to_string()]),
-            asking: Cell::new(true),
+            active: Cell::new(true),
         });
         let mut told = Vec::new();
         for old in [false, true] {
-            let mut caller = SoakCaller::new(shared.clone(), place.clone(), 1).old(old);
-            told.push(caller.ask_as("00000000000000aa", "once", AskKind::Once, "q").await);
+            let mut caller = SoakCaller::new(shared.clone(), spec.clone(), 1).http10(old);
+            told.push(caller.request_as("00000000000000aa", "once", RequestKind::Once, "q").await);
         }
-        let call = call_once(place.front_link(), "GET", "/x", "", WAIT).await;
+        let call = call_once(spec.front_link(), "GET", "/x", "", WAIT).await;
         let old = told.remove(1);
         (told.remove(0), old, call.is_some())
     }))
@@ -75,8 +75,8 @@
 fn only_what_its_framing_ended_is_complete() {
     let chunked = "transfer-encoding: chunked\r\n";
     let length = "content-length: 4\r\n";
-    let complete = (AskEnd::Whole, AskEnd::Whole, true);
-    let cut = (AskEnd::Cut, AskEnd::Cut, false);
+    let complete = (RequestEnd::Whole, RequestEnd::Whole, true);
+    let cut = (RequestEnd::Cut, RequestEnd::Cut, false);
     for (framing, body, reset, wanted) in [
         (length, "body", false, &complete),
         (chunked, "4\r\nbody\r\n0\r\n\r\n", false, &complete),
--- a/soak/tests/test_soak.rs
+++ b/soak/tests/test_soak.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use wingshed_soak::run::{play_steps, run_network, RunPlan, RunVerdict};
-use wingshed_soak::schedule::{schedule, Disturbance, PlannedStep, SHORT_SIZE, USUAL_SIZE};
+use wingshed_soak::schedule::{schedule, Disturbance, PlannedStep, DEFAULT_SIZE, SHORT_SIZE};
 
 /// `cargo test --workspace` builds it beside the tests, for the tests of its own crate.
 fn program() -> PathBuf {
@@ -42,17 +42,17 @@
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let verdict = runtime.block_on(play_steps(&plan, steps)).unwrap();
-    assert!(!verdict.rows.asks.is_empty(), "nobody asked anything");
+    assert!(!verdict.rows.requests.is_empty(), "nobody asked anything");
     verdict
 }
 
 fn broken_by(verdict: &RunVerdict) -> Vec<String> {
-    verdict.broken.iter().map(|broken| format!("{}: {}", broken.promise, broken.seen)).collect()
+    verdict.broken.iter().map(|broken| format!("{}: {}", broken.promise, broken.details)).collect()
 }
 
 #[test]
 fn the_same_seed_gives_the_same_schedule() {
-    assert_eq!(schedule(11, USUAL_SIZE), schedule(11, USUAL_SIZE));
+    assert_eq!(schedule(11, DEFAULT_SIZE), schedule(11, DEFAULT_SIZE));
 }
 
 #[test]
