--- a/soak/src/answer_make.rs
+++ b/soak/src/answer_make.rs
@@ -1,7 +1,7 @@
-//! What an upstream answers to one request, and where and how it breaks off.
+//! Plans the answer of an upstream to one request: its content, its framing, and where and how it breaks off.
 //!
-//! All of it is drawn from the seed of the run, the request and the upstream, so that it can be made again
-//! when the run is judged.
+//! A plan is drawn from the seed of the run, the attempt, the upstream and the event after which a stream
+//! resumes. The judge rebuilds every byte of an answer from its plan.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -9,33 +9,33 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Events of a stream.
+/// Number of events in a whole stream.
 pub const STREAM_EVENTS: u64 = 24;
 
-/// What delimits a body.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Framing {
-    /// Its length.
+    /// By a `content-length` header.
     Length,
-    /// Its last chunk.
+    /// By the last chunk of the chunked transfer coding.
     Chunked,
-    /// The end of the connection.
+    /// By the end of the connection.
     Connection,
 }
 
-/// How lines of events end.
+/// How the lines of an event stream end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LineEnd {
-    /// By a line feed.
+    /// With a line feed.
     Lf,
-    /// By a carriage return and a line feed.
+    /// With a carriage return and a line feed.
     CrLf,
-    /// By a carriage return.
+    /// With a carriage return.
     Cr,
 }
 
 impl LineEnd {
-    /// Its bytes.
+    /// The bytes of the line end.
     pub fn text(self) -> &'static str {
         match self {
             LineEnd::Lf => "\n",
@@ -45,33 +45,33 @@
     }
 }
 
-/// What is answered.
+/// The content of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AnswerKind {
     /// The plain answer to the request.
     Plain,
-    /// The events after this one.
+    /// The events of a stream that follow the event of this number.
     Stream(u64),
-    /// A failure of the upstream.
+    /// An answer with status 500.
     Failure,
-    /// The answer to another request.
+    /// The answer to another request, which names the attempt [`FOREIGN_ATTEMPT`].
     Foreign,
 }
 
-/// Where a body stops early.
+/// The position at which a body stops early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StopPlace {
     /// Before its first byte.
     Empty,
     /// Inside its first event.
     InsideFirst,
-    /// Anywhere else inside an event, or inside a plain body.
+    /// Inside any event, or inside a plain body.
     Inside,
-    /// After a line of an event, before its blank line.
+    /// After the last line of an event, before the blank line that ends the event.
     AfterLine,
     /// Between two events.
     Boundary,
-    /// After all of it, where only the last chunk lacks.
+    /// After the whole body, with only the last chunk missing.
     LastChunk,
 }
 
@@ -82,49 +82,50 @@
     Close,
     /// The connection is reset.
     Reset,
-    /// The whole length or the last chunk comes, as if that were all.
+    /// The framing ends as if the shortened body were whole: the header states the shorter length, the last
+    /// chunk is sent, or a body without framing is closed cleanly.
     Framed,
 }
 
-/// How an answer breaks off.
+/// The early end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EarlyStop {
-    /// Where.
+    /// Where the body stops.
     pub place: StopPlace,
-    /// How.
+    /// How the transport ends the body.
     pub end: EarlyEnd,
-    /// How many bytes of the body come.
+    /// How many bytes of the body are sent.
     pub sent: usize,
 }
 
-/// One answer.
+/// Everything that determines the bytes of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerPlan {
-    /// The run, whose number each event carries.
+    /// The number of the run at the upstream, which each event carries.
     pub run: u64,
-    /// What is answered.
+    /// The content of the answer.
     pub kind: AnswerKind,
-    /// What delimits it.
+    /// How the end of the body is marked.
     pub framing: Framing,
-    /// How lines of events end.
+    /// How the lines of an event stream end.
     pub line_end: LineEnd,
-    /// How it breaks off, if it does.
+    /// Where and how the answer breaks off; none for a whole answer.
     pub early: Option<EarlyStop>,
-    /// The draw of where its bytes are split.
+    /// The seed from which the positions are drawn at which writes are split.
     pub splits: u64,
 }
 
-/// The body of a plain answer.
+/// The body of a plain answer to this attempt.
 pub fn plain_body(attempt: &str) -> String {
     format!("{attempt};").repeat(48)
 }
 
-/// The body of a failure.
+/// The body of an answer with status 500.
 pub const FAILURE_BODY: &str = "failed";
-/// The attempt that an answer to another request names.
+/// The attempt id in an answer to another request.
 pub const FOREIGN_ATTEMPT: &str = "00000000000000ff";
 
-/// A draw that is the same whenever these are.
+/// Returns a random generator that is seeded by the hash of `parts`.
 pub fn draw_of(parts: impl Hash) -> StdRng {
     let mut hasher = DefaultHasher::new();
     parts.hash(&mut hasher);
@@ -136,7 +137,7 @@
 }
 
 impl AnswerPlan {
-    /// An answer that is whole.
+    /// Draws the plan of a whole answer.
     pub fn draw(random: &mut StdRng, run: u64, kind: AnswerKind) -> AnswerPlan {
         AnswerPlan {
             run,
@@ -148,8 +149,8 @@
         }
     }
 
-    /// The same, broken off. Ends that plan a whole answer of a shorter one aren't drawn: a plain body without
-    /// framing that is closed cleanly, and a stream whose framing ends it between events.
+    /// Draws where and how this answer breaks off. Two early ends that look like a whole answer aren't drawn:
+    /// the clean close of a plain body without framing, and a stream that its framing ends between two events.
     pub fn broken_off(mut self, random: &mut StdRng, attempt: &str) -> AnswerPlan {
         let pieces = self.pieces(attempt);
         let lengths: Vec<usize> = pieces.iter().map(Vec::len).collect();
@@ -186,7 +187,7 @@
                 before + random.gen_range(1..lengths[event])
             }
             StopPlace::AfterLine => before + lengths[event] - self.line_end.text().len(),
-            // At most one event less than all.
+            // `event` is the last event at most, so at least one event is missing.
             StopPlace::Boundary if event > 0 => before,
             StopPlace::Boundary if lengths.len() > 1 => lengths[0],
             StopPlace::Boundary => 0,
@@ -196,7 +197,7 @@
         self
     }
 
-    /// The whole body: its events one by one, or all of it at once.
+    /// The whole body, regardless of an early end: one piece for each event, or a plain body as a single piece.
     pub fn pieces(&self, attempt: &str) -> Vec<Vec<u8>> {
         match self.kind {
             AnswerKind::Plain => vec![plain_body(attempt).into_bytes()],
@@ -210,7 +211,7 @@
         }
     }
 
-    /// The status of its head.
+    /// The status code of the answer.
     pub fn status(&self) -> u16 {
         match self.kind {
             AnswerKind::Failure => 500,
@@ -219,6 +220,7 @@
     }
 }
 
+/// Positions at which a chunked stream can stop. The last one needs chunks, so other framings leave it out.
 const STREAM_STOPS: [StopPlace; 6] = [
     StopPlace::Empty,
     StopPlace::InsideFirst,
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: each keeps a connection to its VM until the VM or the network ends it.
+//! Callers that send requests to one VM each, and record how every request ended. A caller by HTTP/1.1
+//! reuses its connection until the connection ends or a request on it gets no complete answer.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,17 +19,18 @@
 
 /// How long a caller waits for a connection.
 const CONNECT_WAIT: Duration = Duration::from_secs(1);
-/// How long a caller waits for a whole answer.
+/// How long a caller waits for a whole answer, connecting included. It is longer than the deadline that
+/// the VM gets.
 const ANSWER_WAIT: Duration = Duration::from_millis(4_500);
-/// The deadline that a caller sends, in milliseconds.
+/// The deadline that a caller sends with each request, in milliseconds.
 const DEADLINE_MS: &str = "4000";
-/// The pause of a caller between two requests.
+/// Range of the pause between two requests of a caller, in milliseconds.
 const REQUEST_PAUSE: std::ops::Range<u64> = 20..120;
 
-/// What callers request, all the same.
+/// The body of all requests but those that end upstreams.
 const DEFAULT_BODY: &str = "question";
 
-/// The routes that callers use.
+/// The routes that callers use, with the repetition that each one permits.
 const ROUTES: [(&str, RequestKind); 6] = [
     ("once", RequestKind::Once),
     ("safe", RequestKind::Safe),
@@ -38,17 +40,17 @@
     ("twice", RequestKind::Once),
 ];
 
-/// What all callers share.
+/// State that all callers of a run share.
 pub struct CallerShared {
-    /// Where they write.
+    /// The ledger in which callers record their requests.
     pub ledger: Rc<RunLedger>,
-    /// Keys, the newest last.
+    /// API keys, the newest last. The first one is never revoked.
     pub keys: RefCell<Vec<String>>,
-    /// Whether callers go on.
+    /// Whether callers continue to send requests.
     pub active: Cell<bool>,
 }
 
-/// One caller.
+/// A client of one VM.
 pub struct SoakCaller {
     shared: Rc<CallerShared>,
     spec: VmSpec,
@@ -59,7 +61,7 @@
 }
 
 impl SoakCaller {
-    /// A caller of the VM at `spec`.
+    /// Creates a caller of the VM `spec`, whose draws are seeded by `seed`.
     pub fn new(shared: Rc<CallerShared>, spec: VmSpec, seed: u64) -> SoakCaller {
         SoakCaller {
             shared,
@@ -71,17 +73,17 @@
         }
     }
 
-    /// The same with the key that is never taken away.
+    /// Makes the caller use the key that is never revoked.
     pub fn with_steady_key(self) -> SoakCaller {
         SoakCaller { steady_key: true, ..self }
     }
 
-    /// The same, by HTTP/1.0 if `old`.
+    /// Sets whether the caller uses HTTP/1.0.
     pub fn http10(self, http10: bool) -> SoakCaller {
         SoakCaller { http10, ..self }
     }
 
-    /// Asks until callers shall stop.
+    /// Sends requests to random routes until callers are stopped.
     pub async fn run(mut self) {
         while self.shared.active.get() {
             let (route, kind) = ROUTES[self.random.gen_range(0..ROUTES.len())];
@@ -91,13 +93,13 @@
         }
     }
 
-    /// One attempt, noted.
+    /// Sends one request under a random attempt id, and records how it ended.
     pub async fn request(&mut self, route: &str, kind: RequestKind) -> RequestEnd {
         let attempt = format!("{:016x}", self.random.gen::<u64>());
         self.request_as(&attempt, route, kind, DEFAULT_BODY).await
     }
 
-    /// One attempt of this name and with this body, noted.
+    /// Sends one request with this attempt id and body, and records how it ended.
     pub async fn request_as(
         &mut self,
         attempt: &str,
@@ -135,7 +137,7 @@
         if self.steady_key {
             return keys.first().cloned().unwrap_or_default();
         }
-        // Now and then the key before the newest, which may be taken away by now.
+        // Sometimes use the key before the newest, which may have been revoked by now.
         let back = if self.random.gen_bool(0.15) { 2 } else { 1 };
         keys.get(keys.len().saturating_sub(back)).cloned().unwrap_or_default()
     }
@@ -166,7 +168,7 @@
             .header("x-key", key)
             .header("x-deadline-ms", DEADLINE_MS)
             .body(Full::new(Bytes::from(body.to_string())))
-            .expect("a plain head");
+            .expect("the request head is valid");
         let Ok(answer) = sender.send_request(request).await else { return (RequestEnd::Cut, None) };
         let read = read_answer(answer, attempt).await;
         if !self.http10 {
@@ -176,6 +178,7 @@
     }
 }
 
+/// Reads the body of an answer. The second value is none if the body ended before it was complete.
 async fn read_answer(
     answer: Response<Incoming>,
     attempt: &str,
--- a/soak/src/cases.rs
+++ b/soak/src/cases.rs
@@ -1,16 +1,17 @@
-//! Schedules that broke a promise once, or that a seed draws too seldom.
+//! Fixed schedules that guard against known failures, or that cover a combination which seeds rarely draw.
 //!
-//! They are kept as steps, since another draw of the schedule would change what a seed means.
+//! They are stored as steps and not as seeds, since any change to the drawing of schedules changes what a seed
+//! plays.
 
 use crate::schedule::{Disturbance, PlannedStep, VersionFault};
 
-/// A schedule with a name.
+/// A named schedule.
 pub struct SoakCase {
-    /// Its name.
+    /// The name that selects the case on the command line.
     pub name: &'static str,
-    /// What was, or would be, at fault.
+    /// The failure that the case guards against.
     pub cause: &'static str,
-    /// Its steps.
+    /// The steps, in order of time.
     pub steps: Vec<PlannedStep>,
 }
 
@@ -18,26 +19,26 @@
     PlannedStep { at_ms, disturbance }
 }
 
-/// Steps in order of time, as they are played.
+/// Sorts steps by time, the order in which they are played.
 fn in_time(steps: impl Iterator<Item = PlannedStep>) -> Vec<PlannedStep> {
     let mut steps: Vec<PlannedStep> = steps.collect();
     steps.sort_by_key(|step| step.at_ms);
     steps
 }
 
-/// All cases.
+/// Returns all cases.
 pub fn cases() -> Vec<SoakCase> {
     let mut cases = order_cases();
     cases.extend(process_cases());
     cases
 }
 
-/// Cases of orders, and of what is to be in force.
+/// Cases of the list of upstreams, of configurations and of zone evacuations.
 fn order_cases() -> Vec<SoakCase> {
     vec![
         SoakCase {
             name: "leaving-beside-unreadable-entries",
-            cause: "a list with one entry that can't be read was not read at all",
+            cause: "a list with one unreadable entry is discarded as a whole",
             steps: vec![
                 step(500, Disturbance::ListEntries(14_000)),
                 step(2_000, Disturbance::LeaveUpstream(0, 12_000)),
@@ -45,7 +46,7 @@
         },
         SoakCase {
             name: "started-beside-unreadable-entries",
-            cause: "a VM that starts beside entries that can't be read has no list",
+            cause: "a VM that starts while the list has unreadable entries gets no list",
             steps: vec![
                 step(500, Disturbance::ListEntries(60_000)),
                 step(1_000, Disturbance::KillAll),
@@ -53,7 +54,7 @@
         },
         SoakCase {
             name: "key-taken-away-from-a-cut-leader",
-            cause: "a VM that is cut off serves a key that was taken away meanwhile",
+            cause: "a VM that is cut off from the others accepts a key that was revoked meanwhile",
             steps: (0..3)
                 .flat_map(|vm| {
                     let at_ms = 1_000 + vm as u64 * 9_000;
@@ -67,18 +68,18 @@
         },
         SoakCase {
             name: "emptied-zone-in-calm",
-            cause: "a VM goes on sending to a zone that was emptied",
+            cause: "a VM keeps sending requests to an evacuated zone",
             steps: vec![step(1_000, Disturbance::EmptyZone(1, 9_000))],
         },
     ]
 }
 
-/// Cases of processes that end.
+/// Cases of VMs and upstreams that end, and of roll-outs.
 fn process_cases() -> Vec<SoakCase> {
     vec![
         SoakCase {
             name: "streams-cut-partway",
-            cause: "what was left of a cut event is joined to the next run's first",
+            cause: "the rest of a truncated event is joined to the first event of the next run",
             steps: (0..24)
                 .map(|at| {
                     step(
@@ -90,12 +91,12 @@
         },
         SoakCase {
             name: "answers-that-break-off",
-            cause: "the end of the transport is taken for the end of the message",
+            cause: "the end of the connection is taken for the end of the message",
             steps: vec![step(500, Disturbance::EndEarly(0, 6, 15_000))],
         },
         SoakCase {
             name: "roll-outs-in-calm",
-            cause: "an unsound version gets too much, or a sound one is rolled back",
+            cause: "an unsound version gets too many requests, or a sound one is rolled back",
             steps: vec![
                 step(500, Disturbance::RollOut(0, 10, VersionFault::Fails)),
                 step(22_000, Disturbance::RollOut(0, 10, VersionFault::None)),
@@ -104,7 +105,7 @@
         },
         SoakCase {
             name: "roll-outs-unsound-later",
-            cause: "a version that turns unsound during the trial, or after it, gets too much",
+            cause: "a version that turns unsound during the trial, or after it, gets too many requests",
             steps: vec![
                 step(500, Disturbance::RollOut(0, 14, VersionFault::FailsLater)),
                 step(27_000, Disturbance::RollOut(0, 8, VersionFault::FailsLater)),
@@ -112,7 +113,7 @@
         },
         SoakCase {
             name: "roll-out-over-kills-of-all",
-            cause: "an order, or its end, is lost with the VMs that know it",
+            cause: "the order of a roll-out, or its end, is lost when all VMs that hold it are killed",
             steps: vec![
                 step(500, Disturbance::RollOut(0, 12, VersionFault::None)),
                 step(2_800, Disturbance::KillAll),
@@ -122,12 +123,12 @@
         },
         SoakCase {
             name: "request-that-ends-upstreams",
-            cause: "nothing knows a request again that ended upstreams, and it is sent on",
+            cause: "a request that crashed upstreams is not recognized when it is repeated, and is sent on",
             steps: vec![step(500, Disturbance::FatalRequest(1, 16_000))],
         },
         SoakCase {
             name: "request-that-ends-upstreams-over-kills-of-all",
-            cause: "what is known against a request is lost with the VMs that know it",
+            cause: "the crashes recorded for a request are lost when all VMs that hold them are killed",
             steps: vec![
                 step(500, Disturbance::FatalRequest(1, 6_000)),
                 step(9_000, Disturbance::KillAll),
@@ -136,7 +137,7 @@
         },
         SoakCase {
             name: "rest-over-stops-and-stand-stills",
-            cause: "an upstream that asks for rest is sent requests on",
+            cause: "an upstream that requested back-off keeps receiving requests",
             steps: in_time(
                 (0..6)
                     .map(|at| {
@@ -155,14 +156,14 @@
         },
         SoakCase {
             name: "leaving-that-no-list-shows",
-            cause: "an upstream that says in answers that it leaves is sent requests on",
+            cause: "an upstream that announces in its answers that it leaves keeps receiving requests",
             steps: (0..4)
                 .map(|at| step(500 + 1_500 * at, Disturbance::LeaveUnlisted(at as usize, 9_000)))
                 .collect(),
         },
         SoakCase {
             name: "started-again-while-leaving",
-            cause: "requests to the next life of an upstream that left were held against the VMs",
+            cause: "requests to the next incarnation of an upstream that left are counted as faults of the VMs",
             steps: vec![
                 step(500, Disturbance::LeaveUpstream(2, 5_192)),
                 step(2_825, Disturbance::RestartUpstream(2, true, 3_525)),
@@ -170,14 +171,14 @@
         },
         SoakCase {
             name: "all-stopped-at-once",
-            cause: "planned stops of all VMs within a second cut requests",
+            cause: "planned stops of all VMs within a second cut requests off",
             steps: (0..3)
                 .map(|vm| step(2_000 + 300 * vm, Disturbance::StopVm(vm as usize)))
                 .collect(),
         },
         SoakCase {
             name: "frozen-and-told-to-stop",
-            cause: "SIGTERM that comes while a VM stands still is acted on late",
+            cause: "a VM acts late on a SIGTERM that arrives while it is suspended",
             steps: vec![
                 step(1_000, Disturbance::FreezeVm(0, 6_000)),
                 step(1_500, Disturbance::StopVm(0)),
--- a/soak/src/fatal_request.rs
+++ b/soak/src/fatal_request.rs
@@ -1,4 +1,4 @@
-//! A request that ends each upstream that runs it, and comes again at all VMs in turn.
+//! Sends a request that crashes every upstream that runs it, repeatedly and to all VMs in turn.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,14 +11,15 @@
 use crate::site::SoakSite;
 use crate::upstream::FATAL_BODY;
 
-/// It comes again so often.
+/// Interval between two sends of the request.
 const SEND_INTERVAL: Duration = Duration::from_millis(350);
-/// An upstream that ended is back after this.
+/// Delay after which a crashed upstream is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(1_500);
-/// How often upstreams are looked at.
+/// Interval at which upstreams are checked for a run of the request.
 const WATCH_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Sends the request of this number for so many milliseconds, and waits for the end of all that.
+/// Repeats the request of this number for `ms` milliseconds, and waits until all its attempts have ended and all
+/// crashed upstreams are started again.
 pub async fn send_fatal(site: Rc<SoakSite>, callers: Rc<CallerShared>, number: u64, ms: u64) {
     let row = row_index(&site, number);
     let spans: Vec<usize> =
@@ -40,7 +41,8 @@
     spans.into_iter().for_each(|span| site.ledger.end_span(span));
 }
 
-/// The row of a request; one that comes a second time has the same.
+/// Returns the index of the ledger row of the request of this number, and adds the row if there is none. A request
+/// that is sent again later in the run shares the row of its number.
 fn row_index(site: &SoakSite, number: u64) -> usize {
     let rows = &mut site.ledger.rows.borrow_mut().fatal;
     let known = rows.iter().position(|row| row.number == number);
@@ -50,6 +52,7 @@
     })
 }
 
+/// Sends one attempt, number `at` of this call, to the VM whose turn it is.
 async fn send_once(site: Rc<SoakSite>, callers: Rc<CallerShared>, row: usize, at: u64) {
     let spec = site.vms[at as usize % site.vms.len()].spec.clone();
     let (attempt, body) = {
@@ -62,7 +65,7 @@
     caller.request_as(&attempt, "once", RequestKind::Once, &body).await;
 }
 
-/// Ends upstreams that began to run it, and starts each again.
+/// Crashes each upstream that began to run the request and starts it again, until `active` is false.
 async fn crash_upstreams(site: Rc<SoakSite>, row: usize, active: Rc<Cell<bool>>) {
     let mut restarts = Vec::new();
     while active.get() {
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls over connections of one's own.
+//! HTTP/1 client connections for callers and operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// A connection on which requests can be sent one after the other.
+/// The sending side of a connection that carries one request at a time.
 pub type CallSender = SendRequest<Full<Bytes>>;
 
-/// Opens a connection.
+/// Opens a connection; none if connecting takes longer than `timeout` or fails.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Option<CallSender> {
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
@@ -24,7 +24,8 @@
     Some(sender)
 }
 
-/// Sends one request on a connection of its own; the status and the body of its answer.
+/// Sends one request on a new connection. Returns the status and the body of its answer; none if the whole
+/// exchange takes longer than `timeout` or fails.
 pub async fn call_once(
     address: SocketAddr,
     method: &str,
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -1,7 +1,7 @@
-//! What was promised and did not hold, by the rows of a run.
+//! Finds the promises that a run broke, from the rows of its ledger.
 //!
-//! Bounds are those of the settings that the soak writes. A VM is bound from the moment at which it
-//! is in touch: [`CONTACT_MS`] after the last disturbance of itself.
+//! The bounds are those of the settings that the soak writes. Most of them apply to a VM only while it is in
+//! contact: from [`CONTACT_MS`] after the end of the last disturbance of that VM on.
 
 use std::collections::HashMap;
 
@@ -13,50 +13,56 @@
 use crate::operator::version_of;
 use crate::rollouts::UNKNOWN;
 
-/// A disturbed VM is in touch this long after (`contactMs`).
+/// Milliseconds after the end of its last disturbance until a VM counts as in contact (`contactMs`).
 const CONTACT_MS: u64 = 4_000;
-/// An acknowledged configuration is in force after this (`configApplyMs`).
+/// Milliseconds from the acknowledgement of a configuration until it is in force (`configApplyMs`).
 const APPLY_MS: u64 = 2_500;
-/// A key that was taken away opens nothing after this (`revokeMs`).
+/// Milliseconds from the acknowledgement of a revocation until the key is refused (`revokeMs`).
 const REVOKE_MS: u64 = 5_000;
-/// A leaving upstream gets nothing after this (`drainMs`).
+/// Milliseconds after which a leaving upstream gets no new requests (`drainMs`).
 const DRAIN_MS: u64 = 4_000;
-/// An emptied zone gets nothing after this (`evacMs`).
+/// Milliseconds after which an evacuated zone gets no new requests (`evacMs`).
 const EVACUATION_MS: u64 = 5_000;
-/// What a disturbed core adds (`outerMs`).
+/// Milliseconds that are added to a bound while one of the [`CORE_VMS`] is disturbed (`outerMs`).
 const CORE_ALLOWANCE_MS: u64 = 6_000;
-/// A planned stop lasts at most this (`graceS`), and a second more is counted.
+/// Milliseconds from the start of a planned stop in which a request that ends counts as ended during the stop: the
+/// 8 s of `graceS`, and one second more.
 const PLANNED_STOP_MS: u64 = 9_000;
-/// What an unsound version may get of the requests of its service (`exposeShare`).
+/// Share of the requests of its service that an unsound version may get (`exposeShare`).
 const EXPOSURE_SHARE: f64 = 0.1;
-/// And this many more (`exposeSlack`).
+/// Requests that an unsound version may get beyond [`EXPOSURE_SHARE`] (`exposeSlack`).
 const EXPOSURE_SLACK: f64 = 50.0;
-/// An unsound version gets nothing so long after its 50th bad answer (`rollbackMs`).
+/// Milliseconds after bad answer number [`BAD_ANSWERS`] of an unsound version until it gets no new requests
+/// (`rollbackMs`).
 const ROLL_BACK_MS: u64 = 5_000;
-/// Bad answers from which that counts.
+/// Bad answers of an unsound version after which [`ROLL_BACK_MS`] starts.
 const BAD_ANSWERS: usize = 50;
-/// An order may be taken until it is no longer sent (`ackMs`).
+/// Milliseconds for which an order is sent again (`ackMs`). An order without an acknowledgement may have been
+/// accepted at any time until then.
 const REPEAT_MS: u64 = 5_000;
-/// Observers of one clock may note one moment this far apart on a loaded machine.
+/// Milliseconds by which two observers may differ in the time that they record for one event. They share a clock,
+/// but a loaded machine delays them.
 const CLOCK_SLACK_MS: u64 = 250;
-/// Upstreams that may end under one request before it is known for it, and sends beyond that.
+/// Upstreams that one request may crash before VMs must refuse it, and sends of it that are tolerated after that.
 const FATAL_TOLERANCE: usize = 3;
-/// Requests that one VM may send to an upstream within a rest that it asked that VM for, from
-/// [`BACKOFF_GRACE_MS`] after it did.
+/// Requests that one VM may send to an upstream during a back-off which that upstream requested from it, counted
+/// from [`BACKOFF_GRACE_MS`] after the upstream did so.
 const BACKOFF_TOLERANCE: usize = 2;
+/// Milliseconds after the request for back-off in which sends are not counted.
 const BACKOFF_GRACE_MS: u64 = 500;
-/// VMs that keep what is agreed on.
+/// The number of VMs with a disk, the first ones by index, that store the agreed state.
 const CORE_VMS: usize = 3;
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenPromise {
-    /// Its name.
+    /// The name of the promise.
     pub promise: &'static str,
-    /// What was seen.
+    /// The observation that breaks the promise.
     pub details: String,
 }
 
+/// The rows of a run, indexed by attempt, and the broken promises found so far.
 struct RunJudge<'a> {
     rows: &'a LedgerRows,
     requests: HashMap<&'a str, &'a RequestRow>,
@@ -64,7 +70,7 @@
     broken: Vec<BrokenPromise>,
 }
 
-/// All promises that were broken.
+/// Returns all broken promises.
 pub fn judge(rows: &LedgerRows) -> Vec<BrokenPromise> {
     let mut runs: HashMap<&str, Vec<&RunRow>> = HashMap::new();
     for run in &rows.runs {
@@ -99,6 +105,8 @@
         self.runs.get(request.attempt.as_str()).map_or(&[], Vec::as_slice)
     }
 
+    /// Checks that complete answers are whole, that requests run at most as often as their route permits, and that
+    /// refused requests did not run.
     fn check_answers(&mut self) {
         for request in &self.rows.requests {
             let runs = self.runs_of(request).len();
@@ -121,12 +129,14 @@
         }
     }
 
-    /// Whether anything but a planned stop was disturbed in this time.
+    /// Whether a disturbance other than a planned stop overlaps this time.
     fn was_disturbed_unplanned(&self, from_ms: u64, until_ms: u64) -> bool {
         let unplanned = |span: &&SpanRow| !matches!(span.touched, Touched::PlannedVm(_));
         self.rows.spans.iter().filter(unplanned).any(|span| overlaps(span, from_ms, until_ms))
     }
 
+    /// Checks that no request which had reached an upstream is cut off by a planned stop. A stop that coincides with
+    /// another kind of disturbance is not judged.
     fn check_planned_stops(&mut self) {
         for request in &self.rows.requests {
             let stop = self.rows.spans.iter().find(|span| {
@@ -144,7 +154,7 @@
         }
     }
 
-    /// Since when the VM has been in touch at `at_ms`; none when it isn't.
+    /// Since when the VM has been in contact at `at_ms`; none if it is not in contact then.
     fn in_contact_since(&self, vm: usize, at_ms: u64) -> Option<u64> {
         let mut since = 0;
         for span in &self.rows.spans {
@@ -156,7 +166,8 @@
         (since <= at_ms).then_some(since)
     }
 
-    /// What a core that was disturbed between these moments adds.
+    /// Milliseconds to add to a bound because one of the [`CORE_VMS`] was disturbed, or not yet back in contact,
+    /// between these times; 0 if none was.
     fn core_allowance_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
         let core = self.rows.spans.iter().any(|span| {
             let vm = match span.touched {
@@ -172,6 +183,7 @@
         }
     }
 
+    /// Checks that upstreams that the list shows as leaving get no requests after the bound.
     fn check_leaving(&mut self) {
         for run in &self.rows.runs {
             let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
@@ -198,8 +210,8 @@
         }
     }
 
-    /// Whether a VM started anew, stood still or was cut off in this time, or the link to an upstream was
-    /// harmed, on which either may be late.
+    /// Whether a disturbance of this VM or of this upstream overlaps this time. Either may then be late: the VM may
+    /// have been started again, suspended or cut off, and the upstream or the link to it may have failed.
     fn is_excused(&self, vm: usize, upstream: usize, from_ms: u64, until_ms: u64) -> bool {
         let touched = |span: &&SpanRow| match span.touched {
             Touched::Vm(other) | Touched::PlannedVm(other) => other == vm,
@@ -209,12 +221,13 @@
         self.rows.spans.iter().filter(touched).any(|span| overlaps(span, from_ms, until_ms))
     }
 
-    /// What a VM sent to an upstream whose answer, passed on before, said that it leaves.
+    /// Finds requests that a VM sent to an upstream after it had forwarded an answer in which that upstream
+    /// announced that it leaves.
     fn check_notices(&mut self) {
         let mut first_notice: HashMap<(usize, u64), u64> = HashMap::new();
         for run in self.rows.runs.iter().filter(|run| run.leaving) {
             let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
-            // Of several answers one may not have been passed on.
+            // Of several answers to one request the VM may have received this one and forwarded another.
             if request.end == RequestEnd::Whole && self.runs_of(request).len() == 1 {
                 let notice_ms =
                     first_notice.entry((request.vm, run.life)).or_insert(request.ended_ms);
@@ -234,7 +247,7 @@
         }
     }
 
-    /// What a VM sent to an upstream within a rest that this had asked it for.
+    /// Finds requests that a VM sent to an upstream during a back-off which that upstream had requested from it.
     fn check_backoffs(&mut self) {
         let mut sent: HashMap<(usize, u64), Vec<&ArrivalRow>> = HashMap::new();
         for row in &self.rows.arrivals {
@@ -258,6 +271,7 @@
         }
     }
 
+    /// Checks that evacuated zones get no requests after the bound.
     fn check_zones(&mut self) {
         for order in &self.rows.orders {
             let (OrderContent::EmptyZone(zone), Some(acked_ms)) = (&order.content, order.acked_ms)
@@ -282,6 +296,7 @@
         }
     }
 
+    /// When the first order after `after_ms` to take the zone back was sent; the largest time if none was.
     fn return_sent_ms(&self, zone: &str, after_ms: u64) -> u64 {
         let returns = self.rows.orders.iter().filter(
             |order| matches!(&order.content, OrderContent::ReturnZone(other) if other == zone),
@@ -290,6 +305,7 @@
         sent.min().unwrap_or(u64::MAX)
     }
 
+    /// The configurations that were sent and not refused.
     fn documents(&self) -> impl Iterator<Item = (&'a DocumentRow, &'a OrderRow)> + use<'a> {
         self.rows.orders.iter().filter_map(|order| match &order.content {
             OrderContent::Document(row) if order.refused.is_none() => Some((row, order)),
@@ -297,7 +313,8 @@
         })
     }
 
-    /// The oldest version that may still be gone by for what is sent at `sent_ms`.
+    /// The oldest configuration that a VM may still apply to a request sent at `sent_ms`, if configurations are in
+    /// force `bound` milliseconds after their acknowledgement; 0 if none must be in force yet.
     fn oldest_allowed(&self, sent_ms: u64, bound: u64) -> u64 {
         let held = self.documents().filter(|(_, order)| {
             order.acked_ms.is_some_and(|acked_ms| acked_ms + bound + CLOCK_SLACK_MS < sent_ms)
@@ -305,6 +322,7 @@
         held.map(|(row, _)| row.version).max().unwrap_or(0)
     }
 
+    /// Checks that requests on the moved route run at a service of a configuration that may still be in force.
     fn check_documents(&mut self) {
         for request in self.rows.requests.iter().filter(|request| request.route == "moved") {
             let Some(since) = self.in_contact_since(request.vm, request.sent_ms) else { continue };
@@ -323,6 +341,7 @@
         }
     }
 
+    /// Checks that no request runs whose key every configuration that may be in force lacks.
     fn check_keys(&mut self) {
         for request in &self.rows.requests {
             let oldest = self.oldest_allowed(request.sent_ms, REVOKE_MS);
@@ -334,10 +353,11 @@
         }
     }
 
+    /// Checks that configurations are read back as they were sent, and none that is older than the bound permits.
     fn check_reads(&mut self) {
         for read in &self.rows.reads {
             let Some(version) = version_of(&read.text) else {
-                self.add("orders kept", format!("can't be read: {}", read.text));
+                self.add("orders kept", format!("cannot be read: {}", read.text));
                 continue;
             };
             let oldest = self.oldest_allowed(read.sent_ms, APPLY_MS);
@@ -362,6 +382,7 @@
         }
     }
 
+    /// Checks that a request that crashed upstreams is refused after the bound, but for [`FATAL_TOLERANCE`] sends.
     fn check_fatal_requests(&mut self) {
         for row in &self.rows.fatal {
             let Some(third_ms) = row.ended_ms.get(FATAL_TOLERANCE - 1).copied() else { continue };
@@ -383,6 +404,7 @@
         }
     }
 
+    /// Checks that an acknowledged roll-out is not lost, that it ends, and that its end does not change.
     fn check_rollout_end(&mut self, row: &RollOutRow) {
         if let Some(lost) = row.reports.iter().find(|report| report.state == UNKNOWN) {
             self.add("orders kept", format!("a roll-out is lost: {lost:?} of {row:?}"));
@@ -390,7 +412,7 @@
         let reports = || row.reports.iter().filter(|report| report.target == row.target);
         let Some(end) = reports().find(|report| report.state != "running") else {
             if row.acked_ms.is_some() {
-                self.add("roll-outs end", format!("no end was told: {row:?}"));
+                self.add("roll-outs end", format!("no end was reported: {row:?}"));
             }
             return;
         };
@@ -399,7 +421,7 @@
         }
     }
 
-    /// Runs of a version by VMs in touch, with the moment at which each was sent.
+    /// Runs at the target version of requests by VMs in contact, each with the time at which the caller sent it.
     fn exposed(&self, row: &RollOutRow) -> Vec<(&'a RunRow, u64)> {
         let of = self.rows.runs.iter().filter(|run| run.version == row.target);
         let asked = of.filter_map(|run| {
@@ -410,6 +432,7 @@
         asked.collect()
     }
 
+    /// Checks how many requests an unsound version got during its roll-out.
     fn check_exposure(&mut self, row: &RollOutRow) {
         let until_ms = row.acked_ms.unwrap_or(row.sent_ms + REPEAT_MS) + row.duration_ms;
         let within = |run: &RunRow| (row.sent_ms..until_ms).contains(&run.at_ms);
@@ -421,6 +444,7 @@
         }
     }
 
+    /// Checks that an unsound version gets no requests after the bound.
     fn check_roll_back(&mut self, row: &RollOutRow) {
         let bad = self.rows.runs.iter().filter(|run| run.version == row.target && run.bad);
         let Some(from) = bad.map(|run| run.at_ms).nth(BAD_ANSWERS - 1) else { return };
@@ -435,10 +459,12 @@
     }
 }
 
+/// Whether a disturbance overlaps the time from `from_ms` to `until_ms`.
 fn overlaps(span: &SpanRow, from_ms: u64, until_ms: u64) -> bool {
     span.from_ms <= until_ms && span.until_ms.is_none_or(|until| until >= from_ms)
 }
 
+/// Whether both texts are the same JSON value; two texts that are not JSON count as equal.
 fn same_json(one: &str, other: &str) -> bool {
     let read = |text| serde_json::from_str::<serde_json::Value>(text).ok();
     read(one) == read(other)
--- a/soak/src/judge_answers.rs
+++ b/soak/src/judge_answers.rs
@@ -1,20 +1,21 @@
-//! Whether what a caller can take as complete is what upstreams sent as whole, byte for byte.
+//! Checks, byte for byte, that an answer which its caller can take as complete is one that upstreams sent as whole.
 
 use crate::answer_make::{AnswerKind, AnswerPlan, EarlyEnd, Framing, STREAM_EVENTS};
 use crate::ledger::{LedgerRows, RequestKind, RequestRow, RunRow, SentEnd, Touched};
 
-/// What is wrong with an answer that ended as complete.
+/// Describes what is wrong with the answer to a request that had these runs; none if nothing is wrong, or if no
+/// answer ended as complete.
 pub fn answer_fault(rows: &LedgerRows, request: &RequestRow, runs: &[&RunRow]) -> Option<String> {
     let seen = request.answer.as_ref()?;
     if (200..300).contains(&seen.status) && !seen.stamped {
         return Some("a success without a stamp".to_string());
     }
-    // A VM's own refusals carry none.
+    // Only answers of upstreams carry a stamp; refusals by a VM have none.
     if !seen.stamped || (request.old && overlaps_vm_disturbance(rows, request)) {
         return None;
     }
     if runs.is_empty() {
-        return Some("an answer that nobody gave".to_string());
+        return Some("an answer without any run".to_string());
     }
     let ends: Vec<RunEnd> = runs.iter().map(|run| run_end(rows, run)).collect();
     let of = runs.iter().zip(&ends);
@@ -42,7 +43,7 @@
             Some(format!("complete after {} events, of {:?}", joined.next - 1, plans(runs, &ends)))
         }
         (false, _) => Some(format!(
-            "{} bytes after event {} are none of its runs', of {:?}",
+            "{} bytes after event {} are of none of its runs: {:?}",
             joined.rest.len(),
             joined.next - 1,
             plans(runs, &ends)
@@ -50,7 +51,8 @@
     }
 }
 
-/// By HTTP/1.0 an answer ends with its connection, which the end of a VM's process closes too.
+/// Whether a disturbance of the VM that got the request overlaps it. An HTTP/1.0 answer ends with its connection,
+/// which the end of a VM's process closes too, so the caller cannot distinguish the two.
 fn overlaps_vm_disturbance(rows: &LedgerRows, request: &RequestRow) -> bool {
     rows.spans.iter().any(|span| {
         span.touched == Touched::Vm(request.vm)
@@ -63,15 +65,15 @@
     runs.iter().zip(ends).map(|(run, end)| (run.make, *end)).collect()
 }
 
-/// What is to be known of a run's end.
+/// How the answer of a run ended, as far as its receiver can see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunEnd {
-    /// All of it was sent, and its framing ended it.
+    /// The whole body was sent, and ended by its framing.
     Whole,
-    /// It has no framing and was closed cleanly after so many events, between two of them. Nothing tells it
-    /// from a whole one, so a VM that takes it as complete does what it can.
+    /// The stream has no framing and was closed cleanly between two events, after this many. Nothing
+    /// distinguishes it from a whole stream, so a VM may take it as complete.
     LooksWhole(u64),
-    /// It broke off.
+    /// The answer broke off in a way that its receiver can detect, or its end is not recorded.
     Broken,
 }
 
@@ -103,15 +105,18 @@
     }
 }
 
-/// A stream as far as it was found to be made of events of its runs, in their order.
+/// Matches the body of a received stream against the events of its runs, in order.
 struct JoinedRuns<'a> {
+    /// The bytes that are not matched yet.
     rest: &'a [u8],
+    /// The number of the next event.
     next: u64,
-    /// Whether the last of them ended there in a way that can be taken as complete.
+    /// Whether the last matched run ended there in a way that can be taken as complete.
     ended: bool,
 }
 
 impl JoinedRuns<'_> {
+    /// Matches the events of one run from `next` on, as far as the bytes agree.
     fn consume(&mut self, attempt: &str, plan: &AnswerPlan, end: RunEnd) {
         let AnswerKind::Stream(after) = plan.kind else { return };
         if plan.status() != 200 || after >= self.next {
@@ -130,7 +135,7 @@
             RunEnd::LooksWhole(events) => reached == after + events,
             RunEnd::Broken => false,
         };
-        // A later run that brought nothing new may still say that this is the end.
+        // A run that added no events can confirm that this is the end, and does not undo an end reached before.
         self.ended = ended || (self.ended && reached == before);
     }
 }
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,51 +1,51 @@
-//! What happened in a run, as callers, upstreams and operators saw it, on one clock.
+//! The ledger of a run: what callers, upstreams and operators observed, on one clock.
 //!
-//! Rows are only added. The judge reads them when the run is over, so that no check depends on
-//! which of two observers wrote first.
+//! Rows are added and completed, never removed. The judge reads them after the run, so no check depends on which
+//! of two observers wrote first. All times are milliseconds since the start of the run.
 
 use std::cell::RefCell;
 use std::time::Instant;
 
 use crate::answer_make::AnswerPlan;
 
-/// What a route promises about being run more than once.
+/// How often a route permits the upstreams to run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Runs at most once.
+    /// The request runs at most once.
     Once,
-    /// May run again.
+    /// The request may run again.
     Safe,
-    /// A stream that may not be joined from two runs.
+    /// The answer is a stream that must not be joined from two runs.
     Stream,
-    /// A stream that another upstream may go on with.
+    /// The answer is a stream that another upstream may resume.
     Resume,
 }
 
-/// How an attempt ended for its caller.
+/// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// An answer to this request that ended as complete.
+    /// A complete answer with status 200 to this request.
     Whole,
-    /// An answer without success.
+    /// A complete answer with another status.
     Status(u16),
-    /// The connection could not be made.
+    /// No connection could be opened, or it ended before the request was sent.
     Unreached,
     /// The connection ended before the answer did.
     Cut,
-    /// Nothing whole came while the caller waited.
+    /// No complete answer arrived while the caller waited.
     Late,
-    /// An answer that is not the one to this request; says how.
+    /// An answer to something other than this request, with a description.
     Wrong(String),
 }
 
 /// An answer that its caller can take as complete.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ReceivedAnswer {
-    /// Its status.
+    /// The status of the answer.
     pub status: u16,
-    /// Whether it carries an upstream's stamp.
+    /// Whether the answer has the stamp header of an upstream.
     pub stamped: bool,
-    /// Its body.
+    /// The body of the answer.
     pub body: Vec<u8>,
 }
 
@@ -60,133 +60,133 @@
 /// How the upstream ended an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SentEnd {
-    /// As it was made: whole, or broken off by its own draw.
+    /// As planned: whole, or broken off where its plan says so.
     AsMade,
-    /// Its life ended meanwhile, and the connection was closed cleanly after so many bytes behind the head.
+    /// The upstream crashed meanwhile, and the connection was closed cleanly after this many bytes after the head.
     Closed(usize),
 }
 
 /// The end of an answer that an upstream sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentRow {
-    /// The run.
+    /// The number of the run.
     pub run: u64,
-    /// How it ended.
+    /// How the answer ended.
     pub end: SentEnd,
 }
 
-/// One attempt of a caller.
+/// One request of a caller.
 #[derive(Clone, Debug)]
 pub struct RequestRow {
     /// The id of the attempt.
     pub attempt: String,
-    /// The VM that was asked.
+    /// The index of the VM to which it was sent.
     pub vm: usize,
-    /// The kind of its route.
+    /// How often its route permits it to run.
     pub kind: RequestKind,
     /// The first part of its path.
     pub route: String,
-    /// The key it carried.
+    /// The API key that it carried.
     pub key: String,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_ms: u64,
-    /// When it ended.
+    /// When the request ended for its caller.
     pub ended_ms: u64,
-    /// How it ended.
+    /// How the request ended for its caller.
     pub end: RequestEnd,
-    /// What came, if it ended as complete.
+    /// The answer; none unless it ended as complete.
     pub answer: Option<ReceivedAnswer>,
-    /// Whether the caller spoke HTTP/1.0 and read to the end of the connection.
+    /// Whether the caller used HTTP/1.0 and read until the connection ended.
     pub old: bool,
 }
 
-/// One run at an upstream.
+/// One run of a request at an upstream.
 #[derive(Clone, Debug)]
 pub struct RunRow {
     /// The id of the attempt.
     pub attempt: String,
     /// The index of the upstream.
     pub upstream: usize,
-    /// Its service.
+    /// The service of the upstream.
     pub service: String,
-    /// Its zone.
+    /// The zone of the upstream.
     pub zone: String,
     /// When the request had arrived.
     pub at_ms: u64,
     /// The version of the upstream.
     pub version: String,
-    /// Whether that version is unsound and this run ended badly.
+    /// Whether the version is unsound and this run shows it, by a failure or a late answer.
     pub bad: bool,
-    /// The event after which it goes on.
+    /// The event after which a stream resumes; 0 at its start.
     pub after_event: u64,
-    /// The workspace that the system named.
+    /// The workspace that the VM named in the request.
     pub workspace: String,
-    /// The life of the upstream.
+    /// The number of the incarnation of the upstream.
     pub life: u64,
-    /// Whether its answer says that the upstream leaves.
+    /// Whether the answer announces that the upstream leaves.
     pub leaving: bool,
-    /// What it answers.
+    /// The plan of the answer.
     pub make: AnswerPlan,
 }
 
-/// One request that reached an upstream, run or not.
+/// One request that reached an upstream, whether it ran or was refused.
 #[derive(Clone, Debug)]
 pub struct ArrivalRow {
     /// The id of the attempt.
     pub attempt: String,
     /// The index of the upstream.
     pub upstream: usize,
-    /// The life of the upstream.
+    /// The number of the incarnation of the upstream.
     pub life: u64,
-    /// When it had arrived.
+    /// When the request had arrived.
     pub at_ms: u64,
-    /// The rest that the upstream asked for when it turned it away; 0 for none.
+    /// The back-off that the upstream requested when it refused the request, in milliseconds; 0 for none.
     pub rest_ms: u64,
 }
 
-/// What an operator asked for.
+/// The content of an order of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderContent {
-    /// A configuration.
+    /// Puts a configuration.
     Document(DocumentRow),
-    /// A configuration that is not valid.
+    /// Puts a configuration that is not valid.
     Invalid(DocumentRow),
-    /// Nothing more to a zone.
+    /// Evacuates a zone: it gets no further requests.
     EmptyZone(String),
-    /// The zone is taken back.
+    /// Ends the evacuation of a zone.
     ReturnZone(String),
 }
 
-/// What the judge needs to know of a configuration.
+/// The parts of a configuration that the judge checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentRow {
-    /// Its version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The service to which the moved route leads.
+    /// The service of the route `moved`.
     pub moved_to: String,
-    /// All keys it holds.
+    /// All API keys in the configuration.
     pub keys: Vec<String>,
-    /// The whole text.
+    /// The whole configuration, as JSON.
     pub text: String,
 }
 
-/// An order and what became of it.
+/// An order and its outcome.
 #[derive(Clone, Debug)]
 pub struct OrderRow {
-    /// What was asked for.
+    /// The content of the order.
     pub content: OrderContent,
-    /// When it was sent first.
+    /// When the order was sent for the first time.
     pub sent_ms: u64,
-    /// When it was acknowledged.
+    /// When the order was acknowledged, if it was.
     pub acked_ms: Option<u64>,
-    /// The status of a refusal.
+    /// The status of the refusal, if the order was refused.
     pub refused: Option<u16>,
 }
 
-/// A configuration that was read back.
+/// A configuration that was read back from a VM.
 #[derive(Clone, Debug)]
 pub struct ReadRow {
-    /// The VM that answered.
+    /// The index of the VM that answered.
     pub vm: usize,
     /// When the read was sent.
     pub sent_ms: u64,
@@ -194,14 +194,14 @@
     pub text: String,
 }
 
-/// What a disturbance touches.
+/// The part of the site that a disturbance affects, with the index of the VM or upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Touched {
-    /// A VM's process, by a plan: SIGTERM and a new start.
+    /// A VM's process, by a planned stop: SIGTERM and a new start.
     PlannedVm(usize),
-    /// A VM's process.
+    /// A VM's process, its disk or its links to other VMs.
     Vm(usize),
-    /// The links of callers to a VM.
+    /// The link of callers to a VM.
     Front(usize),
     /// An upstream or the link to it.
     Upstream(usize),
@@ -209,97 +209,97 @@
     List,
 }
 
-/// A stretch of time in which something was disturbed.
+/// The time during which a part of the site was disturbed.
 #[derive(Clone, Debug)]
 pub struct SpanRow {
-    /// What it touches.
+    /// The part that is disturbed.
     pub touched: Touched,
-    /// Its start.
+    /// When the disturbance started.
     pub from_ms: u64,
-    /// Its end; none while it lasts.
+    /// When the disturbance ended; none while it lasts.
     pub until_ms: Option<u64>,
 }
 
-/// A row of the list that turned to leaving.
+/// An entry of the list of upstreams that changed to leaving.
 #[derive(Clone, Debug)]
 pub struct LeavingRow {
     /// The index of the upstream.
     pub upstream: usize,
-    /// Its life: one that starts in its place meanwhile is listed as ready.
+    /// The number of the incarnation that leaves. One that starts at the same index meanwhile is listed as ready.
     pub incarnation: u64,
-    /// When the list showed it.
+    /// When the list showed the upstream as leaving.
     pub from_ms: u64,
-    /// When the upstream stood there as ready again.
+    /// When the departure was over: the next incarnation was listed as ready, or the upstream stayed unlisted.
     pub until_ms: Option<u64>,
 }
 
-/// What a VM reported of a roll-out.
+/// The state of a roll-out, as a VM reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RollOutReport {
-    /// The VM.
+    /// The index of the VM.
     pub vm: usize,
-    /// When the report came.
+    /// When the report arrived.
     pub at_ms: u64,
-    /// The state.
+    /// The reported state.
     pub state: String,
-    /// The version that it is about.
+    /// The target version of the reported roll-out.
     pub target: String,
 }
 
-/// A roll-out.
+/// One roll-out that was ordered.
 #[derive(Clone, Debug)]
 pub struct RollOutRow {
-    /// Its service.
+    /// The service whose traffic is moved.
     pub service: String,
-    /// The new version.
+    /// The version to which it is moved.
     pub target: String,
-    /// Whether that version fails part of its requests.
+    /// Whether the target version fails or delays part of its requests.
     pub unsound: bool,
-    /// When it was ordered first.
+    /// When the order was sent for the first time.
     pub sent_ms: u64,
-    /// The time it was given.
+    /// The duration that was ordered.
     pub duration_ms: u64,
-    /// When it was acknowledged.
+    /// When the order was acknowledged, if it was.
     pub acked_ms: Option<u64>,
-    /// What VMs reported of it.
+    /// The states that VMs reported.
     pub reports: Vec<RollOutReport>,
 }
 
-/// A request that ends the upstreams that run it.
+/// A request that crashes the upstreams that run it.
 #[derive(Clone, Debug, Default)]
 pub struct FatalRow {
-    /// Its number; one that comes again later has the same.
+    /// The number of the request, which all its repetitions share.
     pub number: u64,
-    /// The attempts with which it came.
+    /// The ids of the attempts with which it was sent.
     pub attempts: Vec<String>,
-    /// When upstreams ended under it.
+    /// The times at which upstreams crashed while they ran it.
     pub ended_ms: Vec<u64>,
 }
 
-/// All rows.
+/// All rows of a ledger.
 #[derive(Clone, Debug, Default)]
 pub struct LedgerRows {
-    /// Attempts.
+    /// Requests of callers.
     pub requests: Vec<RequestRow>,
-    /// Runs.
+    /// Runs at upstreams.
     pub runs: Vec<RunRow>,
-    /// Ends of answers.
+    /// Ends of answers that upstreams sent.
     pub sent: Vec<SentRow>,
-    /// Requests at upstreams.
+    /// Requests that reached upstreams.
     pub arrivals: Vec<ArrivalRow>,
-    /// Orders.
+    /// Orders of operators, but for those of roll-outs.
     pub orders: Vec<OrderRow>,
     /// Configurations read back.
     pub reads: Vec<ReadRow>,
     /// Disturbances.
     pub spans: Vec<SpanRow>,
-    /// Upstreams that left.
+    /// Upstreams that were listed as leaving.
     pub leaving: Vec<LeavingRow>,
     /// Roll-outs.
     pub rollouts: Vec<RollOutRow>,
-    /// Requests that end upstreams.
+    /// Requests that crash upstreams.
     pub fatal: Vec<FatalRow>,
-    /// Promises that the run itself saw broken while it waited for something.
+    /// Broken promises and faults of the soak that were found during the run, not by the judge.
     pub run_faults: Vec<String>,
 }
 
@@ -308,22 +308,22 @@
     started: Instant,
     /// The seed of the run.
     pub seed: u64,
-    /// All rows.
+    /// The rows recorded so far.
     pub rows: RefCell<LedgerRows>,
 }
 
 impl RunLedger {
-    /// The ledger of a run of this seed.
+    /// Creates the empty ledger of a run of this seed, and starts its clock.
     pub fn new(seed: u64) -> RunLedger {
         RunLedger { started: Instant::now(), seed, rows: RefCell::default() }
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the start of the run.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Notes the start of a disturbance; the number it returns ends it.
+    /// Records the start of a disturbance. The index that it returns is passed to [`RunLedger::end_span`].
     pub fn begin_span(&self, touched: Touched) -> usize {
         let row = SpanRow { touched, from_ms: self.now_ms(), until_ms: None };
         let spans = &mut self.rows.borrow_mut().spans;
@@ -331,7 +331,7 @@
         spans.len() - 1
     }
 
-    /// Notes the end of a disturbance.
+    /// Records the end of a disturbance.
     pub fn end_span(&self, span: usize) {
         self.rows.borrow_mut().spans[span].until_ms = Some(self.now_ms());
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,7 +1,7 @@
-//! A soak of the real programs: processes on loopback, broken from outside by the schedule of a
-//! seed, and checked by what callers, upstreams and operators see. See `docs/soak.md`.
+//! The soak test of the real programs. It runs them as processes on loopback, disturbs them from outside by the
+//! schedule of a seed, and checks what callers, upstreams and operators observe. See `docs/soak.md`.
 //!
-//! The soak knows nothing of the product but its programs and the platform's wire.
+//! The soak depends on no crate of the product, only on its programs and on the wire formats of the platform.
 
 pub mod answer_make;
 pub mod caller;
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,7 +1,7 @@
-//! A link forward loopback that can be delayed, reset, cut one way or silenced.
+//! A TCP proxy on loopback that can delay, reset, or hold connections in one or both directions.
 //!
-//! Bytes are held and never dropped: below a connection that lives, the network sends them again.
-//! One that was held for longer than [`MAX_HELD_MS`] is reset.
+//! The proxy holds bytes and never drops them, as the network retransmits lost packets of a live connection.
+//! A connection whose bytes were held for longer than [`MAX_HELD_MS`] is reset.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -14,41 +14,43 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// How a link stands.
+/// How a link treats what passes through it. Forward is the direction away from the side that connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
-    /// Bytes pass.
+    /// Bytes pass at once.
     Open,
-    /// Bytes pass so many milliseconds later.
+    /// Bytes pass after a delay of this many milliseconds.
     Delay(u64),
-    /// Connections that stand and new ones are reset.
+    /// Open connections are reset, and so are new ones.
     Reset,
-    /// What is sent by whoever connected stays forward its way.
+    /// Bytes from the connecting side are held.
     HoldForward,
-    /// What is sent to whoever connected stays forward its way.
+    /// Bytes to the connecting side are held.
     HoldBack,
-    /// Nothing passes.
+    /// Bytes are held in both directions.
     Silent,
 }
 
-/// A peer that acknowledges nothing for this long is given up by whoever sends to it.
+/// Milliseconds for which bytes may be held. After that time without an acknowledgement a real sender gives up the
+/// connection, so the link resets it.
 const MAX_HELD_MS: u128 = 2_500;
-/// How often a held link looks whether it passes again.
+/// Interval at which a held direction checks whether bytes may pass again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
+/// State that a link shares with its connections.
 struct LinkState {
     mode: Cell<LinkMode>,
     reset: Notify,
 }
 
-/// A link from an address to another.
+/// A link from one address to another.
 pub struct LinkProxy {
     state: Rc<LinkState>,
     accepting: JoinHandle<()>,
 }
 
 impl LinkProxy {
-    /// Listens at `from` and connects each connection to `to`.
+    /// Listens at `from` and relays each connection to `to`.
     pub async fn start(from: SocketAddr, to: SocketAddr) -> std::io::Result<LinkProxy> {
         let listener = TcpListener::bind(from).await?;
         let state = Rc::new(LinkState { mode: Cell::new(LinkMode::Open), reset: Notify::new() });
@@ -61,13 +63,13 @@
         Ok(LinkProxy { state, accepting })
     }
 
-    /// A closure that returns how the link stands.
+    /// Returns a closure that reads the current mode.
     pub fn mode_reader(&self) -> impl Fn() -> LinkMode {
         let state = self.state.clone();
         move || state.mode.get()
     }
 
-    /// Changes how the link stands.
+    /// Changes the mode. [`LinkMode::Reset`] resets the open connections.
     pub fn set(&self, mode: LinkMode) {
         self.state.mode.set(mode);
         if mode == LinkMode::Reset {
@@ -77,13 +79,14 @@
 }
 
 impl Drop for LinkProxy {
-    /// Connections that stand end as their far ends do.
+    /// Stops listening. Open connections pass bytes on until their far ends close.
     fn drop(&mut self) {
         self.accepting.abort();
         self.state.mode.set(LinkMode::Open);
     }
 }
 
+/// Relays one connection until both directions have ended or the connection is reset.
 async fn relay_connection(near: TcpStream, to: SocketAddr, state: Rc<LinkState>) {
     if state.mode.get() == LinkMode::Reset {
         return reset(&near);
@@ -105,19 +108,21 @@
     if broken {
         for write in [near_write, far_write] {
             reset(write.as_ref());
-            // Dropped as it is, a half first closes its side cleanly.
+            // A dropped write half would first close its side cleanly, before the reset.
             write.forget();
         }
     }
 }
 
+/// Makes the stream reset its connection when it is closed.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A connection of the link is to be reset forward both sides.
+/// The error by which a direction requests that its connection is reset on both sides.
 struct ConnectionBroken;
 
+/// Relays the bytes of one direction until its clean end; `forward` is true away from the connecting side.
 async fn relay(
     mut read: OwnedReadHalf,
     write: &mut OwnedWriteHalf,
@@ -145,7 +150,8 @@
     }
 }
 
-/// Waits while the link holds what goes this way; true when it was held for too long.
+/// Waits while the link holds or delays this direction. Returns true if it held it for longer than
+/// [`MAX_HELD_MS`].
 async fn wait_while_held(state: &LinkState, forward: bool) -> bool {
     let since = std::time::Instant::now();
     loop {
--- a/soak/src/list.rs
+++ b/soak/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, as the platform serves it.
+//! Serves the list of upstreams over HTTP, in pages, as the platform does.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -19,30 +19,30 @@
 use crate::platform::entry::entry;
 use crate::upstream::UpstreamSpec;
 
-/// Entries of one page.
+/// Maximum number of entries on one page.
 const PAGE_ROWS: usize = 4;
 
 /// One entry of the list.
 #[derive(Clone, Debug)]
 pub struct ListRow {
-    /// The upstream's spec.
+    /// The service, zone and addresses of the upstream.
     pub spec: UpstreamSpec,
-    /// The id of its life.
+    /// The id of the incarnation.
     pub id: String,
-    /// When that life began, in Unix milliseconds.
+    /// When the incarnation started, in Unix milliseconds.
     pub started_ms: u64,
-    /// The version of its software.
+    /// The version of the software of the upstream.
     pub version: String,
-    /// Whether it leaves.
+    /// Whether the list shows the upstream as leaving.
     pub leaving: bool,
 }
 
-/// The rows of the list.
+/// The content of the list.
 #[derive(Default)]
 pub struct ListRows {
-    /// Entries, by the index of their upstream.
+    /// The entries by the index of their upstream; none for an upstream that is not listed.
     pub rows: Vec<Option<ListRow>>,
-    /// Whether entries that can't be read stand among them.
+    /// Whether the list also contains entries that no reader can parse.
     pub unreadable: bool,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Serves the list at `inner`, through a link that VMs find at `listed`.
+/// Serves the list at `inner`, behind a link at `listed`, the address that VMs use. Returns the link.
 pub async fn serve_list(
     listed: SocketAddr,
     inner: SocketAddr,
@@ -94,5 +94,5 @@
     let token = token.and_then(|token| token.parse().ok()).unwrap_or(0);
     let body = rows.borrow().page(token).to_string();
     let answer = Response::builder().header("content-type", "application/json");
-    Ok(answer.body(Full::new(Bytes::from(body))).expect("a plain head"))
+    Ok(answer.body(Full::new(Bytes::from(body))).expect("the answer head is valid"))
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `wingshed-soak`: plays seeds one after the other and prints what broke.
+//! The program `wingshed-soak`: plays the schedules of seeds one after the other and prints the broken promises.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
             _ = terminate.recv() => None,
         }
     });
-    // Whichever run was under way has been dropped with all that it started.
+    // After a signal the current run has been dropped, which ends all processes that it started.
     match ended {
         Some(0) => ExitCode::SUCCESS,
         Some(_) => ExitCode::FAILURE,
@@ -61,6 +61,7 @@
     }
 }
 
+/// Returns the path of the program of a VM.
 fn program(arguments: &SoakArguments) -> PathBuf {
     let beside = || {
         let own = std::env::current_exe().unwrap_or_default();
@@ -69,7 +70,7 @@
     arguments.program.clone().unwrap_or_else(beside)
 }
 
-/// What is to be played: its name, its seed and its steps.
+/// Returns the name, the seed and the steps of each run to play.
 fn planned_runs(arguments: &SoakArguments, size: RunSize) -> Vec<(String, u64, Vec<PlannedStep>)> {
     let Some(name) = &arguments.case else {
         let seeds = arguments.from..arguments.from + arguments.seeds;
@@ -80,6 +81,7 @@
     numbered.map(|(at, case)| (case.name.to_string(), at as u64, case.steps)).collect()
 }
 
+/// Plays all runs and returns how many failed.
 async fn play_seeds(arguments: &SoakArguments) -> u64 {
     let size = if arguments.large { LARGE_SIZE } else { DEFAULT_SIZE };
     let (mut played, mut failed) = (0, 0);
@@ -110,7 +112,7 @@
     failed
 }
 
-/// How many requests ended how.
+/// Counts the requests by how they ended.
 fn ends(rows: &LedgerRows) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for request in &rows.requests {
@@ -120,7 +122,7 @@
     texts.join(", ")
 }
 
-/// Prints what a seed showed; true when nothing was broken.
+/// Prints the result of a run. Returns true if no promise was broken.
 fn print_verdict(name: &str, plan: &RunPlan, verdict: &RunVerdict) -> bool {
     let rows = &verdict.rows;
     let whole = rows.requests.iter().filter(|request| request.end == RequestEnd::Whole);
@@ -136,7 +138,7 @@
     println!("  ends: {}", ends(rows));
     for row in &rows.rollouts {
         let end = row.reports.iter().rev().find(|report| report.target == row.target);
-        let end = end.map_or("not told", |report| report.state.as_str());
+        let end = end.map_or("not reported", |report| report.state.as_str());
         let kind = if row.unsound { "unsound" } else { "sound" };
         println!("  roll-out of {} to {} ({kind}): {end}", row.service, row.target);
     }
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: orders that are sent again, to any VM, until they are acknowledged.
+//! The operator of a run: sends orders to the VMs in turn, again and again until one of them answers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,16 +10,16 @@
 use crate::platform::PUT_DOCUMENT;
 use crate::process::VmSpec;
 
-/// A VM that has not answered by then is left for the next.
+/// How long the operator waits for the answer of one VM before it turns to the next.
 const ANSWER_WAIT: Duration = Duration::from_secs(1);
-/// The pause before the next VM is asked.
+/// Pause before an order is sent to the next VM.
 const NEXT_PAUSE: Duration = Duration::from_millis(60);
-/// Orders of zones may be sent again for this long (`ackMs`).
+/// Milliseconds for which the order of a zone may be sent again (`ackMs`).
 pub const ZONE_REPEAT_MS: u64 = 5_000;
-/// Configurations are sent again for this long.
+/// Milliseconds for which a configuration is sent again.
 pub const DOCUMENT_REPEAT_MS: u64 = 30_000;
 
-/// Sends orders, and knows the newest configuration.
+/// Sends orders and numbers the configurations.
 pub struct SoakOperator {
     ledger: Rc<RunLedger>,
     vms: Vec<VmSpec>,
@@ -29,7 +29,7 @@
 }
 
 impl SoakOperator {
-    /// An operator of these VMs.
+    /// Creates an operator of these VMs.
     pub fn new(ledger: Rc<RunLedger>, vms: Vec<VmSpec>) -> SoakOperator {
         let (next_vm, version, keys_taken) = (Cell::new(0), Cell::new(0), Cell::new(0));
         SoakOperator { ledger, vms, next_vm, version, keys_taken }
@@ -42,7 +42,8 @@
         document(self.version.get(), self.keys_taken.get())
     }
 
-    /// Sends an order until it has a clear answer or may not be repeated any longer.
+    /// Sends an order until it is acknowledged or refused, or for `repeat_ms` milliseconds. Returns true if it was
+    /// acknowledged.
     pub async fn order(&self, content: OrderContent, repeat_ms: u64) -> bool {
         let sent_ms = self.ledger.now_ms();
         let row = OrderRow { content: content.clone(), sent_ms, acked_ms: None, refused: None };
@@ -77,7 +78,7 @@
         false
     }
 
-    /// Reads the configuration at a VM, and notes content came.
+    /// Reads the configuration back from a VM and records it. Returns its version.
     pub async fn read(&self, vm: usize) -> Option<u64> {
         let sent_ms = self.ledger.now_ms();
         let control = self.vms[vm].control();
@@ -90,20 +91,22 @@
         version
     }
 
+    /// Returns the next VM in turn.
     fn rotate_vm(&self) -> &VmSpec {
         self.next_vm.set(self.next_vm.get() + 1);
         &self.vms[self.next_vm.get() % self.vms.len()]
     }
 }
 
-/// The version that a configuration names.
+/// Returns the version of a configuration that is given as JSON.
 pub fn version_of(text: &str) -> Option<u64> {
     serde_json::from_str::<serde_json::Value>(text).ok()?["version"].as_u64()
 }
 
-/// A configuration that is not valid: two routes have one prefix.
+/// Makes a configuration invalid: its first route appears twice, so two routes have one prefix.
 pub fn invalid_document(row: &DocumentRow) -> DocumentRow {
-    let mut value: serde_json::Value = serde_json::from_str(&row.text).expect("our own text");
+    let mut value: serde_json::Value =
+        serde_json::from_str(&row.text).expect("the configuration is JSON");
     let doubled = value["routes"][0].clone();
     if let Some(routes) = value["routes"].as_array_mut() {
         routes.push(doubled);
--- a/soak/src/peer_link.rs
+++ b/soak/src/peer_link.rs
@@ -1,9 +1,9 @@
-//! A link from one VM to another, for connections and datagrams.
+//! A link from one VM to another that relays connections and datagrams.
 //!
-//! A VM reaches all others at its own first port, and listens there itself. So each VM is given
-//! another first port: at the address of VM `to`, the port of VM `from` is then free, everything
-//! that `from` sends to `to` comes there, and the link passes it on to the port of `to`. Datagrams
-//! go on from the address of `from`, by which a VM knows who outbound them.
+//! A VM listens at the first port of its own range, and reaches all other VMs at that same port number. Each VM is
+//! therefore given another first port. At the address of VM `to` the port of VM `from` is then free: everything that
+//! `from` sends to `to` arrives there, and the link relays it to the port of `to`. Datagrams are relayed from the
+//! address of `from`, since a VM identifies their sender by it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,18 +14,18 @@
 
 use crate::link::{LinkMode, LinkProxy};
 
-/// The largest datagram of loopback.
+/// Size of the receive buffer, in bytes. No datagram is larger.
 const DATAGRAM_BYTES: usize = 65_536;
 
 /// A link in one direction.
 pub struct PeerLink {
-    /// The connections.
+    /// The link for connections, whose mode datagrams follow too.
     pub proxy: LinkProxy,
     forwarding: JoinHandle<()>,
 }
 
 impl PeerLink {
-    /// Passes on to `to` what `from` sends to `near`.
+    /// Listens at `near` and relays to `to` what `from` sends there.
     pub async fn start(
         from: SocketAddr,
         near: SocketAddr,
--- a/soak/src/platform/document.rs
+++ b/soak/src/platform/document.rs
@@ -1,10 +1,11 @@
-//! Configurations as operators send them.
+//! Builds configurations in the format in which operators send them.
 
 use serde_json::json;
 
 use crate::ledger::DocumentRow;
 
-/// The configuration of a version, when so many keys were taken away before.
+/// Builds the configuration of a version. Each odd version has the route `moved` lead to another service than each
+/// even one, and the newest key is number `keys_taken`, the number of revocations so far.
 pub fn document(version: u64, keys_taken: u64) -> DocumentRow {
     let moved_to = if version % 2 == 0 { "s1" } else { "s2" };
     let keys = vec!["steady".to_string(), format!("key-{keys_taken}")];
--- a/soak/src/platform/entry.rs
+++ b/soak/src/platform/entry.rs
@@ -1,10 +1,10 @@
-//! Entries of the list of upstreams.
+//! Builds entries of the list of upstreams in the format of the platform.
 
 use serde_json::{json, Value};
 
 use crate::list::ListRow;
 
-/// An entry.
+/// Builds the entry of a row of the list.
 pub fn entry(row: &ListRow) -> Value {
     json!({
         "id": row.id, "service": row.spec.service, "zone": row.spec.zone,
--- a/soak/src/platform/mod.rs
+++ b/soak/src/platform/mod.rs
@@ -1,22 +1,22 @@
-//! The platform's side of the wire as the soak plays it: names and formats, and no decision.
+//! The names and formats that the soak uses on the wire to the VMs, in place of the platform.
 
 pub mod document;
 pub mod entry;
 pub mod settings;
 
-/// The variable that holds where the settings are.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "WINGSHED_BOOT";
 /// The header with the id of an attempt.
 pub const ATTEMPT: &str = "x-attempt-id";
-/// The header that names the life that is to run a request.
+/// The header with the id of the incarnation that is to run a request.
 pub const EXPECTED_INSTANCE: &str = "x-expect-instance";
-/// The header that says that a request did not run.
+/// The header which states that a request did not run.
 pub const NOT_RUN: &str = "x-not-executed";
-/// The header that each whole answer carries.
+/// The header of each answer to a request that ran.
 pub const STAMP: &str = "x-response-stamp";
-/// The header by which an upstream says that it leaves.
+/// The header by which an upstream announces that it leaves.
 pub const LEAVING: &str = "server-leaving";
-/// The header by which one that turns a request away requests for rest.
+/// The header by which an upstream that refuses a request requests back-off, in seconds.
 pub const RETRY_AFTER: &str = "retry-after";
-/// Where configurations are put.
+/// The path to which configurations are posted.
 pub const PUT_DOCUMENT: &str = "/config/put";
--- a/soak/src/platform/settings.rs
+++ b/soak/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a VM.
+//! Builds the settings file of a VM in the format of the platform.
 
 use serde_json::{json, Value};
 
@@ -6,7 +6,8 @@
     VmSpec, CONTROL_PORT, DIRECTORY_PORT, FRONT_PORT, LAST_PORT, PEER_PORT, READY_PORT,
 };
 
-/// The settings; `change` makes them differ from the last ones.
+/// Builds the settings of a VM; `first` is true at its first start in a run, and `change` makes the settings differ
+/// from earlier ones.
 pub fn settings(spec: &VmSpec, first: bool, change: u64) -> Value {
     let ip = &spec.ip;
     let data = spec.folder.join("data");
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,7 +1,8 @@
 //! VMs as processes: their settings, logs and signals.
 //!
-//! Only processes started here are signalled, by their id while they are not yet waited for. All
-//! are ended when their owner is dropped, and by the system when the soak itself is killed.
+//! Only processes that were started here get signals, and only before they have been waited for, so that their id
+//! can't belong to another process. They are killed when their owner is dropped, and by the kernel when the soak
+//! itself is killed.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -12,64 +13,64 @@
 use crate::platform::settings::settings;
 use crate::platform::SETTINGS_VARIABLE;
 
-/// The port of callers, behind the link.
+/// The port at which a VM accepts callers, behind their link.
 pub const FRONT_PORT: u16 = 8001;
-/// The port of the platform's own question.
+/// The port at which the platform checks readiness.
 pub const READY_PORT: u16 = 8002;
-/// The port of operators.
+/// The port at which a VM accepts operators.
 pub const CONTROL_PORT: u16 = 8003;
-/// The port of the directory.
+/// The port at which a VM serves the directory.
 pub const DIRECTORY_PORT: u16 = 8004;
-/// The first port between VMs is this one and the VM's index more, see `peer_link`.
+/// The first port of a VM's range is this one plus the index of the VM, see `peer_link`.
 pub const PEER_PORT: u16 = 8010;
 /// The last port of each VM's range.
 pub const LAST_PORT: u16 = 8090;
-/// The port of the near end of callers' link.
+/// The port at which the link of callers listens.
 const LINK_PORT: u16 = 8101;
 
-/// Where a VM is found and what it keeps.
+/// The addresses, the folder and the settings of a VM.
 #[derive(Clone, Debug)]
 pub struct VmSpec {
-    /// Its index.
+    /// The index of the VM.
     pub index: usize,
-    /// Its address.
+    /// The IP address of the VM.
     pub ip: String,
-    /// Whether it has a disk.
+    /// Whether the VM has a disk.
     pub disk: bool,
-    /// The folder of its settings, log and disk.
+    /// The folder of the settings, the log and the disk of the VM.
     pub folder: PathBuf,
-    /// The addresses of the seeds.
+    /// The control addresses of the VMs that new VMs contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Where the list is.
+    /// The address of the list of upstreams.
     pub list: SocketAddr,
 }
 
 impl VmSpec {
     fn at(&self, port: u16) -> SocketAddr {
-        SocketAddr::new(self.ip.parse().expect("an address"), port)
+        SocketAddr::new(self.ip.parse().expect("a valid IP address"), port)
     }
 
-    /// Where callers would be without a link.
+    /// The address at which the VM accepts callers, behind their link.
     pub fn front(&self) -> SocketAddr {
         self.at(FRONT_PORT)
     }
 
-    /// Where callers go.
+    /// The address to which callers connect.
     pub fn front_link(&self) -> SocketAddr {
         self.at(LINK_PORT)
     }
 
-    /// Where readiness is asked for.
+    /// The address of the readiness check.
     pub fn ready(&self) -> SocketAddr {
         self.at(READY_PORT)
     }
 
-    /// Where operators go.
+    /// The address to which operators connect.
     pub fn control(&self) -> SocketAddr {
         self.at(CONTROL_PORT)
     }
 
-    /// Where other VMs find it: at the port of `of`.
+    /// The address at which the VM `of` reaches this one: the port number is that of `of`.
     pub fn peer(&self, of: &VmSpec) -> SocketAddr {
         self.at(PEER_PORT + of.index as u16)
     }
@@ -78,7 +79,8 @@
         self.folder.join("settings.json")
     }
 
-    /// Writes settings that differ from the last; such as can't be read when `broken`.
+    /// Writes the settings file; `change` makes the settings differ from earlier ones, and `broken` cuts the
+    /// file in half, so that it can't be parsed.
     pub fn write_settings(&self, first: bool, change: u64, broken: bool) -> std::io::Result<()> {
         let mut text = settings(self, first, change).to_string();
         if broken {
@@ -88,24 +90,25 @@
     }
 }
 
-/// A VM's process while it runs.
+/// The process of a VM.
 pub struct VmProcess {
     child: Child,
     ended: bool,
 }
 
 impl VmProcess {
-    /// Starts the program of a VM.
+    /// Writes the settings and starts the program; `first` marks the first start of a VM in a run.
     pub fn start(program: &Path, spec: &VmSpec, first: bool) -> std::io::Result<VmProcess> {
         fs::create_dir_all(spec.folder.join("data"))?;
         spec.write_settings(first, 0, false)?;
         let mut command = Command::new(program);
         command.env(SETTINGS_VARIABLE, spec.settings_path()).stdin(Stdio::null());
         command.stderr(open_for_append(&spec.folder.join("errors"))?).stdout(Stdio::piped());
-        // SAFETY: only system calls that are safe after fork.
+        // SAFETY: the closure only makes system calls that are safe between fork and exec.
         unsafe {
             command.pre_exec(|| {
-                // A write beyond the limit of a file's size is then an error, as on a full disk.
+                // A write beyond the file size limit then fails with an error, as on a full disk, and does not kill
+                // the process.
                 libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
                 libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL);
                 Ok(())
@@ -118,26 +121,26 @@
         Ok(VmProcess { child, ended: false })
     }
 
-    /// Sends a signal, if the process has not ended.
+    /// Sends a signal unless the process has ended.
     pub fn signal(&mut self, signal: i32) {
         if !self.has_ended() {
-            // SAFETY: the child is ours and has not been waited for.
+            // SAFETY: the child was started here and has not been waited for, so its id is still its own.
             unsafe { libc::kill(self.child.id() as i32, signal) };
         }
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         self.ended |= matches!(self.child.try_wait(), Ok(Some(_)));
         self.ended
     }
 
-    /// How it ended, once it has.
+    /// Describes how the process ended; empty while it runs.
     pub fn exit_status_text(&mut self) -> String {
         self.child.try_wait().ok().flatten().map_or(String::new(), |status| status.to_string())
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if !self.has_ended() {
             let _ = self.child.kill();
@@ -146,14 +149,14 @@
         }
     }
 
-    /// From now on no file of the process can grow beyond `max_bytes` bytes; none lifts the limit.
+    /// Limits the size of the files that the process writes to `max_bytes`; none lifts the limit.
     pub fn limit_files(&mut self, max_bytes: Option<u64>) {
         if self.has_ended() {
             return;
         }
         let soft = max_bytes.unwrap_or(libc::RLIM_INFINITY);
         let limit = libc::rlimit { rlim_cur: soft, rlim_max: libc::RLIM_INFINITY };
-        // SAFETY: the child is ours and has not been waited for; the limit outlives the call.
+        // SAFETY: the child was started here and has not been waited for, and the limit outlives the call.
         unsafe {
             let resource = libc::RLIMIT_FSIZE;
             libc::prlimit(self.child.id() as i32, resource, &limit, std::ptr::null_mut());
@@ -171,7 +174,8 @@
     File::options().create(true).append(true).open(path)
 }
 
-/// A pipe and a thread, since a file of its own would meet the limit of files' size too.
+/// Copies the output of a process to its log, in a thread of the soak. If the process wrote the file itself, the
+/// file size limit of a disturbance would apply to the log too.
 fn copy_log(mut output: ChildStdout, mut file: File) {
     std::thread::spawn(move || std::io::copy(&mut output, &mut file));
 }
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: a new version's upstreams beside the old ones, the order, and its end.
+//! Roll-outs: starts upstreams of a new version next to the old ones, orders the roll-out, and follows it to its end.
 
 use std::time::Duration;
 
@@ -9,21 +9,22 @@
 use crate::schedule::VersionFault;
 use crate::site::SoakSite;
 
-/// Orders may be sent again for this long (`ackMs`).
+/// Milliseconds for which the order of a roll-out may be sent again (`ackMs`).
 const REPEAT_MS: u64 = 5_000;
-/// How often an operator requests for the state.
+/// Pause between two requests for the state of a roll-out.
 const POLL_PAUSE: Duration = Duration::from_millis(200);
-/// A VM that has not answered by then is left for the next.
+/// How long the operator waits for the answer of one VM before it turns to the next.
 const ANSWER_WAIT: Duration = Duration::from_secs(1);
-/// Upstreams of a version that was rolled back end so long after.
+/// How long upstreams of a version that was rolled back stay listed as leaving before they end.
 const DRAIN_WAIT: Duration = Duration::from_millis(5_000);
-/// An end that nobody reports within this time after the deadline is not waited for, in milliseconds.
+/// Milliseconds after the deadline of a roll-out for which its end is awaited. An end that no VM reports within
+/// them is left to the judge.
 const END_WAIT_MS: u64 = 20_000;
 
-/// What stands for the state of a roll-out that a VM says there never was.
+/// The state that is recorded when a VM reports that the service had no roll-out.
 pub const UNKNOWN: &str = "unknown";
 
-/// The state of a service's roll-out, as a VM reports it.
+/// Requests the state and the target version of a service's roll-out from a VM; none if it returns neither.
 pub async fn fetch_state(site: &SoakSite, vm: usize, service: &str) -> Option<(String, String)> {
     let control = site.vms[vm].spec.control();
     let path = format!("/rollouts/{service}/get");
@@ -39,7 +40,8 @@
     Some((text_of("state")?, text_of("targetVersion")?))
 }
 
-/// Notes what a VM reports of the newest roll-out of a service; true when it has ended.
+/// Records what a VM reports of the roll-out in ledger row `row`. Returns whether that roll-out has ended; none
+/// if the VM did not report.
 pub async fn record_state(site: &SoakSite, vm: usize, row: usize) -> Option<bool> {
     let (service, target) = {
         let rows = site.ledger.rows.borrow();
@@ -55,7 +57,7 @@
     Some(ended)
 }
 
-/// Plays one roll-out to its end.
+/// Plays one roll-out to its end. Does nothing while another one of the service is under way.
 pub async fn roll_out(site: &SoakSite, service: usize, duration_s: u64, fault: VersionFault) {
     let Some((old, fresh)) = site.begin_rollout(service) else { return };
     let target = site.next_version();
@@ -78,7 +80,7 @@
         }
         tokio::time::sleep(POLL_PAUSE).await;
     }
-    // Complete: the old ones end at once. Rolled back: the new ones leave first.
+    // After completion the old upstreams end at once. After a roll-back the new ones are listed as leaving first.
     let gone = if completed { old } else { fresh };
     if !completed {
         gone.iter().for_each(|at| site.mark_leaving(*at));
@@ -88,6 +90,7 @@
     site.end_rollout(service, completed);
 }
 
+/// Sends the order until a VM accepts it or [`REPEAT_MS`] is over. Returns the index of its ledger row.
 async fn order(
     site: &SoakSite,
     service: usize,
@@ -117,7 +120,8 @@
         let control = site.vms[vm].spec.control();
         let body = body.to_string();
         let answer = call_once(control, "POST", "/rollouts/start", &body, ANSWER_WAIT).await;
-        // A 409 to an order that is repeated says that it is under way.
+        // An earlier send of this order may have been accepted without an answer; the VM then returns 409, since the
+        // roll-out is under way.
         if matches!(answer, Some((200..=299 | 409, _))) {
             let now = site.ledger.now_ms();
             site.ledger.rows.borrow_mut().rollouts[row].acked_ms = Some(now);
@@ -129,7 +133,7 @@
     row
 }
 
-/// Sends an order that was taken once more, to another VM: it is never refused.
+/// Sends an accepted order once more, to another VM, which must not refuse it.
 async fn repeat_order(site: &SoakSite, vm: usize, body: &str) {
     let control = site.vms[vm % site.vms.len()].spec.control();
     let answer = call_once(control, "POST", "/rollouts/start", body, ANSWER_WAIT).await;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a site, callers, the schedule of its seed, recovery, and the verdict.
+//! Plays one run: starts the site and callers, plays the schedule, waits for recovery, and judges the ledger.
 
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -16,51 +16,51 @@
 use crate::site::SoakSite;
 use crate::steps::run_disturbance;
 
-/// After the last disturbance everything serves again within this (`recoverS`).
+/// Milliseconds after the end of the last disturbance within which all VMs must serve again (`recoverS`).
 const MAX_RECOVERY_MS: u64 = 15_000;
-/// Load goes on for this long beyond recovery, so that what returned late shows.
+/// Milliseconds for which callers continue after recovery, so that effects that appear late are recorded.
 const LOAD_AFTER_MS: u64 = 2_000;
-/// A first start takes no longer.
+/// Milliseconds within which all VMs must serve after the first start.
 const MAX_START_MS: u64 = 20_000;
-/// All disturbances end within this after the last one came.
+/// Milliseconds after the start of the last disturbance within which all of them must end.
 const MAX_STEPS_MS: u64 = 60_000;
-/// Requests that show whether a VM serves.
+/// Number of requests that must succeed before a VM counts as serving.
 const PROBES: usize = 8;
-/// Callers of a VM for each one that speaks HTTP/1.0.
+/// One in this many callers of a VM uses HTTP/1.0.
 const HTTP10_INTERVAL: usize = 4;
 
-/// A run's seed, size and places.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// The seed.
+    /// The seed of all draws.
     pub seed: u64,
-    /// The size.
+    /// The size of the site and the duration of its disturbances.
     pub size: RunSize,
-    /// The network, as `127.20.7`.
+    /// The first three parts of the loopback addresses of the run, such as `127.20.7`.
     pub network: String,
-    /// Where settings, logs and disks are.
+    /// The folder of settings, logs and disks. An existing one is deleted first.
     pub folder: PathBuf,
-    /// The program of a VM.
+    /// The path of the program of a VM.
     pub program: PathBuf,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct RunVerdict {
     /// The schedule that was played.
     pub steps: Vec<PlannedStep>,
-    /// All rows.
+    /// All rows of the ledger.
     pub rows: LedgerRows,
-    /// Promises that were broken.
+    /// The broken promises.
     pub broken: Vec<BrokenPromise>,
 }
 
-/// Plays a seed's schedule.
+/// Plays the schedule of the seed in `plan`.
 pub async fn play(plan: &RunPlan) -> std::io::Result<RunVerdict> {
     play_steps(plan, schedule(plan.seed, plan.size)).await
 }
 
-/// Plays these steps. Whatever the run started ends with it, also when it is given up.
+/// Plays these steps. All that the run started ends with it, also when its future is dropped early.
 pub async fn play_steps(plan: &RunPlan, steps: Vec<PlannedStep>) -> std::io::Result<RunVerdict> {
     LocalSet::new().run_until(play_local(plan, steps)).await
 }
@@ -121,6 +121,7 @@
     callers
 }
 
+/// Starts each step at its time, and reads the configuration back from a VM after each. Returns the running steps.
 async fn start_steps(
     site: &Rc<SoakSite>,
     shared: &Rc<CallerShared>,
@@ -140,6 +141,7 @@
     tasks
 }
 
+/// Waits for the end of all steps, at most [`MAX_STEPS_MS`].
 async fn join_steps(site: &SoakSite, tasks: Vec<JoinHandle<()>>) {
     let all = async {
         for task in tasks {
@@ -153,12 +155,13 @@
         }
     };
     if tokio::time::timeout(Duration::from_millis(MAX_STEPS_MS), all).await.is_err() {
-        let seen = "a VM was not ready again, or an order not taken, after 60 s".to_string();
+        let seen = "a VM was not ready again, or an order was not accepted, after 60 s".to_string();
         site.ledger.rows.borrow_mut().run_faults.push(seen);
     }
 }
 
-/// Waits until each VM is ready, serves, and reads back the newest configuration.
+/// Waits until each VM is ready, serves, and returns the newest acknowledged configuration. Records a fault for each
+/// VM that takes longer than `max_ms`; `when` names the wait in that message.
 async fn wait_until_serving(site: &SoakSite, shared: &Rc<CallerShared>, max_ms: u64, when: &str) {
     let from_ms = site.ledger.now_ms();
     for vm in 0..site.vms.len() {
@@ -176,12 +179,13 @@
     }
 }
 
+/// Describes why a VM does not serve; none if it does.
 async fn serving_fault(site: &SoakSite, shared: &Rc<CallerShared>, vm: usize) -> Option<String> {
     if !site.is_ready(vm).await {
         return Some("is not ready".to_string());
     }
     let Some(version) = site.operator.read(vm).await else {
-        return Some("the configuration can't be read back".to_string());
+        return Some("the configuration cannot be read back".to_string());
     };
     let acked = site.newest_acked();
     if version < acked {
@@ -201,8 +205,8 @@
     None
 }
 
-/// A network on loopback for one run of this process. The tests of the platform use `127.20` to
-/// `127.219`; a soak beside them took the address of one's list.
+/// Returns the loopback network of one run of this process. It lies above `127.20` to `127.219`, which the tests of
+/// the platform use, since a soak next to such a test could take the address of its list.
 pub fn run_network(run: u64) -> String {
     format!("127.{}.{run}", 220 + std::process::id() % 30)
 }
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,28 +1,28 @@
-//! The schedule of a run: which disturbance comes when. The same seed gives the same schedule.
+//! Draws the schedule of a run: its disturbances and their times. The same seed gives the same schedule.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use crate::link::LinkMode;
 
-/// What is wrong with a version.
+/// The fault of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionFault {
-    /// Nothing.
+    /// The version is sound.
     None,
     /// Three in ten answers are failures.
     Fails,
-    /// Half of the answers come late.
+    /// Half of the answers are late.
     Slow,
-    /// As `Fails`, from [`UNSOUND_AFTER_MS`] after the start on.
+    /// Three in ten answers are failures, but only from [`UNSOUND_AFTER_MS`] after the start of the upstream on.
     FailsLater,
 }
 
-/// When a version that is sound at first turns unsound, after its start.
+/// Milliseconds after the start of an upstream at which [`VersionFault::FailsLater`] takes effect.
 pub const UNSOUND_AFTER_MS: u128 = 7_000;
 
 impl VersionFault {
-    /// Whether the run of this number, so long after the upstream's start, is bad.
+    /// Whether the run of this number shows the fault, if it takes place `age_ms` after the start of the upstream.
     pub fn is_bad(self, run: u64, age_ms: u128) -> bool {
         match self {
             VersionFault::None => false,
@@ -33,118 +33,121 @@
     }
 }
 
-/// What breaks, or is ordered.
+/// One kind of disturbance or order, with its parameters. Times are in milliseconds unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// SIGTERM to a VM; it is started again once it has ended.
+    /// Sends SIGTERM to a VM, and starts it again once it has ended.
     StopVm(usize),
-    /// SIGKILL to a VM, and a new start after so many milliseconds.
+    /// Sends SIGKILL to a VM, and starts it again after this time.
     KillVm(usize, u64),
-    /// SIGKILL to all VMs, and a new start.
+    /// Sends SIGKILL to all VMs, and starts them again.
     KillAll,
-    /// SIGSTOP to a VM, and SIGCONT after so many milliseconds.
+    /// Sends SIGSTOP to a VM, and SIGCONT after this time.
     FreezeVm(usize, u64),
-    /// SIGHUP to a VM with changed settings; some can't be read.
+    /// Changes the settings of a VM and sends it SIGHUP. If the flag is set, the settings
+    /// file can't be parsed. Valid settings and another SIGHUP follow shortly after.
     ReloadVm(usize, bool),
-    /// A VM's files can't grow for so many milliseconds.
+    /// Prevents a VM's files from growing for this time.
     FailDisk(usize, u64),
-    /// An upstream crashes and starts again, under its id or another.
+    /// Crashes an upstream and starts it again after this time, under the same id if the flag is set.
     RestartUpstream(usize, bool, u64),
-    /// An upstream leaves, ends, and another life comes to its place.
+    /// Lists an upstream as leaving, ends it after this time, and starts another incarnation.
     LeaveUpstream(usize, u64),
-    /// An upstream says in its answers that it leaves, which the list never shows; it ends after so many
-    /// milliseconds, and another life comes to its place.
+    /// Makes an upstream announce in its answers that it leaves, which the list never shows. It ends after this
+    /// time, and another incarnation is started.
     LeaveUnlisted(usize, u64),
-    /// Upstreams from this one on, so many of them, turn everything away for so many milliseconds, and each
-    /// time ask for so much rest, in milliseconds.
+    /// Makes upstreams refuse all requests and request back-off each time. Parameters: the first upstream, how many
+    /// upstreams, the duration, and the back-off that they request.
     TireUpstreams(usize, usize, u64, u64),
-    /// An upstream fails, cuts or mixes up part of its answers.
+    /// Makes an upstream fail, cut off or mix up part of its plain answers for this time.
     FaultyUpstream(usize, u64),
-    /// Three in four answers of upstreams from this one on, so many of them, break off, for so many
-    /// milliseconds.
+    /// Makes three in four answers of some upstreams break off. Parameters: the first upstream, how many upstreams,
+    /// and the duration.
     EndEarly(usize, usize, u64),
-    /// The draw_link_mode of VMs to an upstream.
+    /// Disturbs the link of VMs to an upstream for this time.
     UpstreamLink(usize, LinkMode, u64),
-    /// The links between a VM and all others: what it is sent, and what it sends.
+    /// Disturbs the links between a VM and all others for this time: first those to it, then those from it.
     PeerLinks(usize, LinkMode, LinkMode, u64),
-    /// The draw_link_mode of callers to a VM.
+    /// Disturbs the link of callers to a VM for this time.
     FrontLink(usize, LinkMode, u64),
-    /// The list of upstreams can't be had.
+    /// Disturbs the link to the list of upstreams for this time.
     ListLink(LinkMode, u64),
-    /// The list holds entries that can't be read.
+    /// Adds entries that can't be parsed to the list of upstreams for this time.
     ListEntries(u64),
-    /// A configuration that moves a route.
+    /// Puts a configuration that may move a route to another service.
     PutDocument,
-    /// A configuration that takes a key away.
+    /// Puts a configuration that replaces a key by a new one.
     RevokeKey,
-    /// A configuration that is not valid.
+    /// Puts a configuration that is not valid.
     PutInvalid,
-    /// A service's traffic is to be moved to a new version within so many seconds.
+    /// Orders that a service's traffic is moved to a new version within this many seconds.
     RollOut(usize, u64, VersionFault),
-    /// A zone is emptied for so many milliseconds.
+    /// Evacuates a zone for this time.
     EmptyZone(usize, u64),
-    /// The request of this number, which ends each upstream that runs it, comes again and again at all
-    /// VMs for so many milliseconds.
+    /// Sends the request of this number, which crashes each upstream that runs it, to all VMs again and again for
+    /// this time.
     FatalRequest(u64, u64),
 }
 
 /// A disturbance and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedStep {
-    /// Milliseconds after the start of the schedule.
+    /// When the disturbance starts, in milliseconds after the start of the schedule.
     pub at_ms: u64,
-    /// What happens.
+    /// The disturbance.
     pub disturbance: Disturbance,
 }
 
-/// How large a run is.
+/// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunSize {
-    /// VMs, of which the first three have a disk.
+    /// Number of VMs, of which the first three have a disk.
     pub vms: usize,
-    /// Upstreams, in turn of the services and zones.
+    /// Number of upstreams, spread over the services and zones.
     pub upstreams: usize,
-    /// Callers at each VM.
+    /// Number of callers of each VM.
     pub callers: usize,
-    /// How long disturbances come.
+    /// Milliseconds during which disturbances start.
     pub disturbed_ms: u64,
 }
 
-/// The usual size.
+/// The size of a run without `--large`.
 pub const DEFAULT_SIZE: RunSize =
     RunSize { vms: 3, upstreams: 6, callers: 12, disturbed_ms: 16_000 };
 
-/// What `--large` requests for.
+/// The size of a run with `--large`.
 pub const LARGE_SIZE: RunSize =
     RunSize { vms: 6, upstreams: 12, callers: 12, disturbed_ms: 40_000 };
 
-/// The size of the runs among the tests.
+/// The size of the runs in the tests.
 pub const SHORT_SIZE: RunSize = RunSize { vms: 3, upstreams: 4, callers: 6, disturbed_ms: 6_000 };
 
-/// Each so-many-th seed holds planned work only: nothing then excuses a draw_partition.
+/// Seeds that are divisible by this number draw planned work only, so that no fault excuses a request that is cut
+/// off.
 const PLANNED_SEED_INTERVAL: u64 = 4;
-/// Kinds of planned work, as [`draw_disturbance`] numbers them.
+/// The range of planned work in the numbering of [`draw_disturbance`].
 const PLANNED_KINDS: std::ops::Range<u32> = 0..14;
-/// All kinds.
+/// The range of all kinds in the numbering of [`draw_disturbance`].
 const ALL_KINDS: std::ops::Range<u32> = 0..35;
 
-/// Sets the draw_disturbance of requests that end upstreams apart from the others.
+/// Combined with the seed for the draw of requests that crash upstreams, which is thus independent of the others.
 const FATAL_SEED_MASK: u64 = 0xfa7a1;
 
-/// Sets the draw_disturbance of what upstreams say of themselves apart from the others.
+/// Combined with the seed for the draw of upstreams that announce leaving or request back-off, which is thus
+/// independent of the others.
 const NOTICE_SEED_MASK: u64 = 0x7e57;
 
-/// Sets the draw_disturbance of answers that break off apart from the others.
+/// Combined with the seed for the draw of answers that break off, which is thus independent of the others.
 const EARLY_SEED_MASK: u64 = 0xea51;
 
-/// The schedule of a seed, in order of time.
+/// Draws the schedule of a seed, in order of time.
 pub fn schedule(seed: u64, size: RunSize) -> Vec<PlannedStep> {
     let mut random = StdRng::seed_from_u64(seed);
     let planned = seed % PLANNED_SEED_INTERVAL == 0;
     let mut steps = Vec::new();
     let mut at_ms = 500;
     while at_ms < size.disturbed_ms {
-        // A series: some disturbances close together, which overlap; then a pause.
+        // A series of disturbances that overlap, as they start close together, followed by a pause.
         for _ in 0..random.gen_range(1..5) {
             steps.push(PlannedStep {
                 at_ms,
@@ -162,7 +165,8 @@
     steps
 }
 
-/// Adds upstreams that say something of themselves, likewise by a draw_disturbance of its own.
+/// Adds upstreams that announce in their answers that they leave or request back-off. They are drawn by a generator
+/// of their own, so the other steps of a seed do not depend on them.
 fn add_notices(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
     let mut random = StdRng::seed_from_u64(seed ^ NOTICE_SEED_MASK);
     for _ in 0..random.gen_range(0..4) {
@@ -171,7 +175,7 @@
         let disturbance = match random.gen_range(0..4) {
             0 => Disturbance::LeaveUnlisted(upstream, random.gen_range(5_500..9_000)),
             kind => {
-                // All of them at once, now and then.
+                // One kind of three affects all upstreams at once.
                 let count = if kind == 1 { size.upstreams } else { random.gen_range(1..3) };
                 let (ms, backoff_ms) = (random.gen_range(300..6_000), random.gen_range(200..4_000));
                 Disturbance::TireUpstreams(upstream, count, ms, backoff_ms)
@@ -182,7 +186,8 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Adds upstreams whose answers break off, likewise by a draw_disturbance of its own.
+/// Adds upstreams whose answers break off. They are drawn by a generator of their own, so the other steps of a seed
+/// do not depend on them.
 fn add_early(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
     let mut random = StdRng::seed_from_u64(seed ^ EARLY_SEED_MASK);
     for _ in 0..random.gen_range(1..4) {
@@ -194,8 +199,8 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Adds a request that ends upstreams to every second schedule, by a draw_disturbance of its own: so a seed's other
-/// steps stay what they were.
+/// Adds a request that crashes upstreams to about half of the schedules. It is drawn by a generator of its own, so the
+/// other steps of a seed do not depend on it.
 fn add_fatal(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
     let mut random = StdRng::seed_from_u64(seed ^ FATAL_SEED_MASK);
     if random.gen() {
@@ -207,6 +212,7 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
+/// Draws one disturbance, of planned work only if `planned`.
 fn draw_disturbance(random: &mut StdRng, size: RunSize, planned: bool) -> Disturbance {
     let vm = random.gen_range(0..size.vms);
     let upstream = random.gen_range(0..size.upstreams);
@@ -234,15 +240,15 @@
         25..=26 => Disturbance::FaultyUpstream(upstream, ms),
         27..=28 => Disturbance::UpstreamLink(upstream, draw_link_mode(random), ms),
         29..=32 => {
-            let (comes, goes) = draw_partition(random);
-            Disturbance::PeerLinks(vm, comes, goes, 2 * ms)
+            let (incoming, outgoing) = draw_partition(random);
+            Disturbance::PeerLinks(vm, incoming, outgoing, 2 * ms)
         }
         33 => Disturbance::FrontLink(vm, draw_link_mode(random), ms),
         _ => Disturbance::ListLink(draw_link_mode(random), ms),
     }
 }
 
-/// How a VM is draw_partition off: both ways, one way, or by slow links.
+/// Draws the modes of the links to a VM and from it: both silent, one of them silent, or both slow.
 fn draw_partition(random: &mut StdRng) -> (LinkMode, LinkMode) {
     match random.gen_range(0..5) {
         0..=1 => (LinkMode::Silent, LinkMode::Silent),
@@ -255,6 +261,7 @@
     }
 }
 
+/// Draws the mode of a disturbed link.
 fn draw_link_mode(random: &mut StdRng) -> LinkMode {
     match random.gen_range(0..5) {
         0 => LinkMode::Delay(random.gen_range(20..400)),
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The site of a run: VMs as processes, upstreams, the list, and the links between them.
+//! The site of a run: the processes of the VMs, the upstreams, the list of upstreams, and the links between them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,56 +17,60 @@
 use crate::schedule::{RunSize, VersionFault};
 use crate::upstream::{UpstreamIncarnation, UpstreamSpec};
 
-/// The pause between two looks at a VM.
+/// Pause between two checks of a VM.
 const CHECK_PAUSE: Duration = Duration::from_millis(50);
-/// A VM that got SIGTERM ends within this: `graceS`, and time for a loaded machine.
+/// Milliseconds within which a VM must end after SIGTERM: the 8 s of `graceS`, and time for a loaded machine.
 const STOP_WAIT_MS: u64 = 12_000;
 
 /// A VM of the site.
 pub struct SiteVm {
-    /// Where it is.
+    /// The addresses, the folder and the settings of the VM.
     pub spec: VmSpec,
-    /// The link of callers to it.
+    /// The link of callers to the VM.
     pub front: LinkProxy,
-    /// The links of the other VMs to it, by their index.
+    /// The links of the other VMs to this one, by the index of the other VM.
     pub peers: Vec<Option<PeerLink>>,
     process: RefCell<Option<VmProcess>>,
-    /// Whether its end was asked for.
+    /// Whether the process was sent SIGTERM or SIGKILL.
     stop_requested: Cell<bool>,
-    /// Until when it stands still.
+    /// Until when the process is suspended.
     frozen_until_ms: Cell<u64>,
 }
 
 /// An upstream of the site.
 pub struct SiteUpstream {
-    /// What it is.
+    /// The service, zone and addresses of the upstream.
     pub spec: UpstreamSpec,
-    /// Its incarnation, while it has one.
+    /// The running incarnation, if there is one.
     pub incarnation: RefCell<Option<UpstreamIncarnation>>,
+    /// The number in the id of the newest incarnation.
     incarnations: Cell<u32>,
+    /// The version and the fault of the next incarnation.
     software: RefCell<(String, VersionFault)>,
 }
 
-/// Which half of a service's specs is in use, and whether a roll-out is under way.
+/// Which half of a service's upstreams is in use, and whether a roll-out to the other half is under way.
 #[derive(Clone, Copy, Default)]
 struct ServiceHalf {
+    /// Whether the second half is in use.
     second: bool,
+    /// Whether a roll-out is under way.
     in_rollout: bool,
 }
 
-/// All that a run starts.
+/// Everything that a run starts.
 pub struct SoakSite {
-    /// Where everything is written.
+    /// The ledger of the run.
     pub ledger: Rc<RunLedger>,
-    /// The VMs.
+    /// The VMs by their index.
     pub vms: Vec<SiteVm>,
-    /// The upstreams.
+    /// The upstreams by their index. The second half of them serves new versions.
     pub upstreams: Vec<SiteUpstream>,
-    /// The rows of the list.
+    /// The content of the list of upstreams.
     pub list: Rc<RefCell<ListRows>>,
-    /// The link to the list.
+    /// The link of VMs to the list of upstreams.
     pub list_link: LinkProxy,
-    /// Whoever sends orders.
+    /// The operator that sends orders.
     pub operator: SoakOperator,
     program: PathBuf,
     halves: [Cell<ServiceHalf>; 2],
@@ -74,10 +78,10 @@
 }
 
 fn address(network: &str, host: usize, port: u16) -> SocketAddr {
-    format!("{network}.{host}:{port}").parse().expect("an address")
+    format!("{network}.{host}:{port}").parse().expect("a valid address")
 }
 
-/// Places of the VMs of a network.
+/// Returns the specs of the VMs of a network.
 fn vm_specs(network: &str, size: RunSize, folder: &Path) -> Vec<VmSpec> {
     let list = address(network, 1, 9000);
     let spec = |index: usize| VmSpec {
@@ -96,6 +100,7 @@
     specs
 }
 
+/// Starts the links of all other VMs to the VM `to`.
 async fn peer_links(specs: &[VmSpec], to: &VmSpec) -> std::io::Result<Vec<Option<PeerLink>>> {
     let mut links = Vec::new();
     for from in specs {
@@ -108,7 +113,7 @@
 }
 
 impl SoakSite {
-    /// Starts all of it on the plan's network.
+    /// Starts the list, the links, the upstreams and the VMs on the plan's network.
     pub async fn start(plan: &RunPlan) -> std::io::Result<Rc<SoakSite>> {
         let RunPlan { network, size, folder, program, .. } = plan;
         let size = *size;
@@ -129,7 +134,7 @@
                 frozen_until_ms: Cell::new(0),
             });
         }
-        // The second half are specs of new versions, with no incarnation at first.
+        // The second half is for new versions, and has no incarnations at first.
         let first_half = size.upstreams;
         let upstream = |index: usize| SiteUpstream {
             spec: UpstreamSpec {
@@ -173,7 +178,7 @@
         Ok(())
     }
 
-    /// Notes a process that ended though nobody asked for it.
+    /// Records a fault if the process of a VM has ended without having been sent SIGTERM or SIGKILL.
     fn note_unexpected_end(&self, vm: &SiteVm) {
         if let Some(process) = vm.process.borrow_mut().as_mut() {
             if process.has_ended() && !vm.stop_requested.get() {
@@ -184,7 +189,7 @@
         }
     }
 
-    /// Starts a VM again unless it runs.
+    /// Starts a VM again unless its process runs.
     pub fn ensure_started(&self, index: usize) {
         let vm = &self.vms[index];
         self.note_unexpected_end(vm);
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Sends a signal to a VM; true when its process runs.
+    /// Sends a signal to a VM. Returns true if its process was running.
     pub fn signal(&self, index: usize, signal: i32) -> bool {
         let vm = &self.vms[index];
         self.note_unexpected_end(vm);
@@ -215,26 +220,27 @@
         true
     }
 
-    /// A VM's files can't grow, or can again.
+    /// Limits the size of a VM's files; none lifts the limit.
     pub fn limit_files(&self, index: usize, max_bytes: Option<u64>) {
         if let Some(process) = self.vms[index].process.borrow_mut().as_mut() {
             process.limit_files(max_bytes);
         }
     }
 
-    /// Notes that a VM is frozen until then.
+    /// Records until when a VM is suspended.
     pub fn freeze_until(&self, index: usize, until_ms: u64) {
         let frozen = &self.vms[index].frozen_until_ms;
         frozen.set(frozen.get().max(until_ms));
     }
 
-    /// Waits for the end of a VM that got SIGTERM, and kills it when that takes too long.
+    /// Waits for the end of a VM that was sent SIGTERM. If it takes longer than [`STOP_WAIT_MS`], not counting the time
+    /// for which the VM is suspended, records a fault and kills it.
     pub async fn wait_end(&self, index: usize) {
         let vm = &self.vms[index];
         let signalled_ms = self.ledger.now_ms();
         loop {
             let ended = vm.process.borrow_mut().as_mut().is_none_or(VmProcess::has_ended);
-            // Another disturbance may have killed it and started it anew.
+            // Another disturbance may have killed the VM and started it again.
             if ended || !vm.stop_requested.get() {
                 return;
             }
@@ -250,14 +256,14 @@
         }
     }
 
-    /// Whether a VM says that it is ready.
+    /// Whether a VM reports that it is ready.
     pub async fn is_ready(&self, index: usize) -> bool {
         let ready = self.vms[index].spec.ready();
         let answer = call_once(ready, "GET", "/ready", "", Duration::from_millis(500)).await;
         matches!(answer, Some((200, _)))
     }
 
-    /// Ends the disturbance of a VM once it runs and is ready.
+    /// Waits until a VM is ready, then ends its disturbance `span`.
     pub async fn end_span_when_ready(&self, index: usize, span: usize) {
         while !self.is_ready(index).await {
             tokio::time::sleep(CHECK_PAUSE).await;
@@ -265,7 +271,7 @@
         self.ledger.end_span(span);
     }
 
-    /// Starts the next incarnation of an upstream, under the last one's id if asked for.
+    /// Starts the next incarnation of an upstream, under the id of the last one if `same_id`, and lists it as ready.
     pub async fn start_upstream(&self, index: usize, same_id: bool) -> std::io::Result<()> {
         let upstream = &self.upstreams[index];
         if !same_id || upstream.incarnations.get() == 0 {
@@ -285,19 +291,21 @@
         Ok(())
     }
 
-    /// Sets the links between a VM and all others: what it is sent, and what it sends.
-    pub fn set_peers(&self, index: usize, comes: LinkMode, goes: LinkMode) {
+    /// Sets the modes of the links between a VM and all others: `incoming` for those to it, `outgoing` for those from
+    /// it.
+    pub fn set_peers(&self, index: usize, incoming: LinkMode, outgoing: LinkMode) {
         for link in self.vms[index].peers.iter().flatten() {
-            link.proxy.set(comes);
+            link.proxy.set(incoming);
         }
         for other in self.vms.iter().filter(|other| other.spec.index != index) {
             if let Some(link) = &other.peers[index] {
-                link.proxy.set(goes);
+                link.proxy.set(outgoing);
             }
         }
     }
 
-    /// The specs of a service in use and those of its next version; none while it is moved.
+    /// Begins a roll-out of a service. Returns the indices of its upstreams in use and of those for the next version;
+    /// none while another roll-out of the service is under way.
     pub fn begin_rollout(&self, service: usize) -> Option<(Vec<usize>, Vec<usize>)> {
         let half = self.halves[service].get();
         if half.in_rollout {
@@ -314,26 +322,26 @@
         Some((indices(half.second), indices(!half.second)))
     }
 
-    /// Whether a spec belongs to a half that is in use or being moved to.
+    /// Whether an upstream belongs to a half that is in use or that a roll-out moves to.
     pub fn in_use(&self, index: usize) -> bool {
         let spec = &self.upstreams[index].spec;
         let half = self.halves[usize::from(spec.service != "s1")].get();
         half.in_rollout || (index >= self.upstreams.len() / 2) == half.second
     }
 
-    /// The service is no longer moved; its other half is in use if that `completed`.
+    /// Ends the roll-out of a service. Its other half is in use from now on if the roll-out `completed`.
     pub fn end_rollout(&self, service: usize, completed: bool) {
         let second = self.halves[service].get().second != completed;
         self.halves[service].set(ServiceHalf { second, in_rollout: false });
     }
 
-    /// A version that was never used.
+    /// Returns a version that was not used before.
     pub fn next_version(&self) -> String {
         self.versions.set(self.versions.get() + 1);
         format!("v{}", self.versions.get())
     }
 
-    /// Starts a incarnation of another version.
+    /// Starts an incarnation of another version.
     pub async fn start_version(
         &self,
         index: usize,
@@ -344,13 +352,13 @@
         self.start_upstream(index, false).await
     }
 
-    /// An upstream ends, and its entry goes.
+    /// Ends an upstream and removes its entry from the list.
     pub fn end_upstream(&self, index: usize) {
         self.list.borrow_mut().rows[index] = None;
         drop(self.upstreams[index].incarnation.take());
     }
 
-    /// Shows an upstream as leaving.
+    /// Lists an upstream as leaving, and makes it announce that in its answers.
     pub fn mark_leaving(&self, index: usize) {
         if let Some(row) = self.list.borrow_mut().rows[index].as_mut() {
             row.leaving = true;
@@ -360,7 +368,7 @@
         }
     }
 
-    /// Shows an upstream as leaving; the number ends it.
+    /// Lists an upstream as leaving and records that. Returns the index of its ledger row.
     pub fn record_leaving(&self, index: usize) -> usize {
         self.mark_leaving(index);
         self.note_leaving(index)
@@ -378,14 +386,14 @@
         leaving.len() - 1
     }
 
-    /// Notes all processes that ended though nobody asked for it.
+    /// Records a fault for each VM whose process has ended without having been sent SIGTERM or SIGKILL.
     pub fn note_unexpected_ends(&self) {
         for vm in &self.vms {
             self.note_unexpected_end(vm);
         }
     }
 
-    /// The newest version that was acknowledged.
+    /// The newest version of a configuration that was acknowledged; 0 if none was.
     pub fn newest_acked(&self) -> u64 {
         let rows = self.ledger.rows.borrow();
         let acked = rows.orders.iter().filter(|order| order.acked_ms.is_some());
@@ -396,7 +404,7 @@
         versions.max().unwrap_or(0)
     }
 
-    /// Whether a zone was emptied, or may have been, and is not taken back.
+    /// Whether the evacuation of a zone was ordered, even without an acknowledgement, and its end was not acknowledged.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let rows = self.ledger.rows.borrow();
         let emptied = rows.orders.iter().rev().find_map(|order| match &order.content {
@@ -407,7 +415,7 @@
         emptied.unwrap_or(false)
     }
 
-    /// Starts a disturbance of this.
+    /// Records the start of a disturbance, see [`RunLedger::begin_span`].
     pub fn begin_span(&self, touched: Touched) -> usize {
         self.ledger.begin_span(touched)
     }
--- a/soak/src/steps.rs
+++ b/soak/src/steps.rs
@@ -1,7 +1,7 @@
-//! What each disturbance of a schedule does to a site.
+//! Carries out the disturbances of a schedule on a site.
 //!
-//! Each runs as a task of its own, so that they overlap; one whose target is already gone does
-//! nothing.
+//! Each disturbance runs as a task of its own, so that they overlap. A disturbance whose target has already ended
+//! does nothing.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::site::SoakSite;
 use crate::upstream::UpstreamIncarnation;
 
-/// An address is not given to another incarnation sooner (`reuseAfterS`).
+/// Milliseconds after the end of an upstream before its address is given to another incarnation (`reuseAfterS`).
 const REUSE_AFTER_MS: u64 = 2_000;
-/// An order that is not valid is sent again for this long.
+/// Milliseconds for which an invalid configuration is sent again.
 const INVALID_REPEAT_MS: u64 = 8_000;
 
 async fn pause(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Carries out one disturbance to its end.
+/// Carries out one disturbance, until it has ended and the affected VM is ready again.
 pub async fn run_disturbance(site: Rc<SoakSite>, callers: Rc<CallerShared>, what: Disturbance) {
     match what {
         Disturbance::StopVm(vm) => stop_vm(&site, vm).await,
@@ -45,9 +45,9 @@
         Disturbance::EndEarly(from, count, ms) => end_early(&site, from, count, ms).await,
         Disturbance::FaultyUpstream(at, ms) => faulty_upstream(&site, at, ms).await,
         Disturbance::UpstreamLink(at, mode, ms) => upstream_link(&site, at, mode, ms).await,
-        Disturbance::PeerLinks(vm, comes, goes, ms) => {
+        Disturbance::PeerLinks(vm, incoming, outgoing, ms) => {
             let span = site.begin_span(Touched::Vm(vm));
-            site.set_peers(vm, comes, goes);
+            site.set_peers(vm, incoming, outgoing);
             pause(ms).await;
             site.set_peers(vm, LinkMode::Open, LinkMode::Open);
             site.end_span_when_ready(vm, span).await;
@@ -67,7 +67,7 @@
             site.ledger.end_span(span);
         }
         Disturbance::ListEntries(ms) => {
-            // Not noted: entries that can't be read are no reason to miss the others.
+            // No span is recorded: unreadable entries do not excuse a VM from following the other entries.
             site.list.borrow_mut().unreadable = true;
             pause(ms).await;
             site.list.borrow_mut().unreadable = false;
@@ -125,6 +125,7 @@
     site.end_span_when_ready(vm, span).await;
 }
 
+/// Reloads changed settings, which can't be parsed if `broken`, and 500 ms later valid ones.
 async fn reload_vm(site: &SoakSite, vm: usize, broken: bool) {
     let spec = &site.vms[vm].spec;
     let change = site.ledger.now_ms();
@@ -136,6 +137,7 @@
     site.signal(vm, libc::SIGHUP);
 }
 
+/// Prevents a VM's files from growing for `ms` milliseconds.
 async fn fail_disk(site: &SoakSite, vm: usize, ms: u64) {
     let span = site.begin_span(Touched::Vm(vm));
     site.limit_files(vm, Some(0));
@@ -153,6 +155,7 @@
     site.ledger.end_span(span);
 }
 
+/// Starts the next incarnation of an upstream, unless its half of the service is no longer in use.
 pub(crate) async fn start_incarnation(site: &SoakSite, at: usize, same_id: bool) {
     if !site.in_use(at) {
         return;
@@ -162,6 +165,8 @@
     }
 }
 
+/// Lists an upstream as leaving, ends it after `ms` milliseconds, and starts another incarnation. Does nothing if the
+/// upstream is already leaving or not running.
 async fn leave_upstream(site: &SoakSite, at: usize, ms: u64) {
     let leaves = {
         let list = site.list.borrow();
@@ -172,7 +177,7 @@
     }
     let row = site.record_leaving(at);
     pause(ms).await;
-    // It may have crashed meanwhile, and another incarnation may have come.
+    // The upstream may have crashed meanwhile, and another incarnation may have been started.
     let still = site.list.borrow().rows[at].as_ref().is_some_and(|row| row.leaving);
     if still {
         site.list.borrow_mut().rows[at] = None;
@@ -188,8 +193,8 @@
     site.ledger.rows.borrow_mut().leaving[row].until_ms = Some(now);
 }
 
-/// Says nothing to the list, so that VMs know of it by answers alone; the restart that ends it is a
-/// disturbance like any other.
+/// Makes an upstream announce in its answers alone that it leaves, not in the list, and restarts it after `ms`
+/// milliseconds. Only the restart is recorded as a disturbance.
 async fn leave_unlisted(site: &SoakSite, at: usize, ms: u64) {
     let number = match site.upstreams[at].incarnation.borrow().as_ref() {
         Some(incarnation) => {
@@ -205,6 +210,7 @@
     }
 }
 
+/// Makes `count` upstreams from index `from` on refuse all requests and request back-off, for `ms` milliseconds.
 async fn reject_with_backoff(site: &SoakSite, from: usize, count: usize, ms: u64, backoff_ms: u64) {
     let set = |backoff_ms: u64| {
         for at in 0..count {
@@ -232,6 +238,7 @@
     site.ledger.end_span(span);
 }
 
+/// Makes three in four answers of `count` upstreams from index `from` on break off, for `ms` milliseconds.
 async fn end_early(site: &SoakSite, from: usize, count: usize, ms: u64) {
     let indices = || (0..count).map(|at| (from + at) % site.upstreams.len());
     let set = |early: bool| {
@@ -261,6 +268,8 @@
     site.ledger.end_span(span);
 }
 
+/// Puts the next configuration. With `revoke_key` it replaces the newest key, and callers get the new key once the
+/// order has ended.
 async fn put_document(site: &SoakSite, callers: &CallerShared, revoke_key: bool) {
     let row = site.operator.next_document(revoke_key);
     let key = row.keys.last().cloned();
@@ -270,6 +279,7 @@
     }
 }
 
+/// Puts an invalid configuration, and records a fault if it is acknowledged.
 async fn put_invalid(site: &SoakSite) {
     let row = invalid_document(&site.operator.next_document(false));
     let version = row.version;
@@ -279,6 +289,7 @@
     }
 }
 
+/// Evacuates a zone for `ms` milliseconds. Does nothing if it is already evacuated.
 async fn empty_zone(site: &SoakSite, zone: usize, ms: u64) {
     let zone = format!("z-{zone}");
     if site.is_evacuated(&zone) {
@@ -289,7 +300,7 @@
     return_zone(site, &zone).await;
 }
 
-/// Takes a zone back, with as many orders as it needs.
+/// Ends the evacuation of a zone, with as many orders as are needed for an acknowledgement.
 async fn return_zone(site: &SoakSite, zone: &str) {
     while !site.operator.order(OrderContent::ReturnZone(zone.to_string()), ZONE_REPEAT_MS).await {
         pause(100).await;
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -1,6 +1,7 @@
-//! Upstreams of a run: plain answers and streams whose every byte identifies its request.
+//! The upstreams of a run. Their plain answers and streams consist of the id of the attempt, so that every byte
+//! identifies its request.
 //!
-//! A run is noted before it is worked on, so that an answer which is lost still counts as run.
+//! A run is recorded before work on it begins, so a request whose answer is lost still counts as run.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,34 +20,35 @@
 use crate::schedule::VersionFault;
 use crate::upstream_wire::{split, AfterAnswer, PartialAnswer, WireRequest, WireWriter};
 
-/// Requests at which an upstream says that it is full.
+/// Number of requests that an upstream runs at a time. It refuses further ones.
 const UPSTREAM_SLOTS: u32 = 32;
-/// What an unsound version of the slow kind takes longer.
+/// Additional time that a version with [`VersionFault::Slow`] takes for a bad answer.
 const SLOW_DELAY: Duration = Duration::from_millis(700);
-/// The work of a plain request.
+/// Time that a plain request takes.
 const PLAIN_DELAY: Duration = Duration::from_millis(20);
 
-/// What an upstream is, apart from its incarnations.
+/// The properties of an upstream that all its incarnations share.
 #[derive(Clone, Debug)]
 pub struct UpstreamSpec {
-    /// Its index.
+    /// The index of the upstream.
     pub index: usize,
-    /// Its service.
+    /// The service of the upstream.
     pub service: String,
-    /// Its zone.
+    /// The zone of the upstream.
     pub zone: String,
-    /// Where VMs find it: the near end of its link.
+    /// The address in the list, at which the link of VMs to the upstream listens.
     pub listed: SocketAddr,
-    /// Where it listens: the far end.
+    /// The address at which the upstream listens, behind the link.
     pub inner: SocketAddr,
 }
 
+/// State that an incarnation shares with its connections.
 struct IncarnationState {
     spec: UpstreamSpec,
     id: String,
-    /// No other incarnation has it, whatever its id.
+    /// A number that no other incarnation has, even under the same id.
     number: u64,
-    /// The rest that it requests for while it turns everything away, in milliseconds; 0 while it doesn't.
+    /// The back-off that the upstream requests while it refuses all requests, in milliseconds; 0 while it does not.
     backoff_ms: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
@@ -56,18 +58,19 @@
     fault: VersionFault,
     started: Instant,
     crash: Notify,
-    /// Whether it has begun to run a request that ends it.
+    /// Whether the upstream has begun to run a request that crashes it.
     fatal: Cell<bool>,
     ledger: Rc<RunLedger>,
 }
 
-/// A request whose body begins with this ends the upstream that runs it.
+/// The start of the body of a request that crashes the upstream which runs it.
 pub const FATAL_BODY: &str = "fatal";
 
-/// One incarnation of an upstream, with the link to it.
+/// One incarnation of an upstream, from its start to its crash or end, with the link to it. Dropping it crashes the
+/// upstream.
 pub struct UpstreamIncarnation {
     state: Rc<IncarnationState>,
-    /// The link of VMs to it.
+    /// The link of VMs to the upstream.
     pub link: LinkProxy,
     accepting: JoinHandle<()>,
 }
@@ -76,6 +79,7 @@
     static RUN_NUMBER: RefCell<u64> = const { RefCell::new(0) };
 }
 
+/// Returns a number that this process has not used before, for a run or an incarnation.
 fn next_run() -> u64 {
     RUN_NUMBER.with_borrow_mut(|number| {
         *number += 1;
@@ -84,7 +88,7 @@
 }
 
 impl UpstreamIncarnation {
-    /// Starts a incarnation.
+    /// Starts an incarnation under this id, with a version and its fault.
     pub async fn start(
         spec: UpstreamSpec,
         id: &str,
@@ -118,33 +122,33 @@
         Ok(UpstreamIncarnation { state, link, accepting })
     }
 
-    /// From now on all answers say so, health checks are answered 503, and connections are closed after an
-    /// answer.
+    /// Makes the upstream leave: its answers announce it, health checks get status 503, and connections are closed
+    /// after an answer.
     pub fn leave(&self) {
         self.state.leaving.set(true);
     }
 
-    /// Which incarnation it is.
+    /// The number of the incarnation, which no other one has.
     pub fn number(&self) -> u64 {
         self.state.number
     }
 
-    /// Turns everything away and requests for so much rest, in milliseconds; 0 ends that.
+    /// Makes the upstream refuse all requests and request this back-off, in milliseconds; 0 ends that.
     pub fn set_backoff(&self, backoff_ms: u64) {
         self.state.backoff_ms.set(backoff_ms);
     }
 
-    /// Whether it has begun to run a request that ends it.
+    /// Whether the upstream has begun to run a request that crashes it.
     pub fn is_fatal(&self) -> bool {
         self.state.fatal.get()
     }
 
-    /// Whether three in four answers break off.
+    /// Sets whether three in four answers break off.
     pub fn set_early(&self, early: bool) {
         self.state.early.set(early);
     }
 
-    /// Whether three in four plain answers fail, are cut, or are those to another request.
+    /// Sets whether three in four plain answers fail, break off, or are those to another request.
     pub fn set_faulty(&self, faulty: bool) {
         self.state.faulty.set(faulty);
     }
@@ -157,6 +161,7 @@
     }
 }
 
+/// Serves one connection until it ends or the upstream crashes.
 async fn serve(stream: TcpStream, state: Rc<IncarnationState>) {
     let (mut reader, mut writer) = split(stream);
     let exchanges = async {
@@ -182,8 +187,9 @@
     }
 }
 
-/// A process that ends has its connections closed cleanly. A plain answer without framing is reset, since
-/// nothing would tell it from a whole one.
+/// Returns how a crash ends a connection, and records how much of an unfinished answer was sent. The end of a process
+/// closes its connections cleanly. A plain answer without framing is reset instead, as nothing would distinguish the
+/// part that was sent from a whole answer.
 fn after_crash(state: &IncarnationState, open: Option<PartialAnswer>) -> AfterAnswer {
     let Some(PartialAnswer { plan, sent }) = open else { return AfterAnswer::Closed };
     if plan.framing == Framing::Connection && !matches!(plan.kind, AnswerKind::Stream(_)) {
@@ -196,7 +202,7 @@
     AfterAnswer::Closed
 }
 
-/// Counts a request while it is worked on.
+/// Counts a request as running until it is dropped.
 struct RunningGuard(Rc<IncarnationState>);
 
 impl RunningGuard {
@@ -212,7 +218,7 @@
     }
 }
 
-/// Notes a request that arrived, and tells the headers that turn it away while rest is asked for.
+/// Records the arrival of a request. Returns the headers of its refusal while the upstream requests back-off.
 fn reject_for_backoff(state: &IncarnationState, attempt: &str) -> Option<String> {
     let backoff_ms = state.backoff_ms.get();
     state.ledger.rows.borrow_mut().arrivals.push(ArrivalRow {
@@ -228,7 +234,7 @@
     (backoff_ms > 0).then_some(headers)
 }
 
-/// What is answered to a run, and how.
+/// Draws the plan of the answer to a run; `bad` marks a run that shows the fault of the version.
 fn plan_answer(
     state: &IncarnationState,
     request: &WireRequest,
@@ -255,6 +261,7 @@
     }
 }
 
+/// Records the start of a run. Returns its ledger row, and a guard that counts it as running.
 fn record_run(
     state: &Rc<IncarnationState>,
     request: &WireRequest,
@@ -281,6 +288,7 @@
     (row, guard)
 }
 
+/// Answers one request, and returns what becomes of its connection.
 async fn answer(
     request: &WireRequest,
     state: &Rc<IncarnationState>,
@@ -308,7 +316,7 @@
     let (row, guard) = record_run(state, request, attempt);
     if request.body.starts_with(FATAL_BODY.as_bytes()) {
         state.fatal.set(true);
-        // Whoever watches ends this incarnation, and with it this connection.
+        // The task that sends such requests then crashes this incarnation, which ends this connection.
         std::future::pending::<()>().await;
     }
     let plan = row.make;
--- a/soak/src/upstream_wire.rs
+++ b/soak/src/upstream_wire.rs
@@ -1,4 +1,5 @@
-//! An upstream's side of HTTP/1.1 by hand, since a library would frame each answer properly.
+//! The server side of HTTP/1.1 for upstreams. It is written by hand, as a library does not send answers with broken
+//! framing.
 
 use std::time::Duration;
 
@@ -11,27 +12,28 @@
 
 /// The pause before each event.
 const EVENT_PAUSE: Duration = Duration::from_millis(40);
-/// The pause between the pieces of an event.
+/// The pause between the two writes of a head, an event or a plain body.
 const PIECE_PAUSE: Duration = Duration::from_millis(4);
-/// How often a connection on which more came is looked at again.
+/// Interval at which a connection with unread bytes is checked for its end.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request as it was read.
+/// A request that was read from a connection.
 pub struct WireRequest {
-    /// Its path.
+    /// The path of the request.
     pub path: String,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
     head: String,
 }
 
 impl WireRequest {
-    /// A header's value, or nothing.
+    /// Returns the value of a header; empty if there is none.
     pub fn header_value(&self, name: &str) -> &str {
         find_header(&self.head, name).unwrap_or_default()
     }
 }
 
+/// Returns the value of the first header with this name.
 fn find_header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let pairs = head.split("\r\n").skip(1).filter_map(|line| line.split_once(':'));
     let mut found = pairs.filter(|(key, _)| key.trim().eq_ignore_ascii_case(name));
@@ -45,7 +47,7 @@
 }
 
 impl WireReader {
-    /// The next request; none once the connection has ended or can't be read.
+    /// Reads the next request; none if the connection has ended or the request is malformed.
     pub async fn next(&mut self) -> Option<WireRequest> {
         let head_end = self.read_until(b"\r\n\r\n").await?;
         let head = String::from_utf8(self.take_bytes(head_end)).ok()?;
@@ -59,6 +61,7 @@
         Some(WireRequest { path, body, head })
     }
 
+    /// Reads a chunked body up to its last chunk.
     async fn read_chunks(&mut self) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
@@ -78,7 +81,7 @@
         (count > 0).then_some(())
     }
 
-    /// Where these bytes end, once they came.
+    /// Reads until the buffer contains `mark`. Returns the position after it.
     async fn read_until(&mut self, mark: &[u8]) -> Option<usize> {
         loop {
             if let Some(at) = self.buffer.windows(mark.len()).position(|bytes| bytes == mark) {
@@ -99,7 +102,7 @@
         self.buffer.drain(..length).collect()
     }
 
-    /// Waits until the other side has ended the connection.
+    /// Waits until the other side has ended the connection, and leaves unread bytes in place.
     pub async fn wait_for_close(&mut self) {
         let mut byte = [0; 1];
         while matches!(self.read.peek(&mut byte).await, Ok(1..)) {
@@ -108,23 +111,23 @@
     }
 }
 
-/// What was sent of an answer's body so far.
+/// An answer that is being sent.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialAnswer {
-    /// The answer.
+    /// The plan of the answer.
     pub plan: AnswerPlan,
-    /// Bytes after its head that were handed to the connection; none before all of the head was.
+    /// Bytes after the head that were written to the connection; none until the whole head was.
     pub sent: Option<usize>,
 }
 
 /// The writing half of a connection.
 pub struct WireWriter {
     write: OwnedWriteHalf,
-    /// The answer under way.
+    /// The answer that is being sent, if there is one.
     pub partial: Option<PartialAnswer>,
 }
 
-/// Both halves of a connection.
+/// Splits a connection into its reading and its writing half.
 pub fn split(stream: TcpStream) -> (WireReader, WireWriter) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
@@ -134,7 +137,7 @@
 /// What becomes of a connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAnswer {
-    /// It is kept.
+    /// It stays open for the next request.
     Kept,
     /// It is closed cleanly.
     Closed,
@@ -143,13 +146,14 @@
 }
 
 impl WireWriter {
-    /// Sends a short answer with its length.
+    /// Sends an answer without a body.
     pub async fn send_short(&mut self, status: u16, headers: &str) -> std::io::Result<()> {
         let text = format!("HTTP/1.1 {status} S\r\n{headers}content-length: 0\r\n\r\n");
         self.write.write_all(text.as_bytes()).await
     }
 
-    /// Sends an answer as it was made, its bytes split anywhere.
+    /// Sends an answer as planned. The head and each piece of the body are written in two parts, split at a random
+    /// position.
     pub async fn send(
         &mut self,
         plan: AnswerPlan,
@@ -181,7 +185,7 @@
                 tokio::time::sleep(EVENT_PAUSE).await;
             }
             let count = piece.len().min(left);
-            // A chunk may be cut within, or be a shorter one after which nothing comes.
+            // The last chunk of a body that breaks off is either cut short, or a whole chunk of the shorter length.
             let within = !framed_early && random.gen();
             let bytes = framed(plan.framing, &piece, count, within);
             self.write_split(&bytes, random.gen_range(0..bytes.len())).await?;
@@ -193,7 +197,7 @@
         }
         Ok(match plan.early.map(|early| early.end) {
             Some(EarlyEnd::Reset) => {
-                // What was sent before a reset that follows at once is lost with it.
+                // A reset right after a write would discard the bytes that are not delivered yet.
                 tokio::time::sleep(EVENT_PAUSE).await;
                 AfterAnswer::Reset
             }
@@ -218,7 +222,7 @@
         Ok(())
     }
 
-    /// Resets the connection, once the other half is dropped too.
+    /// Resets the connection once the reading half is dropped too.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(self.write.as_ref());
         let _ = socket.set_linger(Some(Duration::ZERO));
@@ -226,7 +230,8 @@
     }
 }
 
-/// The first bytes of a piece in their framing; `within` announces all of the piece.
+/// Frames the first `count` bytes of a piece. With `within` a chunk states the length of the whole piece, so that it is
+/// cut short.
 fn framed(framing: Framing, piece: &[u8], count: usize, within: bool) -> Vec<u8> {
     let sent = &piece[..count];
     match framing {
