--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -138,8 +138,8 @@
             return keys.first().cloned().unwrap_or_default();
         }
         // Sometimes use the key before the newest, which may have been revoked by now.
-        let back = if self.random.gen_bool(0.15) { 2 } else { 1 };
-        keys.get(keys.len().saturating_sub(back)).cloned().unwrap_or_default()
+        let age = if self.random.gen_bool(0.15) { 2 } else { 1 };
+        keys.get(keys.len().saturating_sub(age)).cloned().unwrap_or_default()
     }
 
     async fn send(
@@ -191,11 +191,11 @@
         Ok(body) => body.to_bytes().to_vec(),
         Err(_) => return (RequestEnd::Cut, None),
     };
-    let seen = ReceivedAnswer { status, stamped, body };
+    let received = ReceivedAnswer { status, stamped, body };
     let end = match status {
         200 if named.as_deref() == Some(attempt) => RequestEnd::Whole,
         200 => RequestEnd::Wrong(format!("the answer names {named:?}")),
         status => RequestEnd::Status(status),
     };
-    (end, Some(seen))
+    (end, Some(received))
 }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -33,7 +33,7 @@
     body: &str,
     timeout: Duration,
 ) -> Option<(u16, String)> {
-    let whole = async {
+    let exchange = async {
         let mut sender = connect(address, timeout).await?;
         let request = Request::builder().method(method).uri(path).header("host", "a.example");
         let request = request.body(Full::new(Bytes::from(body.to_string()))).ok()?;
@@ -42,5 +42,5 @@
         let body = answer.into_body().collect().await.ok()?.to_bytes();
         Some((status, String::from_utf8_lossy(&body).into_owned()))
     };
-    tokio::time::timeout(timeout, whole).await.ok().flatten()
+    tokio::time::timeout(timeout, exchange).await.ok().flatten()
 }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -331,12 +331,15 @@
                 continue;
             }
             let oldest = self.oldest_allowed(request.sent_ms, bound);
-            let may = self.documents().filter(|(row, _)| row.version >= oldest);
-            let may: Vec<&str> = may.map(|(row, _)| row.moved_to.as_str()).collect();
+            let allowed = self.documents().filter(|(row, _)| row.version >= oldest);
+            let allowed: Vec<&str> = allowed.map(|(row, _)| row.moved_to.as_str()).collect();
             let runs = self.runs_of(request).iter();
-            let other = runs.copied().find(|run| !may.contains(&run.service.as_str()));
+            let other = runs.copied().find(|run| !allowed.contains(&run.service.as_str()));
             if let Some(run) = other {
-                self.add("orders in force", format!("{oldest} held, but {run:?} of {request:?}"));
+                self.add(
+                    "orders in force",
+                    format!("version {oldest} is in force, but {run:?} of {request:?}"),
+                );
             }
         }
     }
@@ -345,10 +348,13 @@
     fn check_keys(&mut self) {
         for request in &self.rows.requests {
             let oldest = self.oldest_allowed(request.sent_ms, REVOKE_MS);
-            let mut may = self.documents().filter(|(row, _)| row.version >= oldest);
-            let held = may.any(|(row, _)| row.keys.contains(&request.key));
-            if !held && !self.runs_of(request).is_empty() {
-                self.add("keys taken away", format!("{oldest} held, but it ran: {request:?}"));
+            let mut allowed = self.documents().filter(|(row, _)| row.version >= oldest);
+            let is_valid = allowed.any(|(row, _)| row.keys.contains(&request.key));
+            if !is_valid && !self.runs_of(request).is_empty() {
+                self.add(
+                    "keys taken away",
+                    format!("version {oldest} is in force, but it ran: {request:?}"),
+                );
             }
         }
     }
@@ -362,12 +368,18 @@
             };
             let oldest = self.oldest_allowed(read.sent_ms, APPLY_MS);
             if version < oldest {
-                self.add("orders kept", format!("{version} read at VM {}, {oldest} held", read.vm));
+                self.add(
+                    "orders kept",
+                    format!(
+                        "version {version} is read at VM {}, but {oldest} is in force",
+                        read.vm
+                    ),
+                );
             }
             let sent = self.documents().find(|(row, _)| row.version == version);
             let same = sent.is_some_and(|(row, _)| same_json(&row.text, &read.text));
             if !same {
-                self.add("orders kept", format!("{version} was never sent like this"));
+                self.add("orders kept", format!("version {version} was never sent like this"));
             }
         }
     }
@@ -423,13 +435,13 @@
 
     /// Runs at the target version of requests by VMs in contact, each with the time at which the caller sent it.
     fn exposed(&self, row: &RollOutRow) -> Vec<(&'a RunRow, u64)> {
-        let of = self.rows.runs.iter().filter(|run| run.version == row.target);
-        let asked = of.filter_map(|run| {
+        let target_runs = self.rows.runs.iter().filter(|run| run.version == row.target);
+        let sent_runs = target_runs.filter_map(|run| {
             let request = self.requests.get(run.attempt.as_str())?;
             self.in_contact_since(request.vm, run.at_ms)?;
             Some((run, request.sent_ms))
         });
-        asked.collect()
+        sent_runs.collect()
     }
 
     /// Checks how many requests an unsound version got during its roll-out.
--- a/soak/src/judge_answers.rs
+++ b/soak/src/judge_answers.rs
@@ -6,33 +6,33 @@
 /// Describes what is wrong with the answer to a request that had these runs; none if nothing is wrong, or if no
 /// answer ended as complete.
 pub fn answer_fault(rows: &LedgerRows, request: &RequestRow, runs: &[&RunRow]) -> Option<String> {
-    let seen = request.answer.as_ref()?;
-    if (200..300).contains(&seen.status) && !seen.stamped {
+    let received = request.answer.as_ref()?;
+    if (200..300).contains(&received.status) && !received.stamped {
         return Some("a success without a stamp".to_string());
     }
     // Only answers of upstreams carry a stamp; refusals by a VM have none.
-    if !seen.stamped || (request.old && overlaps_vm_disturbance(rows, request)) {
+    if !received.stamped || (request.old && overlaps_vm_disturbance(rows, request)) {
         return None;
     }
     if runs.is_empty() {
         return Some("an answer without any run".to_string());
     }
     let ends: Vec<RunEnd> = runs.iter().map(|run| run_end(rows, run)).collect();
-    let of = runs.iter().zip(&ends);
-    let whole = of.clone().any(|(run, end)| {
-        let made = run.make.pieces(&request.attempt).concat();
-        run.make.status() == seen.status && *end == RunEnd::Whole && made == seen.body
+    let answers = runs.iter().zip(&ends);
+    let whole = answers.clone().any(|(run, end)| {
+        let body = run.make.pieces(&request.attempt).concat();
+        run.make.status() == received.status && *end == RunEnd::Whole && body == received.body
     });
     if whole {
         return None;
     }
     let streams =
-        matches!(request.kind, RequestKind::Stream | RequestKind::Resume) && seen.status == 200;
+        matches!(request.kind, RequestKind::Stream | RequestKind::Resume) && received.status == 200;
     if !streams {
         return Some(format!("complete, but of {:?}", plans(runs, &ends)));
     }
-    let mut joined = JoinedRuns { rest: &seen.body, next: 1, ended: false };
-    for (run, end) in of {
+    let mut joined = JoinedRuns { rest: &received.body, next: 1, ended: false };
+    for (run, end) in answers {
         if joined.next == 1 || request.kind == RequestKind::Resume {
             joined.consume(&request.attempt, &run.make, *end);
         }
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -84,7 +84,7 @@
     pub vm: usize,
     /// How often its route permits it to run.
     pub kind: RequestKind,
-    /// The first part of its path.
+    /// The name of its route, which is the first part of its path.
     pub route: String,
     /// The API key that it carried.
     pub key: String,
@@ -113,7 +113,7 @@
     pub zone: String,
     /// When the request had arrived.
     pub at_ms: u64,
-    /// The version of the upstream.
+    /// The version of the software of the upstream.
     pub version: String,
     /// Whether the version is unsound and this run shows it, by a failure or a late answer.
     pub bad: bool,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -11,7 +11,7 @@
 use wingshed_soak::run::{play_steps, run_network, RunPlan, RunVerdict};
 use wingshed_soak::schedule::{schedule, PlannedStep, RunSize, DEFAULT_SIZE, LARGE_SIZE};
 
-/// breaks real processes by the schedules of seeds and checks what was promised
+/// disturbs real processes by the schedules of seeds and checks what the system promises
 #[derive(FromArgs)]
 struct SoakArguments {
     /// how many seeds
@@ -26,7 +26,7 @@
     /// the case to play in place of seeds, or "all"
     #[argh(option)]
     case: Option<String>,
-    /// the program of a VM; beside this one by default
+    /// the program of a VM; by default wingshed-node in the folder of this program
     #[argh(option)]
     program: Option<PathBuf>,
     /// keep the logs of sound runs too
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -35,7 +35,7 @@
         SoakOperator { ledger, vms, next_vm, version, keys_taken }
     }
 
-    /// The next configuration; with `revoke_key` another key stands in it for the last.
+    /// Returns the configuration of the next version. With `revoke_key` a new key replaces the newest one.
     pub fn next_document(&self, revoke_key: bool) -> DocumentRow {
         self.version.set(self.version.get() + 3);
         self.keys_taken.set(self.keys_taken.get() + u64::from(revoke_key));
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -138,7 +138,7 @@
     let control = site.vms[vm % site.vms.len()].spec.control();
     let answer = call_once(control, "POST", "/rollouts/start", body, ANSWER_WAIT).await;
     if let Some((status @ (400..=407 | 410..=428 | 430..=499), text)) = answer {
-        let seen = format!("a repeated roll-out {body} was refused with {status}: {text}");
-        site.ledger.rows.borrow_mut().run_faults.push(seen);
+        let fault = format!("a repeated roll-out {body} was refused with {status}: {text}");
+        site.ledger.rows.borrow_mut().run_faults.push(fault);
     }
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -155,8 +155,9 @@
         }
     };
     if tokio::time::timeout(Duration::from_millis(MAX_STEPS_MS), all).await.is_err() {
-        let seen = "a VM was not ready again, or an order was not accepted, after 60 s".to_string();
-        site.ledger.rows.borrow_mut().run_faults.push(seen);
+        let fault =
+            "a VM was not ready again, or an order was not accepted, after 60 s".to_string();
+        site.ledger.rows.borrow_mut().run_faults.push(fault);
     }
 }
 
@@ -170,8 +171,8 @@
             let Some(fault) = fault else { break };
             let took = site.ledger.now_ms() - from_ms;
             if took > max_ms {
-                let seen = format!("{when}: VM {vm} after {took} ms: {fault}");
-                site.ledger.rows.borrow_mut().run_faults.push(seen);
+                let fault = format!("{when}: VM {vm} after {took} ms: {fault}");
+                site.ledger.rows.borrow_mut().run_faults.push(fault);
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -135,12 +135,12 @@
             });
         }
         // The second half is for new versions, and has no incarnations at first.
-        let first_half = size.upstreams;
+        let half_count = size.upstreams;
         let upstream = |index: usize| SiteUpstream {
             spec: UpstreamSpec {
                 index,
-                service: format!("s{}", 1 + index % first_half / 3 % 2),
-                zone: format!("z-{}", index % first_half % 3),
+                service: format!("s{}", 1 + index % half_count / 3 % 2),
+                zone: format!("z-{}", index % half_count % 3),
                 listed: address(network, index + 100, 9100),
                 inner: address(network, index + 100, 9101),
             },
@@ -182,9 +182,9 @@
     fn note_unexpected_end(&self, vm: &SiteVm) {
         if let Some(process) = vm.process.borrow_mut().as_mut() {
             if process.has_ended() && !vm.stop_requested.get() {
-                let seen =
+                let fault =
                     format!("VM {} ended by itself: {}", vm.spec.index, process.exit_status_text());
-                self.ledger.rows.borrow_mut().run_faults.push(seen);
+                self.ledger.rows.borrow_mut().run_faults.push(fault);
             }
         }
     }
@@ -246,9 +246,9 @@
             }
             let now = self.ledger.now_ms();
             if now > signalled_ms.max(vm.frozen_until_ms.get()) + STOP_WAIT_MS {
-                let seen =
+                let fault =
                     format!("VM {index} had not ended {} ms after SIGTERM", now - signalled_ms);
-                self.ledger.rows.borrow_mut().run_faults.push(seen);
+                self.ledger.rows.borrow_mut().run_faults.push(fault);
                 self.signal(index, libc::SIGKILL);
                 return;
             }
@@ -284,8 +284,8 @@
         let incarnation =
             UpstreamIncarnation::start(spec.clone(), &id, software, self.ledger.clone()).await?;
         *upstream.incarnation.borrow_mut() = Some(incarnation);
-        let born = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let started_ms = born.map_or(0, |since| since.as_millis() as u64);
+        let started = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+        let started_ms = started.map_or(0, |since| since.as_millis() as u64);
         self.list.borrow_mut().rows[index] =
             Some(ListRow { spec, id, started_ms, version, leaving: false });
         Ok(())
@@ -313,11 +313,12 @@
         }
         self.halves[service].set(ServiceHalf { in_rollout: true, ..half });
         let name = format!("s{}", service + 1);
-        let first_half = self.upstreams.len() / 2;
+        let half_count = self.upstreams.len() / 2;
         let indices = |second: bool| {
-            let of = self.upstreams.iter().map(|upstream| &upstream.spec);
-            let of = of.filter(|spec| spec.service == name && (spec.index >= first_half) == second);
-            of.map(|spec| spec.index).collect()
+            let specs = self.upstreams.iter().map(|upstream| &upstream.spec);
+            let specs =
+                specs.filter(|spec| spec.service == name && (spec.index >= half_count) == second);
+            specs.map(|spec| spec.index).collect()
         };
         Some((indices(half.second), indices(!half.second)))
     }
@@ -407,12 +408,12 @@
     /// Whether the evacuation of a zone was ordered, even without an acknowledgement, and its end was not acknowledged.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let rows = self.ledger.rows.borrow();
-        let emptied = rows.orders.iter().rev().find_map(|order| match &order.content {
+        let evacuated = rows.orders.iter().rev().find_map(|order| match &order.content {
             OrderContent::EmptyZone(other) if other == zone => Some(true),
             OrderContent::ReturnZone(other) if other == zone => Some(order.acked_ms.is_none()),
             _ => None,
         });
-        emptied.unwrap_or(false)
+        evacuated.unwrap_or(false)
     }
 
     /// Records the start of a disturbance, see [`RunLedger::begin_span`].
--- a/soak/src/steps.rs
+++ b/soak/src/steps.rs
@@ -284,8 +284,8 @@
     let row = invalid_document(&site.operator.next_document(false));
     let version = row.version;
     if site.operator.order(OrderContent::Invalid(row), INVALID_REPEAT_MS).await {
-        let seen = format!("the invalid configuration {version} was acknowledged");
-        site.ledger.rows.borrow_mut().run_faults.push(seen);
+        let fault = format!("the invalid configuration {version} was acknowledged");
+        site.ledger.rows.borrow_mut().run_faults.push(fault);
     }
 }
 
--- a/soak/src/upstream_wire.rs
+++ b/soak/src/upstream_wire.rs
@@ -164,10 +164,10 @@
         let pieces = plan.pieces(attempt);
         let whole: usize = pieces.iter().map(Vec::len).sum();
         let framed_early = plan.early.is_some_and(|early| early.end == EarlyEnd::Framed);
-        let most = plan.early.map_or(whole, |early| early.sent);
+        let body_length = plan.early.map_or(whole, |early| early.sent);
         let framing = match plan.framing {
             Framing::Length => {
-                format!("content-length: {}\r\n", if framed_early { most } else { whole })
+                format!("content-length: {}\r\n", if framed_early { body_length } else { whole })
             }
             Framing::Chunked => "transfer-encoding: chunked\r\n".to_string(),
             Framing::Connection => String::new(),
@@ -176,7 +176,7 @@
         let mut random = draw_of(plan.splits);
         self.write_split(head.as_bytes(), random.gen_range(0..head.len())).await?;
         self.partial = Some(PartialAnswer { plan, sent: Some(0) });
-        let mut left = most;
+        let mut left = body_length;
         for piece in pieces {
             if left == 0 {
                 break;
@@ -186,13 +186,13 @@
             }
             let count = piece.len().min(left);
             // The last chunk of a body that breaks off is either cut short, or a whole chunk of the shorter length.
-            let within = !framed_early && random.gen();
-            let bytes = framed(plan.framing, &piece, count, within);
+            let cut_short = !framed_early && random.gen();
+            let bytes = framed(plan.framing, &piece, count, cut_short);
             self.write_split(&bytes, random.gen_range(0..bytes.len())).await?;
             left -= count;
         }
-        let ends = plan.early.is_none() || framed_early;
-        if ends && plan.framing == Framing::Chunked {
+        let is_ended = plan.early.is_none() || framed_early;
+        if is_ended && plan.framing == Framing::Chunked {
             self.write.write_all(b"0\r\n\r\n").await?;
         }
         Ok(match plan.early.map(|early| early.end) {
@@ -230,13 +230,13 @@
     }
 }
 
-/// Frames the first `count` bytes of a piece. With `within` a chunk states the length of the whole piece, so that it is
+/// Frames the first `count` bytes of a piece. With `cut_short` a chunk states the length of the whole piece, so that it is
 /// cut short.
-fn framed(framing: Framing, piece: &[u8], count: usize, within: bool) -> Vec<u8> {
+fn framed(framing: Framing, piece: &[u8], count: usize, cut_short: bool) -> Vec<u8> {
     let sent = &piece[..count];
     match framing {
         Framing::Length | Framing::Connection => sent.to_vec(),
-        Framing::Chunked if within && count < piece.len() => {
+        Framing::Chunked if cut_short && count < piece.len() => {
             [format!("{:x}\r\n", piece.len()).as_bytes(), sent].concat()
         }
         Framing::Chunked => [format!("{count:x}\r\n").as_bytes(), sent, b"\r\n"].concat(),
