--- a/soak/tests/test_answers.rs
+++ b/soak/tests/test_answers.rs
@@ -1,4 +1,4 @@
-//! What the judge plans of answers that end early, by framing and by where they stop.
+//! Which answers the judge accepts as complete, by their framing, and by where and how they break off.
 
 use wingshed_soak::answer_make::{
     draw_of, AnswerKind, AnswerPlan, EarlyEnd, EarlyStop, Framing, LineEnd, StopPlace,
@@ -61,7 +61,7 @@
     }
 }
 
-/// What is wrong with a complete answer of these bytes to a request that had these runs.
+/// Returns the fault of a complete answer of these bytes to a request that had runs with these answers.
 fn fault(kind: RequestKind, seen: &[u8], plans: &[AnswerPlan]) -> Option<String> {
     let runs: Vec<RunRow> = plans.iter().map(|plan| run(*plan)).collect();
     let sent = plans.iter().map(|plan| SentRow { run: plan.run, end: SentEnd::AsMade });
@@ -91,7 +91,10 @@
                 }
                 let mut pieces = made.pieces("a");
                 pieces.remove(1.min(pieces.len() - 1));
-                assert!(fault(kind, &pieces.concat(), &[made]).is_some(), "{made:?} lacks one");
+                assert!(
+                    fault(kind, &pieces.concat(), &[made]).is_some(),
+                    "{made:?} without one event"
+                );
                 bytes.push(b'\n');
                 assert!(fault(kind, &bytes, &[made]).is_some(), "{made:?} with a byte more");
             }
@@ -113,8 +116,8 @@
                     let boundary = sent == two || sent == pieces[0].len();
                     let clean = framing == Framing::Connection && end != EarlyEnd::Reset;
                     for kind in [RequestKind::Stream, RequestKind::Resume] {
-                        let told = fault(kind, &bytes[..sent], &[made]).is_some();
-                        assert_eq!(told, !(boundary && clean), "{kind:?} {made:?}");
+                        let has_fault = fault(kind, &bytes[..sent], &[made]).is_some();
+                        assert_eq!(has_fault, !(boundary && clean), "{kind:?} {made:?}");
                     }
                 }
             }
@@ -135,7 +138,11 @@
         }
         let broken = early(whole, 5, EarlyEnd::Reset);
         let again = AnswerPlan { run: 2, ..whole };
-        assert_eq!(fault(RequestKind::Safe, &bytes, &[broken, again]), None, "asked for again");
+        assert_eq!(
+            fault(RequestKind::Safe, &bytes, &[broken, again]),
+            None,
+            "the second run is whole"
+        );
     }
 }
 
@@ -159,7 +166,7 @@
 
     let with_rest_of_event = [begun.clone(), b"id:".to_vec(), body(&rest)].concat();
     assert!(fault(RequestKind::Resume, &with_rest_of_event, &[broken, rest]).is_some());
-    assert!(fault(RequestKind::Stream, &joined, &[broken, rest]).is_some(), "may not be joined");
+    assert!(fault(RequestKind::Stream, &joined, &[broken, rest]).is_some(), "must not be joined");
     let lacks_one = [begun.clone(), stream(2, 3, Framing::Chunked).pieces("a").concat()].concat();
     assert!(fault(RequestKind::Resume, &lacks_one, &[broken, rest]).is_some());
     let broken_again = early(rest, 10, EarlyEnd::Close);
@@ -173,18 +180,18 @@
 fn a_life_that_ends_under_a_stream_leaves_what_it_sent() {
     let made = stream(1, 0, Framing::Connection);
     let event = made.pieces("a")[0].clone();
-    let told = |sent: usize, framing: Framing| {
+    let has_fault = |sent: usize, framing: Framing| {
         let made = AnswerPlan { framing, ..made };
         let end = SentEnd::Closed(sent);
         let rows = LedgerRows { sent: vec![SentRow { run: 1, end }], ..LedgerRows::default() };
         answer_fault(&rows, &request_row(RequestKind::Stream, &body(&made)[..sent]), &[&run(made)])
             .is_some()
     };
-    assert!(!told(event.len(), Framing::Connection));
-    assert!(told(event.len() - 1, Framing::Connection));
-    assert!(told(event.len() + 1, Framing::Connection));
-    assert!(told(event.len(), Framing::Chunked));
-    assert!(told(0, Framing::Connection));
+    assert!(!has_fault(event.len(), Framing::Connection));
+    assert!(has_fault(event.len() - 1, Framing::Connection));
+    assert!(has_fault(event.len() + 1, Framing::Connection));
+    assert!(has_fault(event.len(), Framing::Chunked));
+    assert!(has_fault(0, Framing::Connection));
 }
 
 #[test]
@@ -201,14 +208,14 @@
     let made = plan(1, AnswerKind::Plain, Framing::Length, LineEnd::Lf);
     let mut asked = request_row(RequestKind::Once, &body(&made)[..5]);
     let span = |vm| SpanRow { touched: Touched::Vm(vm), from_ms: 1_500, until_ms: Some(1_600) };
-    let told = |asked: &RequestRow, vm| {
+    let has_fault = |asked: &RequestRow, vm| {
         let rows = LedgerRows { spans: vec![span(vm)], ..LedgerRows::default() };
         answer_fault(&rows, asked, &[&run(made)]).is_some()
     };
-    assert!(told(&asked, 0));
+    assert!(has_fault(&asked, 0));
     asked.old = true;
-    assert!(!told(&asked, 0));
-    assert!(told(&asked, 1));
+    assert!(!has_fault(&asked, 0));
+    assert!(has_fault(&asked, 1));
 }
 
 #[test]
@@ -222,10 +229,10 @@
         seen.insert((made.framing, kind == AnswerKind::Plain, stop.place, stop.end));
         let bytes = body(&made);
         assert!(stop.sent <= bytes.len(), "{made:?}");
-        let told = fault(RequestKind::Once, &bytes[..stop.sent], &[made]).is_some();
+        let has_fault = fault(RequestKind::Once, &bytes[..stop.sent], &[made]).is_some();
         let unframed = made.framing == Framing::Connection && stop.end == EarlyEnd::Close;
         let may_look_whole = kind != AnswerKind::Plain && unframed;
-        assert!(told || may_look_whole, "{made:?}");
+        assert!(has_fault || may_look_whole, "{made:?}");
         if stop.end == EarlyEnd::Framed {
             assert!(kind != AnswerKind::Plain, "{made:?}");
             let mut at = 0;
--- a/soak/tests/test_judge.rs
+++ b/soak/tests/test_judge.rs
@@ -1,4 +1,4 @@
-//! Each promise that is broken by the rows of a run is told, and none that holds.
+//! The judge reports each promise that the rows of a run break, and no promise that they keep.
 
 use wingshed_soak::answer_make::{AnswerKind, AnswerPlan, Framing, LineEnd};
 use wingshed_soak::judge::judge;
@@ -11,7 +11,7 @@
 fn request_row(kind: RequestKind, sent_ms: u64, end: RequestEnd) -> RequestRow {
     let (attempt, key) = ("a".to_string(), "k1".to_string());
     let route = "moved".to_string();
-    let answer = (end == RequestEnd::Whole).then(|| seen(plan(AnswerKind::Plain)));
+    let answer = (end == RequestEnd::Whole).then(|| received(plan(AnswerKind::Plain)));
     let ended_ms = sent_ms + 50;
     RequestRow { attempt, vm: 0, kind, route, key, sent_ms, ended_ms, end, answer, old: false }
 }
@@ -21,8 +21,8 @@
     AnswerPlan { run: 7, kind, framing, line_end, early: None, splits: 0 }
 }
 
-/// A whole answer as its caller sees it.
-fn seen(plan: AnswerPlan) -> ReceivedAnswer {
+/// A whole answer as its caller receives it.
+fn received(plan: AnswerPlan) -> ReceivedAnswer {
     ReceivedAnswer { status: plan.status(), stamped: true, body: plan.pieces("a").concat() }
 }
 
@@ -50,7 +50,7 @@
     OrderRow { content, sent_ms: acked_ms, acked_ms: Some(acked_ms), refused: None }
 }
 
-/// Rows of a request that is sent once and served.
+/// The rows of a request that is sent once, runs once and is answered.
 fn sound(kind: RequestKind, sent_ms: u64) -> LedgerRows {
     LedgerRows {
         requests: vec![request_row(kind, sent_ms, RequestEnd::Whole)],
@@ -61,48 +61,48 @@
     }
 }
 
-fn told(rows: &LedgerRows) -> Vec<&'static str> {
+fn broken_promises(rows: &LedgerRows) -> Vec<&'static str> {
     judge(rows).iter().map(|broken| broken.promise).collect()
 }
 
 #[test]
 fn a_request_that_is_served_breaks_nothing() {
-    assert_eq!(told(&sound(RequestKind::Once, 60_000)), Vec::<&str>::new());
+    assert_eq!(broken_promises(&sound(RequestKind::Once, 60_000)), Vec::<&str>::new());
 }
 
 #[test]
 fn two_runs_of_what_may_run_once_are_told() {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.runs.push(run(60_020));
-    assert_eq!(told(&rows), ["runs once"]);
+    assert_eq!(broken_promises(&rows), ["runs once"]);
 }
 
 #[test]
 fn two_runs_of_what_may_repeat_are_not_told() {
     let mut rows = sound(RequestKind::Safe, 60_000);
     rows.runs.push(run(60_020));
-    assert_eq!(told(&rows), Vec::<&str>::new());
+    assert_eq!(broken_promises(&rows), Vec::<&str>::new());
 }
 
 #[test]
 fn a_refusal_of_what_ran_is_told() {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.requests[0].end = RequestEnd::Status(503);
-    assert_eq!(told(&rows), ["not run"]);
+    assert_eq!(broken_promises(&rows), ["not run"]);
 }
 
 #[test]
 fn a_request_to_an_upstream_that_left_is_told() {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.leaving.push(LeavingRow { upstream: 0, incarnation: 1, from_ms: 55_000, until_ms: None });
-    assert_eq!(told(&rows), ["leaving upstreams"]);
+    assert_eq!(broken_promises(&rows), ["leaving upstreams"]);
 }
 
 #[test]
 fn a_request_to_the_next_life_of_an_upstream_that_left_is_not_told() {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.leaving.push(LeavingRow { upstream: 0, incarnation: 7, from_ms: 55_000, until_ms: None });
-    assert_eq!(told(&rows), Vec::<&str>::new());
+    assert_eq!(broken_promises(&rows), Vec::<&str>::new());
 }
 
 #[test]
@@ -111,11 +111,12 @@
     rows.leaving.push(LeavingRow { upstream: 0, incarnation: 1, from_ms: 55_000, until_ms: None });
     let touched = Touched::Vm(0);
     rows.spans.push(SpanRow { touched, from_ms: 50_000, until_ms: Some(58_000) });
-    assert_eq!(told(&rows), Vec::<&str>::new());
+    assert_eq!(broken_promises(&rows), Vec::<&str>::new());
 }
 
-/// An upstream's answer at 60 s says that it leaves, and the VM sends on at this time.
-fn sent_after_told(sent_ms: u64) -> LedgerRows {
+/// The rows of two requests through one VM to one upstream. The answer to the first one, at 60 s, announces that the
+/// upstream leaves; the second request is sent at `sent_ms`.
+fn sent_after_notice(sent_ms: u64) -> LedgerRows {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.runs[0].leaving = true;
     rows.requests.push(RequestRow {
@@ -129,19 +130,19 @@
 
 #[test]
 fn a_request_to_an_upstream_that_told_the_vm_that_it_leaves_is_told() {
-    assert_eq!(told(&sent_after_told(65_000)), ["told leaving"]);
-    assert_eq!(told(&sent_after_told(63_000)), Vec::<&str>::new());
-    let mut other_life = sent_after_told(65_000);
-    other_life.runs[1].life = 2;
-    assert_eq!(told(&other_life), Vec::<&str>::new());
-    let mut started = sent_after_told(65_000);
+    assert_eq!(broken_promises(&sent_after_notice(65_000)), ["told leaving"]);
+    assert_eq!(broken_promises(&sent_after_notice(63_000)), Vec::<&str>::new());
+    let mut other_incarnation = sent_after_notice(65_000);
+    other_incarnation.runs[1].life = 2;
+    assert_eq!(broken_promises(&other_incarnation), Vec::<&str>::new());
+    let mut started = sent_after_notice(65_000);
     let touched = Touched::Vm(0);
     started.spans.push(SpanRow { touched, from_ms: 61_000, until_ms: Some(61_500) });
-    assert_eq!(told(&started), Vec::<&str>::new());
+    assert_eq!(broken_promises(&started), Vec::<&str>::new());
 }
 
-/// An upstream requests for 3 s of rest at 60 s, and so many requests come to it from 61 s on.
-fn sent_within_rest(count: usize) -> LedgerRows {
+/// The rows of an upstream that requests 3 s of back-off at 60 s, and gets `count` requests from 61 s on.
+fn sent_during_backoff(count: usize) -> LedgerRows {
     let mut rows = LedgerRows::default();
     for at in 0..=count {
         let attempt = format!("r{at}");
@@ -164,15 +165,19 @@
 
 #[test]
 fn more_than_two_requests_within_a_rest_are_told() {
-    assert_eq!(told(&sent_within_rest(3)), ["rest"]);
-    assert_eq!(told(&sent_within_rest(2)), Vec::<&str>::new());
-    let mut other_vm = sent_within_rest(3);
+    assert_eq!(broken_promises(&sent_during_backoff(3)), ["rest"]);
+    assert_eq!(broken_promises(&sent_during_backoff(2)), Vec::<&str>::new());
+    let mut other_vm = sent_during_backoff(3);
     other_vm.requests[0].vm = 1;
-    assert_eq!(told(&other_vm), Vec::<&str>::new(), "it was asked of another VM");
-    let mut cut = sent_within_rest(3);
+    assert_eq!(
+        broken_promises(&other_vm),
+        Vec::<&str>::new(),
+        "the back-off was requested from another VM"
+    );
+    let mut cut = sent_during_backoff(3);
     let touched = Touched::Vm(0);
     cut.spans.push(SpanRow { touched, from_ms: 62_000, until_ms: None });
-    assert_eq!(told(&cut), Vec::<&str>::new());
+    assert_eq!(broken_promises(&cut), Vec::<&str>::new());
 }
 
 #[test]
@@ -180,21 +185,21 @@
     let mut rows = sound(RequestKind::Once, 60_000);
     let content = OrderContent::EmptyZone("z-0".to_string());
     rows.orders.push(OrderRow { content, sent_ms: 50_000, acked_ms: Some(50_010), refused: None });
-    assert_eq!(told(&rows), ["emptied zones"]);
+    assert_eq!(broken_promises(&rows), ["emptied zones"]);
 }
 
 #[test]
 fn a_request_that_goes_by_an_older_configuration_is_told() {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.orders.push(document(6, "s2", "k1", 50_000));
-    assert_eq!(told(&rows), ["orders in force"]);
+    assert_eq!(broken_promises(&rows), ["orders in force"]);
 }
 
 #[test]
 fn a_request_with_a_key_that_was_taken_away_is_told() {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.orders.push(document(6, "s1", "k2", 50_000));
-    assert_eq!(told(&rows), ["keys taken away"]);
+    assert_eq!(broken_promises(&rows), ["keys taken away"]);
 }
 
 #[test]
@@ -203,7 +208,7 @@
     rows.orders.push(document(6, "s1", "k1", 50_000));
     let text = "{\"version\":3}".to_string();
     rows.reads.push(ReadRow { vm: 0, sent_ms: 60_000, text });
-    assert_eq!(told(&rows), ["orders kept"]);
+    assert_eq!(broken_promises(&rows), ["orders kept"]);
 }
 
 #[test]
@@ -212,10 +217,10 @@
     rows.requests[0].end = RequestEnd::Cut;
     let touched = Touched::PlannedVm(0);
     rows.spans.push(SpanRow { touched, from_ms: 58_000, until_ms: Some(64_000) });
-    assert_eq!(told(&rows), ["planned stops cut nothing"]);
+    assert_eq!(broken_promises(&rows), ["planned stops cut nothing"]);
 }
 
-/// A request under which upstreams ended at 20, 21 and 22 s, and that was sent on at these times.
+/// The rows of a request that crashed upstreams at 20, 21 and 22 s, and that is sent again at these times.
 fn fatal(sent_ms: &[u64]) -> LedgerRows {
     let mut rows = LedgerRows::default();
     let mut row = FatalRow { ended_ms: vec![20_000, 21_000, 22_000], ..FatalRow::default() };
@@ -236,13 +241,13 @@
 #[test]
 fn a_request_that_is_sent_on_after_upstreams_ended_under_it_is_told() {
     let late = [30_000, 31_000, 32_000, 33_000];
-    assert_eq!(told(&fatal(&late)), ["requests that end upstreams"]);
+    assert_eq!(broken_promises(&fatal(&late)), ["requests that end upstreams"]);
 
-    assert_eq!(told(&fatal(&late[..3])), Vec::<&str>::new(), "three more are borne");
+    assert_eq!(broken_promises(&fatal(&late[..3])), Vec::<&str>::new(), "three more are tolerated");
     let early = [22_100, 22_200, 23_000, 24_000, 25_000, 26_000];
-    assert_eq!(told(&fatal(&early)), Vec::<&str>::new(), "before VMs can all know");
+    assert_eq!(broken_promises(&fatal(&early)), Vec::<&str>::new(), "before the bound");
     let mut disturbed = fatal(&late);
     let touched = Touched::Vm(0);
     disturbed.spans = vec![SpanRow { touched, from_ms: 22_000, until_ms: Some(33_500) }];
-    assert_eq!(told(&disturbed), Vec::<&str>::new(), "by a VM that isn't in touch");
+    assert_eq!(broken_promises(&disturbed), Vec::<&str>::new(), "by a VM that is not in contact");
 }
--- a/soak/tests/test_link.rs
+++ b/soak/tests/test_link.rs
@@ -1,4 +1,4 @@
-//! How the ends of connections pass a link.
+//! Ends of connections pass a link as what they are: clean or reset.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     runtime.block_on(LocalSet::new().run_until(future))
 }
 
-/// Addresses that were free a moment ago.
+/// Returns an address whose port was free a moment ago.
 async fn free() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap()
 }
 
-/// A link and both ends of one connection through it, over which something has passed.
+/// Returns a link and both ends of one connection through it, after bytes have passed over it.
 async fn joined() -> (LinkProxy, TcpStream, TcpStream) {
     let far = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let from = free().await;
@@ -31,7 +31,7 @@
     (link, near, far)
 }
 
-/// What the near end reads next: bytes, a clean end, or an error.
+/// Returns what the near end reads next: a number of bytes, 0 for a clean end, or an error.
 async fn next(near: &mut TcpStream) -> Result<usize, std::io::ErrorKind> {
     let read = tokio::time::timeout(Duration::from_secs(5), near.read(&mut [0; 8])).await;
     read.expect("something comes").map_err(|error| error.kind())
--- a/soak/tests/test_readers.rs
+++ b/soak/tests/test_readers.rs
@@ -1,4 +1,4 @@
-//! What the soak's own readers take for complete, by framing and by how the connection ends.
+//! Which answers the callers and operators of the soak accept as complete, by framing and by how the connection ends.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 
 const WAIT: Duration = Duration::from_secs(3);
 
-/// Answers a connection with these bytes and ends it.
+/// Reads one request, answers with these bytes, and closes or resets the connection.
 async fn answer(mut stream: TcpStream, bytes: String, reset: bool) {
     let mut head = Vec::new();
     while !head.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
@@ -41,7 +41,7 @@
     }
 }
 
-/// How an answer ends for a caller by HTTP/1.1 and for one by HTTP/1.0, and whether a call takes it.
+/// Returns how an answer ends for a caller by HTTP/1.1 and for one by HTTP/1.0, and whether `call_once` accepts it.
 fn ends(framing: &str, body: &str, reset: bool) -> (RequestEnd, RequestEnd, bool) {
     let spec = spec(&format!("127.250.{}.7", std::process::id() % 250));
     let bytes = format!(
@@ -60,14 +60,15 @@
             keys: RefCell::new(vec!["k".to_string()]),
             active: Cell::new(true),
         });
-        let mut told = Vec::new();
+        let mut request_ends = Vec::new();
         for old in [false, true] {
             let mut caller = SoakCaller::new(shared.clone(), spec.clone(), 1).http10(old);
-            told.push(caller.request_as("00000000000000aa", "once", RequestKind::Once, "q").await);
+            request_ends
+                .push(caller.request_as("00000000000000aa", "once", RequestKind::Once, "q").await);
         }
         let call = call_once(spec.front_link(), "GET", "/x", "", WAIT).await;
-        let old = told.remove(1);
-        (told.remove(0), old, call.is_some())
+        let old = request_ends.remove(1);
+        (request_ends.remove(0), old, call.is_some())
     }))
 }
 
--- a/soak/tests/test_soak.rs
+++ b/soak/tests/test_soak.rs
@@ -1,11 +1,11 @@
-//! Short schedules over the built program, and the schedule itself.
+//! Plays short schedules against the built program, and checks that schedules are reproducible.
 
 use std::path::{Path, PathBuf};
 
 use wingshed_soak::run::{play_steps, run_network, RunPlan, RunVerdict};
 use wingshed_soak::schedule::{schedule, Disturbance, PlannedStep, DEFAULT_SIZE, SHORT_SIZE};
 
-/// `cargo test --workspace` builds it beside the tests, for the tests of its own crate.
+/// Returns the path of the program of a VM, which `cargo test --workspace` builds next to the tests.
 fn program() -> PathBuf {
     let own = std::env::current_exe().unwrap();
     let folder = own.parent().and_then(|deps| deps.parent()).unwrap();
@@ -14,8 +14,8 @@
     program
 }
 
-/// A folder in memory where there is one: beside a build, syncs of a disk took up to 9 s (by the logs
-/// of three runs at once), and keepers whose disk takes nothing for so long serve nobody.
+/// Creates a folder, in memory if possible. While a build runs at the same time, a sync to disk takes up to 9 s, and
+/// keepers whose disk is stuck for that long do not serve.
 fn folder() -> tempfile::TempDir {
     let memory = Path::new("/dev/shm");
     match memory.is_dir() {
@@ -25,12 +25,12 @@
     .unwrap()
 }
 
-/// What broke in a short run of a seed.
+/// Plays the short schedule of a seed and returns the broken promises.
 fn broken(seed: u64) -> Vec<String> {
     broken_by(&played(seed, schedule(seed, SHORT_SIZE)))
 }
 
-/// Plays these steps.
+/// Plays these steps and returns the verdict.
 fn played(seed: u64, steps: Vec<PlannedStep>) -> RunVerdict {
     let folder = folder();
     let plan = RunPlan {
@@ -42,10 +42,11 @@
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let verdict = runtime.block_on(play_steps(&plan, steps)).unwrap();
-    assert!(!verdict.rows.requests.is_empty(), "nobody asked anything");
+    assert!(!verdict.rows.requests.is_empty(), "no requests were sent");
     verdict
 }
 
+/// Returns the broken promises of a verdict as text.
 fn broken_by(verdict: &RunVerdict) -> Vec<String> {
     verdict.broken.iter().map(|broken| format!("{}: {}", broken.promise, broken.details)).collect()
 }
@@ -87,7 +88,7 @@
     let verdict = played(93, vec![PlannedStep { at_ms: 500, disturbance }]);
 
     let broken_off = verdict.rows.runs.iter().filter(|run| run.make.early.is_some()).count();
-    assert!(broken_off > 50, "answers broke off: {broken_off}");
+    assert!(broken_off > 50, "answers that broke off: {broken_off}");
     assert_eq!(broken_by(&verdict), Vec::<String>::new());
 }
 
@@ -103,8 +104,8 @@
         ],
     );
 
-    let turned_away = verdict.rows.arrivals.iter().filter(|row| row.rest_ms > 0).count();
-    assert!(turned_away > 3, "rest was asked for: {turned_away}");
-    assert!(verdict.rows.runs.iter().any(|run| run.leaving), "leaving was told");
+    let refused = verdict.rows.arrivals.iter().filter(|row| row.rest_ms > 0).count();
+    assert!(refused > 3, "refusals with back-off: {refused}");
+    assert!(verdict.rows.runs.iter().any(|run| run.leaving), "no answer announced leaving");
     assert_eq!(broken_by(&verdict), Vec::<String>::new());
 }
