--- a/soak/src/answer_make.rs
+++ b/soak/src/answer_make.rs
@@ -150,7 +150,8 @@
     }
 
     /// Draws where and how this answer breaks off. Two early ends that look like a whole answer aren't drawn:
-    /// the clean close of a plain body without framing, and a stream that its framing ends between two events.
+    /// the clean close of a plain body without framing, and a stream that its framing ends between two
+    /// events.
     pub fn broken_off(mut self, random: &mut StdRng, attempt: &str) -> AnswerPlan {
         let pieces = self.pieces(attempt);
         let lengths: Vec<usize> = pieces.iter().map(Vec::len).collect();
@@ -197,7 +198,8 @@
         self
     }
 
-    /// The whole body, regardless of an early end: one piece for each event, or a plain body as a single piece.
+    /// The whole body, regardless of an early end: one piece for each event, or a plain body as a single
+    /// piece.
     pub fn pieces(&self, attempt: &str) -> Vec<Vec<u8>> {
         match self.kind {
             AnswerKind::Plain => vec![plain_body(attempt).into_bytes()],
--- a/soak/src/cases.rs
+++ b/soak/src/cases.rs
@@ -1,7 +1,7 @@
 //! Fixed schedules that guard against known failures, or that cover a combination which seeds rarely draw.
 //!
-//! They are stored as steps and not as seeds, since any change to the drawing of schedules changes what a seed
-//! plays.
+//! They are stored as steps and not as seeds, since any change to the drawing of schedules changes what a
+//! seed plays.
 
 use crate::schedule::{Disturbance, PlannedStep, VersionFault};
 
--- a/soak/src/fatal_request.rs
+++ b/soak/src/fatal_request.rs
@@ -18,8 +18,8 @@
 /// Interval at which upstreams are checked for a run of the request.
 const WATCH_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Repeats the request of this number for `ms` milliseconds, and waits until all its attempts have ended and all
-/// crashed upstreams are started again.
+/// Repeats the request of this number for `ms` milliseconds, and waits until all its attempts have ended and
+/// all crashed upstreams are started again.
 pub async fn send_fatal(site: Rc<SoakSite>, callers: Rc<CallerShared>, number: u64, ms: u64) {
     let row = row_index(&site, number);
     let spans: Vec<usize> =
@@ -41,8 +41,8 @@
     spans.into_iter().for_each(|span| site.ledger.end_span(span));
 }
 
-/// Returns the index of the ledger row of the request of this number, and adds the row if there is none. A request
-/// that is sent again later in the run shares the row of its number.
+/// Returns the index of the ledger row of the request of this number, and adds the row if there is none. A
+/// request that is sent again later in the run shares the row of its number.
 fn row_index(site: &SoakSite, number: u64) -> usize {
     let rows = &mut site.ledger.rows.borrow_mut().fatal;
     let known = rows.iter().position(|row| row.number == number);
@@ -74,7 +74,7 @@
                 .incarnation
                 .borrow()
                 .as_ref()
-                .is_some_and(|incarnation| incarnation.is_fatal());
+                .is_some_and(|incarnation| incarnation.has_fatal_request());
             if fatal {
                 drop(upstream.incarnation.take());
                 let now_ms = site.ledger.now_ms();
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -25,8 +25,8 @@
 const EVACUATION_MS: u64 = 5_000;
 /// Milliseconds that are added to a bound while one of the [`CORE_VMS`] is disturbed (`outerMs`).
 const CORE_ALLOWANCE_MS: u64 = 6_000;
-/// Milliseconds from the start of a planned stop in which a request that ends counts as ended during the stop: the
-/// 8 s of `graceS`, and one second more.
+/// Milliseconds that a planned stop can last: the 8 s of `graceS`, and one second more. A request that ends
+/// within them counts as ended during the stop.
 const PLANNED_STOP_MS: u64 = 9_000;
 /// Share of the requests of its service that an unsound version may get (`exposeShare`).
 const EXPOSURE_SHARE: f64 = 0.1;
@@ -40,13 +40,14 @@
 /// Milliseconds for which an order is sent again (`ackMs`). An order without an acknowledgement may have been
 /// accepted at any time until then.
 const REPEAT_MS: u64 = 5_000;
-/// Milliseconds by which two observers may differ in the time that they record for one event. They share a clock,
-/// but a loaded machine delays them.
+/// Milliseconds by which two observers may differ in the time that they record for one event. They share a
+/// clock, but a loaded machine delays them.
 const CLOCK_SLACK_MS: u64 = 250;
-/// Upstreams that one request may crash before VMs must refuse it, and sends of it that are tolerated after that.
+/// Upstreams that one request may crash before VMs must refuse it, and sends of it that are tolerated after
+/// that.
 const FATAL_TOLERANCE: usize = 3;
-/// Requests that one VM may send to an upstream during a back-off which that upstream requested from it, counted
-/// from [`BACKOFF_GRACE_MS`] after the upstream did so.
+/// Requests that one VM may send to an upstream during a back-off which that upstream requested from it,
+/// counted from [`BACKOFF_GRACE_MS`] after the upstream did so.
 const BACKOFF_TOLERANCE: usize = 2;
 /// Milliseconds after the request for back-off in which sends are not counted.
 const BACKOFF_GRACE_MS: u64 = 500;
@@ -105,8 +106,8 @@
         self.runs.get(request.attempt.as_str()).map_or(&[], Vec::as_slice)
     }
 
-    /// Checks that complete answers are whole, that requests run at most as often as their route permits, and that
-    /// refused requests did not run.
+    /// Checks that complete answers are whole, that requests run at most as often as their route permits, and
+    /// that refused requests did not run.
     fn check_answers(&mut self) {
         for request in &self.rows.requests {
             let runs = self.runs_of(request).len();
@@ -135,8 +136,8 @@
         self.rows.spans.iter().filter(unplanned).any(|span| overlaps(span, from_ms, until_ms))
     }
 
-    /// Checks that no request which had reached an upstream is cut off by a planned stop. A stop that coincides with
-    /// another kind of disturbance is not judged.
+    /// Checks that no request which had reached an upstream is cut off by a planned stop. A stop that
+    /// coincides with another kind of disturbance is not judged.
     fn check_planned_stops(&mut self) {
         for request in &self.rows.requests {
             let stop = self.rows.spans.iter().find(|span| {
@@ -166,8 +167,8 @@
         (since <= at_ms).then_some(since)
     }
 
-    /// Milliseconds to add to a bound because one of the [`CORE_VMS`] was disturbed, or not yet back in contact,
-    /// between these times; 0 if none was.
+    /// Milliseconds to add to a bound because one of the [`CORE_VMS`] was disturbed, or not yet back in
+    /// contact, between these times; 0 if none was.
     fn core_allowance_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
         let core = self.rows.spans.iter().any(|span| {
             let vm = match span.touched {
@@ -210,8 +211,9 @@
         }
     }
 
-    /// Whether a disturbance of this VM or of this upstream overlaps this time. Either may then be late: the VM may
-    /// have been started again, suspended or cut off, and the upstream or the link to it may have failed.
+    /// Whether a disturbance of this VM or of this upstream overlaps this time. Either may then be late: the
+    /// VM may have been started again, suspended or cut off, and the upstream or the link to it may have
+    /// failed.
     fn is_excused(&self, vm: usize, upstream: usize, from_ms: u64, until_ms: u64) -> bool {
         let touched = |span: &&SpanRow| match span.touched {
             Touched::Vm(other) | Touched::PlannedVm(other) => other == vm,
@@ -247,7 +249,8 @@
         }
     }
 
-    /// Finds requests that a VM sent to an upstream during a back-off which that upstream had requested from it.
+    /// Finds requests that a VM sent to an upstream during a back-off which that upstream had requested from
+    /// it.
     fn check_backoffs(&mut self) {
         let mut sent: HashMap<(usize, u64), Vec<&ArrivalRow>> = HashMap::new();
         for row in &self.rows.arrivals {
@@ -313,8 +316,8 @@
         })
     }
 
-    /// The oldest configuration that a VM may still apply to a request sent at `sent_ms`, if configurations are in
-    /// force `bound` milliseconds after their acknowledgement; 0 if none must be in force yet.
+    /// The oldest configuration that a VM may still apply to a request sent at `sent_ms`, if configurations
+    /// are in force `bound` milliseconds after their acknowledgement; 0 if none must be in force yet.
     fn oldest_allowed(&self, sent_ms: u64, bound: u64) -> u64 {
         let held = self.documents().filter(|(_, order)| {
             order.acked_ms.is_some_and(|acked_ms| acked_ms + bound + CLOCK_SLACK_MS < sent_ms)
@@ -322,7 +325,8 @@
         held.map(|(row, _)| row.version).max().unwrap_or(0)
     }
 
-    /// Checks that requests on the moved route run at a service of a configuration that may still be in force.
+    /// Checks that requests on the moved route run at a service of a configuration that may still be in
+    /// force.
     fn check_documents(&mut self) {
         for request in self.rows.requests.iter().filter(|request| request.route == "moved") {
             let Some(since) = self.in_contact_since(request.vm, request.sent_ms) else { continue };
@@ -359,7 +363,8 @@
         }
     }
 
-    /// Checks that configurations are read back as they were sent, and none that is older than the bound permits.
+    /// Checks that configurations are read back as they were sent, and none that is older than the bound
+    /// permits.
     fn check_reads(&mut self) {
         for read in &self.rows.reads {
             let Some(version) = version_of(&read.text) else {
@@ -394,7 +399,8 @@
         }
     }
 
-    /// Checks that a request that crashed upstreams is refused after the bound, but for [`FATAL_TOLERANCE`] sends.
+    /// Checks that a request that crashed upstreams is refused after the bound, but for [`FATAL_TOLERANCE`]
+    /// sends.
     fn check_fatal_requests(&mut self) {
         for row in &self.rows.fatal {
             let Some(third_ms) = row.ended_ms.get(FATAL_TOLERANCE - 1).copied() else { continue };
@@ -433,7 +439,8 @@
         }
     }
 
-    /// Runs at the target version of requests by VMs in contact, each with the time at which the caller sent it.
+    /// Runs at the target version of requests by VMs in contact, each with the time at which the caller sent
+    /// it.
     fn exposed(&self, row: &RollOutRow) -> Vec<(&'a RunRow, u64)> {
         let target_runs = self.rows.runs.iter().filter(|run| run.version == row.target);
         let sent_runs = target_runs.filter_map(|run| {
--- a/soak/src/judge_answers.rs
+++ b/soak/src/judge_answers.rs
@@ -1,10 +1,11 @@
-//! Checks, byte for byte, that an answer which its caller can take as complete is one that upstreams sent as whole.
+//! Checks, byte for byte, that an answer which its caller can take as complete is one that upstreams sent as
+//! whole.
 
 use crate::answer_make::{AnswerKind, AnswerPlan, EarlyEnd, Framing, STREAM_EVENTS};
 use crate::ledger::{LedgerRows, RequestKind, RequestRow, RunRow, SentEnd, Touched};
 
-/// Describes what is wrong with the answer to a request that had these runs; none if nothing is wrong, or if no
-/// answer ended as complete.
+/// Describes what is wrong with the answer to a request that had these runs; none if nothing is wrong, or if
+/// no answer ended as complete.
 pub fn answer_fault(rows: &LedgerRows, request: &RequestRow, runs: &[&RunRow]) -> Option<String> {
     let received = request.answer.as_ref()?;
     if (200..300).contains(&received.status) && !received.stamped {
@@ -51,8 +52,8 @@
     }
 }
 
-/// Whether a disturbance of the VM that got the request overlaps it. An HTTP/1.0 answer ends with its connection,
-/// which the end of a VM's process closes too, so the caller cannot distinguish the two.
+/// Whether a disturbance of the VM that got the request overlaps it. An HTTP/1.0 answer ends with its
+/// connection, which the end of a VM's process closes too, so the caller cannot distinguish the two.
 fn overlaps_vm_disturbance(rows: &LedgerRows, request: &RequestRow) -> bool {
     rows.spans.iter().any(|span| {
         span.touched == Touched::Vm(request.vm)
@@ -135,7 +136,8 @@
             RunEnd::LooksWhole(events) => reached == after + events,
             RunEnd::Broken => false,
         };
-        // A run that added no events can confirm that this is the end, and does not undo an end reached before.
+        // A run that added no events can confirm that this is the end, and does not undo an end reached
+        // before.
         self.ended = ended || (self.ended && reached == before);
     }
 }
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger of a run: what callers, upstreams and operators observed, on one clock.
 //!
-//! Rows are added and completed, never removed. The judge reads them after the run, so no check depends on which
-//! of two observers wrote first. All times are milliseconds since the start of the run.
+//! Rows are added and completed, never removed. The judge reads them after the run, so no check depends on
+//! which of two observers wrote first. All times are milliseconds since the start of the run.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -62,7 +62,8 @@
 pub enum SentEnd {
     /// As planned: whole, or broken off where its plan says so.
     AsMade,
-    /// The upstream crashed meanwhile, and the connection was closed cleanly after this many bytes after the head.
+    /// The upstream crashed meanwhile, and the connection was closed cleanly after this many bytes after the
+    /// head.
     Closed(usize),
 }
 
@@ -225,11 +226,13 @@
 pub struct LeavingRow {
     /// The index of the upstream.
     pub upstream: usize,
-    /// The number of the incarnation that leaves. One that starts at the same index meanwhile is listed as ready.
+    /// The number of the incarnation that leaves. One that starts at the same index meanwhile is listed as
+    /// ready.
     pub incarnation: u64,
     /// When the list showed the upstream as leaving.
     pub from_ms: u64,
-    /// When the departure was over: the next incarnation was listed as ready, or the upstream stayed unlisted.
+    /// When the departure was over: the next incarnation was listed as ready, or the upstream stayed
+    /// unlisted.
     pub until_ms: Option<u64>,
 }
 
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! The soak test of the real programs. It runs them as processes on loopback, disturbs them from outside by the
-//! schedule of a seed, and checks what callers, upstreams and operators observe. See `docs/soak.md`.
+//! The soak test of the real programs. It runs them as processes on loopback, disturbs them from outside by
+//! the schedule of a seed, and checks what callers, upstreams and operators observe. See `docs/soak.md`.
 //!
 //! The soak depends on no crate of the product, only on its programs and on the wire formats of the platform.
 
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -31,8 +31,8 @@
     Silent,
 }
 
-/// Milliseconds for which bytes may be held. After that time without an acknowledgement a real sender gives up the
-/// connection, so the link resets it.
+/// Milliseconds for which bytes may be held. After that time without an acknowledgement a real sender gives
+/// up the connection, so the link resets it.
 const MAX_HELD_MS: u128 = 2_500;
 /// Interval at which a held direction checks whether bytes may pass again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `wingshed-soak`: plays the schedules of seeds one after the other and prints the broken promises.
+//! The program `wingshed-soak`: plays the schedules of seeds one after the other and prints the broken
+//! promises.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -42,8 +42,8 @@
         document(self.version.get(), self.keys_taken.get())
     }
 
-    /// Sends an order until it is acknowledged or refused, or for `repeat_ms` milliseconds. Returns true if it was
-    /// acknowledged.
+    /// Sends an order until it is acknowledged or refused, or for `repeat_ms` milliseconds. Returns true if
+    /// it was acknowledged.
     pub async fn order(&self, content: OrderContent, repeat_ms: u64) -> bool {
         let sent_ms = self.ledger.now_ms();
         let row = OrderRow { content: content.clone(), sent_ms, acked_ms: None, refused: None };
--- a/soak/src/peer_link.rs
+++ b/soak/src/peer_link.rs
@@ -1,9 +1,9 @@
 //! A link from one VM to another that relays connections and datagrams.
 //!
-//! A VM listens at the first port of its own range, and reaches all other VMs at that same port number. Each VM is
-//! therefore given another first port. At the address of VM `to` the port of VM `from` is then free: everything that
-//! `from` sends to `to` arrives there, and the link relays it to the port of `to`. Datagrams are relayed from the
-//! address of `from`, since a VM identifies their sender by it.
+//! A VM listens at the first port of its own range, and reaches all other VMs at that same port number. Each
+//! VM is therefore given another first port. At the address of VM `to` the port of VM `from` is then free:
+//! everything that `from` sends to `to` arrives there, and the link relays it to the port of `to`. Datagrams
+//! are relayed from the address of `from`, since a VM identifies their sender by it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/soak/src/platform/document.rs
+++ b/soak/src/platform/document.rs
@@ -4,8 +4,8 @@
 
 use crate::ledger::DocumentRow;
 
-/// Builds the configuration of a version. Each odd version has the route `moved` lead to another service than each
-/// even one, and the newest key is number `keys_taken`, the number of revocations so far.
+/// Builds the configuration of a version. Each odd version has the route `moved` lead to another service than
+/// each even one, and the newest key is number `keys_taken`, the number of revocations so far.
 pub fn document(version: u64, keys_taken: u64) -> DocumentRow {
     let moved_to = if version % 2 == 0 { "s1" } else { "s2" };
     let keys = vec!["steady".to_string(), format!("key-{keys_taken}")];
--- a/soak/src/platform/settings.rs
+++ b/soak/src/platform/settings.rs
@@ -6,8 +6,8 @@
     VmSpec, CONTROL_PORT, DIRECTORY_PORT, FRONT_PORT, LAST_PORT, PEER_PORT, READY_PORT,
 };
 
-/// Builds the settings of a VM; `first` is true at its first start in a run, and `change` makes the settings differ
-/// from earlier ones.
+/// Builds the settings of a VM; `first` is true at its first start in a run, and `change` makes the settings
+/// differ from earlier ones.
 pub fn settings(spec: &VmSpec, first: bool, change: u64) -> Value {
     let ip = &spec.ip;
     let data = spec.folder.join("data");
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,8 +1,8 @@
 //! VMs as processes: their settings, logs and signals.
 //!
-//! Only processes that were started here get signals, and only before they have been waited for, so that their id
-//! can't belong to another process. They are killed when their owner is dropped, and by the kernel when the soak
-//! itself is killed.
+//! Only processes that were started here get signals, and only before they have been waited for, so that
+//! their id can't belong to another process. They are killed when their owner is dropped, and by the kernel
+//! when the soak itself is killed.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -107,8 +107,8 @@
         // SAFETY: the closure only makes system calls that are safe between fork and exec.
         unsafe {
             command.pre_exec(|| {
-                // A write beyond the file size limit then fails with an error, as on a full disk, and does not kill
-                // the process.
+                // A write beyond the file size limit then fails with an error, as on a full disk, and does
+                // not kill the process.
                 libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
                 libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL);
                 Ok(())
@@ -174,8 +174,8 @@
     File::options().create(true).append(true).open(path)
 }
 
-/// Copies the output of a process to its log, in a thread of the soak. If the process wrote the file itself, the
-/// file size limit of a disturbance would apply to the log too.
+/// Copies the output of a process to its log, in a thread of the soak. If the process wrote the file itself,
+/// the file size limit of a disturbance would apply to the log too.
 fn copy_log(mut output: ChildStdout, mut file: File) {
     std::thread::spawn(move || std::io::copy(&mut output, &mut file));
 }
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs: starts upstreams of a new version next to the old ones, orders the roll-out, and follows it to its end.
+//! Roll-outs: starts upstreams of a new version next to the old ones, orders the roll-out, and follows it to
+//! its end.
 
 use std::time::Duration;
 
@@ -17,8 +18,8 @@
 const ANSWER_WAIT: Duration = Duration::from_secs(1);
 /// How long upstreams of a version that was rolled back stay listed as leaving before they end.
 const DRAIN_WAIT: Duration = Duration::from_millis(5_000);
-/// Milliseconds after the deadline of a roll-out for which its end is awaited. An end that no VM reports within
-/// them is left to the judge.
+/// Milliseconds after the deadline of a roll-out for which its end is awaited. An end that no VM reports
+/// within them is left to the judge.
 const END_WAIT_MS: u64 = 20_000;
 
 /// The state that is recorded when a VM reports that the service had no roll-out.
@@ -40,8 +41,8 @@
     Some((text_of("state")?, text_of("targetVersion")?))
 }
 
-/// Records what a VM reports of the roll-out in ledger row `row`. Returns whether that roll-out has ended; none
-/// if the VM did not report.
+/// Records what a VM reports of the roll-out in ledger row `row`. Returns whether that roll-out has ended;
+/// none if the VM did not report.
 pub async fn record_state(site: &SoakSite, vm: usize, row: usize) -> Option<bool> {
     let (service, target) = {
         let rows = site.ledger.rows.borrow();
@@ -59,15 +60,15 @@
 
 /// Plays one roll-out to its end. Does nothing while another one of the service is under way.
 pub async fn roll_out(site: &SoakSite, service: usize, duration_s: u64, fault: VersionFault) {
-    let Some((old, fresh)) = site.begin_rollout(service) else { return };
+    let Some((old_upstreams, new_upstreams)) = site.begin_rollout(service) else { return };
     let target = site.next_version();
-    for at in &fresh {
+    for at in &new_upstreams {
         if let Err(error) = site.start_version(*at, &target, fault).await {
             site.ledger.rows.borrow_mut().run_faults.push(format!("the soak: {error}"));
         }
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let row = order(site, service, duration_s, &target, fault != VersionFault::None).await;
+    let row = send_order(site, service, duration_s, &target, fault != VersionFault::None).await;
     let deadline_ms = site.ledger.now_ms() + duration_s * 1_000;
     let mut vm = 0;
     let mut completed = false;
@@ -80,18 +81,19 @@
         }
         tokio::time::sleep(POLL_PAUSE).await;
     }
-    // After completion the old upstreams end at once. After a roll-back the new ones are listed as leaving first.
-    let gone = if completed { old } else { fresh };
+    // After completion the old upstreams end at once. After a roll-back the new ones are listed as leaving
+    // first.
+    let retired = if completed { old_upstreams } else { new_upstreams };
     if !completed {
-        gone.iter().for_each(|at| site.mark_leaving(*at));
+        retired.iter().for_each(|at| site.mark_leaving(*at));
         tokio::time::sleep(DRAIN_WAIT).await;
     }
-    gone.iter().for_each(|at| site.end_upstream(*at));
+    retired.iter().for_each(|at| site.end_upstream(*at));
     site.end_rollout(service, completed);
 }
 
 /// Sends the order until a VM accepts it or [`REPEAT_MS`] is over. Returns the index of its ledger row.
-async fn order(
+async fn send_order(
     site: &SoakSite,
     service: usize,
     duration_s: u64,
@@ -120,8 +122,8 @@
         let control = site.vms[vm].spec.control();
         let body = body.to_string();
         let answer = call_once(control, "POST", "/rollouts/start", &body, ANSWER_WAIT).await;
-        // An earlier send of this order may have been accepted without an answer; the VM then returns 409, since the
-        // roll-out is under way.
+        // An earlier send of this order may have been accepted without an answer; the VM then returns 409,
+        // since the roll-out is under way.
         if matches!(answer, Some((200..=299 | 409, _))) {
             let now = site.ledger.now_ms();
             site.ledger.rows.borrow_mut().rollouts[row].acked_ms = Some(now);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -121,7 +121,8 @@
     callers
 }
 
-/// Starts each step at its time, and reads the configuration back from a VM after each. Returns the running steps.
+/// Starts each step at its time, and reads the configuration back from a VM after each. Returns the running
+/// steps.
 async fn start_steps(
     site: &Rc<SoakSite>,
     shared: &Rc<CallerShared>,
@@ -161,8 +162,8 @@
     }
 }
 
-/// Waits until each VM is ready, serves, and returns the newest acknowledged configuration. Records a fault for each
-/// VM that takes longer than `max_ms`; `when` names the wait in that message.
+/// Waits until each VM is ready, serves, and returns the newest acknowledged configuration. Records a fault
+/// for each VM that takes longer than `max_ms`; `when` names the wait in that message.
 async fn wait_until_serving(site: &SoakSite, shared: &Rc<CallerShared>, max_ms: u64, when: &str) {
     let from_ms = site.ledger.now_ms();
     for vm in 0..site.vms.len() {
@@ -206,8 +207,8 @@
     None
 }
 
-/// Returns the loopback network of one run of this process. It lies above `127.20` to `127.219`, which the tests of
-/// the platform use, since a soak next to such a test could take the address of its list.
+/// Returns the loopback network of one run of this process. It lies above `127.20` to `127.219`, which the
+/// tests of the platform use, since a soak next to such a test could take the address of its list.
 pub fn run_network(run: u64) -> String {
     format!("127.{}.{run}", 220 + std::process::id() % 30)
 }
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -14,7 +14,8 @@
     Fails,
     /// Half of the answers are late.
     Slow,
-    /// Three in ten answers are failures, but only from [`UNSOUND_AFTER_MS`] after the start of the upstream on.
+    /// Three in ten answers are failures, but only from [`UNSOUND_AFTER_MS`] after the start of the upstream
+    /// on.
     FailsLater,
 }
 
@@ -22,7 +23,8 @@
 pub const UNSOUND_AFTER_MS: u128 = 7_000;
 
 impl VersionFault {
-    /// Whether the run of this number shows the fault, if it takes place `age_ms` after the start of the upstream.
+    /// Whether the run of this number shows the fault, if it takes place `age_ms` after the start of the
+    /// upstream.
     pub fn is_bad(self, run: u64, age_ms: u128) -> bool {
         match self {
             VersionFault::None => false,
@@ -53,16 +55,16 @@
     RestartUpstream(usize, bool, u64),
     /// Lists an upstream as leaving, ends it after this time, and starts another incarnation.
     LeaveUpstream(usize, u64),
-    /// Makes an upstream announce in its answers that it leaves, which the list never shows. It ends after this
-    /// time, and another incarnation is started.
+    /// Makes an upstream announce in its answers that it leaves, which the list never shows. It ends after
+    /// this time, and another incarnation is started.
     LeaveUnlisted(usize, u64),
-    /// Makes upstreams refuse all requests and request back-off each time. Parameters: the first upstream, how many
-    /// upstreams, the duration, and the back-off that they request.
+    /// Makes upstreams refuse all requests and request back-off each time. Parameters: the first upstream,
+    /// how many upstreams, the duration, and the back-off that they request.
     TireUpstreams(usize, usize, u64, u64),
     /// Makes an upstream fail, cut off or mix up part of its plain answers for this time.
     FaultyUpstream(usize, u64),
-    /// Makes three in four answers of some upstreams break off. Parameters: the first upstream, how many upstreams,
-    /// and the duration.
+    /// Makes three in four answers of some upstreams break off. Parameters: the first upstream, how many
+    /// upstreams, and the duration.
     EndEarly(usize, usize, u64),
     /// Disturbs the link of VMs to an upstream for this time.
     UpstreamLink(usize, LinkMode, u64),
@@ -84,8 +86,8 @@
     RollOut(usize, u64, VersionFault),
     /// Evacuates a zone for this time.
     EmptyZone(usize, u64),
-    /// Sends the request of this number, which crashes each upstream that runs it, to all VMs again and again for
-    /// this time.
+    /// Sends the request of this number, which crashes each upstream that runs it, to all VMs again and again
+    /// for this time.
     FatalRequest(u64, u64),
 }
 
@@ -122,15 +124,16 @@
 /// The size of the runs in the tests.
 pub const SHORT_SIZE: RunSize = RunSize { vms: 3, upstreams: 4, callers: 6, disturbed_ms: 6_000 };
 
-/// Seeds that are divisible by this number draw planned work only, so that no fault excuses a request that is cut
-/// off.
+/// Seeds that are divisible by this number draw planned work only, so that no fault excuses a request that is
+/// cut off.
 const PLANNED_SEED_INTERVAL: u64 = 4;
 /// The range of planned work in the numbering of [`draw_disturbance`].
 const PLANNED_KINDS: std::ops::Range<u32> = 0..14;
 /// The range of all kinds in the numbering of [`draw_disturbance`].
 const ALL_KINDS: std::ops::Range<u32> = 0..35;
 
-/// Combined with the seed for the draw of requests that crash upstreams, which is thus independent of the others.
+/// Combined with the seed for the draw of requests that crash upstreams, which is thus independent of the
+/// others.
 const FATAL_SEED_MASK: u64 = 0xfa7a1;
 
 /// Combined with the seed for the draw of upstreams that announce leaving or request back-off, which is thus
@@ -165,8 +168,8 @@
     steps
 }
 
-/// Adds upstreams that announce in their answers that they leave or request back-off. They are drawn by a generator
-/// of their own, so the other steps of a seed do not depend on them.
+/// Adds upstreams that announce in their answers that they leave or request back-off. They are drawn by a
+/// generator of their own, so the other steps of a seed do not depend on them.
 fn add_notices(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
     let mut random = StdRng::seed_from_u64(seed ^ NOTICE_SEED_MASK);
     for _ in 0..random.gen_range(0..4) {
@@ -186,8 +189,8 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Adds upstreams whose answers break off. They are drawn by a generator of their own, so the other steps of a seed
-/// do not depend on them.
+/// Adds upstreams whose answers break off. They are drawn by a generator of their own, so the other steps of
+/// a seed do not depend on them.
 fn add_early(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
     let mut random = StdRng::seed_from_u64(seed ^ EARLY_SEED_MASK);
     for _ in 0..random.gen_range(1..4) {
@@ -199,8 +202,8 @@
     steps.sort_by_key(|step| step.at_ms);
 }
 
-/// Adds a request that crashes upstreams to about half of the schedules. It is drawn by a generator of its own, so the
-/// other steps of a seed do not depend on it.
+/// Adds a request that crashes upstreams to about half of the schedules. It is drawn by a generator of its
+/// own, so the other steps of a seed do not depend on it.
 fn add_fatal(steps: &mut Vec<PlannedStep>, seed: u64, size: RunSize) {
     let mut random = StdRng::seed_from_u64(seed ^ FATAL_SEED_MASK);
     if random.gen() {
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -1,4 +1,5 @@
-//! The site of a run: the processes of the VMs, the upstreams, the list of upstreams, and the links between them.
+//! The site of a run: the processes of the VMs, the upstreams, the list of upstreams, and the links between
+//! them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -233,8 +234,8 @@
         frozen.set(frozen.get().max(until_ms));
     }
 
-    /// Waits for the end of a VM that was sent SIGTERM. If it takes longer than [`STOP_WAIT_MS`], not counting the time
-    /// for which the VM is suspended, records a fault and kills it.
+    /// Waits for the end of a VM that was sent SIGTERM. If it takes longer than [`STOP_WAIT_MS`], not
+    /// counting the time for which the VM is suspended, records a fault and kills it.
     pub async fn wait_end(&self, index: usize) {
         let vm = &self.vms[index];
         let signalled_ms = self.ledger.now_ms();
@@ -271,7 +272,8 @@
         self.ledger.end_span(span);
     }
 
-    /// Starts the next incarnation of an upstream, under the id of the last one if `same_id`, and lists it as ready.
+    /// Starts the next incarnation of an upstream, under the id of the last one if `same_id`, and lists it as
+    /// ready.
     pub async fn start_upstream(&self, index: usize, same_id: bool) -> std::io::Result<()> {
         let upstream = &self.upstreams[index];
         if !same_id || upstream.incarnations.get() == 0 {
@@ -291,8 +293,8 @@
         Ok(())
     }
 
-    /// Sets the modes of the links between a VM and all others: `incoming` for those to it, `outgoing` for those from
-    /// it.
+    /// Sets the modes of the links between a VM and all others: `incoming` for those to it, `outgoing` for
+    /// those from it.
     pub fn set_peers(&self, index: usize, incoming: LinkMode, outgoing: LinkMode) {
         for link in self.vms[index].peers.iter().flatten() {
             link.proxy.set(incoming);
@@ -304,8 +306,8 @@
         }
     }
 
-    /// Begins a roll-out of a service. Returns the indices of its upstreams in use and of those for the next version;
-    /// none while another roll-out of the service is under way.
+    /// Begins a roll-out of a service. Returns the indices of its upstreams in use and of those for the next
+    /// version; none while another roll-out of the service is under way.
     pub fn begin_rollout(&self, service: usize) -> Option<(Vec<usize>, Vec<usize>)> {
         let half = self.halves[service].get();
         if half.in_rollout {
@@ -405,7 +407,8 @@
         versions.max().unwrap_or(0)
     }
 
-    /// Whether the evacuation of a zone was ordered, even without an acknowledgement, and its end was not acknowledged.
+    /// Whether the evacuation of a zone was ordered, even without an acknowledgement, and its end was not
+    /// acknowledged.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let rows = self.ledger.rows.borrow();
         let evacuated = rows.orders.iter().rev().find_map(|order| match &order.content {
--- a/soak/src/steps.rs
+++ b/soak/src/steps.rs
@@ -1,7 +1,7 @@
 //! Carries out the disturbances of a schedule on a site.
 //!
-//! Each disturbance runs as a task of its own, so that they overlap. A disturbance whose target has already ended
-//! does nothing.
+//! Each disturbance runs as a task of its own, so that they overlap. A disturbance whose target has already
+//! ended does nothing.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,8 @@
 use crate::site::SoakSite;
 use crate::upstream::UpstreamIncarnation;
 
-/// Milliseconds after the end of an upstream before its address is given to another incarnation (`reuseAfterS`).
+/// Milliseconds after the end of an upstream before its address is given to another incarnation
+/// (`reuseAfterS`).
 const REUSE_AFTER_MS: u64 = 2_000;
 /// Milliseconds for which an invalid configuration is sent again.
 const INVALID_REPEAT_MS: u64 = 8_000;
@@ -165,8 +166,8 @@
     }
 }
 
-/// Lists an upstream as leaving, ends it after `ms` milliseconds, and starts another incarnation. Does nothing if the
-/// upstream is already leaving or not running.
+/// Lists an upstream as leaving, ends it after `ms` milliseconds, and starts another incarnation. Does
+/// nothing if the upstream is already leaving or not running.
 async fn leave_upstream(site: &SoakSite, at: usize, ms: u64) {
     let leaves = {
         let list = site.list.borrow();
@@ -193,8 +194,8 @@
     site.ledger.rows.borrow_mut().leaving[row].until_ms = Some(now);
 }
 
-/// Makes an upstream announce in its answers alone that it leaves, not in the list, and restarts it after `ms`
-/// milliseconds. Only the restart is recorded as a disturbance.
+/// Makes an upstream announce in its answers alone that it leaves, not in the list, and restarts it after
+/// `ms` milliseconds. Only the restart is recorded as a disturbance.
 async fn leave_unlisted(site: &SoakSite, at: usize, ms: u64) {
     let number = match site.upstreams[at].incarnation.borrow().as_ref() {
         Some(incarnation) => {
@@ -210,7 +211,8 @@
     }
 }
 
-/// Makes `count` upstreams from index `from` on refuse all requests and request back-off, for `ms` milliseconds.
+/// Makes `count` upstreams from index `from` on refuse all requests and request back-off, for `ms`
+/// milliseconds.
 async fn reject_with_backoff(site: &SoakSite, from: usize, count: usize, ms: u64, backoff_ms: u64) {
     let set = |backoff_ms: u64| {
         for at in 0..count {
@@ -268,8 +270,8 @@
     site.ledger.end_span(span);
 }
 
-/// Puts the next configuration. With `revoke_key` it replaces the newest key, and callers get the new key once the
-/// order has ended.
+/// Puts the next configuration. With `revoke_key` it replaces the newest key, and callers get the new key
+/// once the order has ended.
 async fn put_document(site: &SoakSite, callers: &CallerShared, revoke_key: bool) {
     let row = site.operator.next_document(revoke_key);
     let key = row.keys.last().cloned();
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -1,5 +1,5 @@
-//! The upstreams of a run. Their plain answers and streams consist of the id of the attempt, so that every byte
-//! identifies its request.
+//! The upstreams of a run. Their plain answers and streams consist of the id of the attempt, so that every
+//! byte identifies its request.
 //!
 //! A run is recorded before work on it begins, so a request whose answer is lost still counts as run.
 
@@ -48,7 +48,8 @@
     id: String,
     /// A number that no other incarnation has, even under the same id.
     number: u64,
-    /// The back-off that the upstream requests while it refuses all requests, in milliseconds; 0 while it does not.
+    /// The back-off that the upstream requests while it refuses all requests, in milliseconds; 0 while it
+    /// does not.
     backoff_ms: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
@@ -66,8 +67,8 @@
 /// The start of the body of a request that crashes the upstream which runs it.
 pub const FATAL_BODY: &str = "fatal";
 
-/// One incarnation of an upstream, from its start to its crash or end, with the link to it. Dropping it crashes the
-/// upstream.
+/// One incarnation of an upstream, from its start to its crash or end, with the link to it. Dropping it
+/// crashes the upstream.
 pub struct UpstreamIncarnation {
     state: Rc<IncarnationState>,
     /// The link of VMs to the upstream.
@@ -80,7 +81,7 @@
 }
 
 /// Returns a number that this process has not used before, for a run or an incarnation.
-fn next_run() -> u64 {
+fn next_number() -> u64 {
     RUN_NUMBER.with_borrow_mut(|number| {
         *number += 1;
         *number
@@ -100,7 +101,7 @@
         let state = Rc::new(IncarnationState {
             spec,
             id: id.to_string(),
-            number: next_run(),
+            number: next_number(),
             backoff_ms: Cell::new(0),
             running: Cell::new(0),
             leaving: Cell::new(false),
@@ -122,8 +123,8 @@
         Ok(UpstreamIncarnation { state, link, accepting })
     }
 
-    /// Makes the upstream leave: its answers announce it, health checks get status 503, and connections are closed
-    /// after an answer.
+    /// Makes the upstream leave: its answers announce it, health checks get status 503, and connections are
+    /// closed after an answer.
     pub fn leave(&self) {
         self.state.leaving.set(true);
     }
@@ -139,7 +140,7 @@
     }
 
     /// Whether the upstream has begun to run a request that crashes it.
-    pub fn is_fatal(&self) -> bool {
+    pub fn has_fatal_request(&self) -> bool {
         self.state.fatal.get()
     }
 
@@ -187,11 +188,11 @@
     }
 }
 
-/// Returns how a crash ends a connection, and records how much of an unfinished answer was sent. The end of a process
-/// closes its connections cleanly. A plain answer without framing is reset instead, as nothing would distinguish the
-/// part that was sent from a whole answer.
-fn after_crash(state: &IncarnationState, open: Option<PartialAnswer>) -> AfterAnswer {
-    let Some(PartialAnswer { plan, sent }) = open else { return AfterAnswer::Closed };
+/// Returns how a crash ends a connection, and records how much of an unfinished answer was sent. The end of a
+/// process closes its connections cleanly. A plain answer without framing is reset instead, as nothing would
+/// distinguish the part that was sent from a whole answer.
+fn after_crash(state: &IncarnationState, partial: Option<PartialAnswer>) -> AfterAnswer {
+    let Some(PartialAnswer { plan, sent }) = partial else { return AfterAnswer::Closed };
     if plan.framing == Framing::Connection && !matches!(plan.kind, AnswerKind::Stream(_)) {
         return AfterAnswer::Reset;
     }
@@ -242,7 +243,7 @@
     after_event: u64,
     bad: bool,
 ) -> AnswerPlan {
-    let run = next_run();
+    let run = next_number();
     let mut random = draw_of((state.ledger.seed, attempt, state.spec.index, after_event));
     let is_stream = request.path.starts_with("/stream/") || request.path.starts_with("/resume/");
     let failure = bad && state.fault != VersionFault::Slow;
@@ -269,7 +270,7 @@
 ) -> (RunRow, RunningGuard) {
     let after_event = request.header_value("last-event-id").parse().unwrap_or(0);
     let guard = RunningGuard::new(state);
-    let bad = state.fault.is_bad(next_run(), state.started.elapsed().as_millis());
+    let bad = state.fault.is_bad(next_number(), state.started.elapsed().as_millis());
     let row = RunRow {
         attempt: attempt.to_string(),
         upstream: state.spec.index,
@@ -305,11 +306,11 @@
         return Ok(AfterAnswer::Kept);
     }
     let attempt = request.header_value(ATTEMPT);
-    let turned_away = reject_for_backoff(state, attempt).or_else(|| {
+    let refusal_headers = reject_for_backoff(state, attempt).or_else(|| {
         let full = state.running.get() >= UPSTREAM_SLOTS;
         full.then(|| format!("{NOT_RUN}: 1\r\n"))
     });
-    if let Some(headers) = turned_away {
+    if let Some(headers) = refusal_headers {
         writer.send_short(503, &headers).await?;
         return Ok(AfterAnswer::Kept);
     }
--- a/soak/src/upstream_wire.rs
+++ b/soak/src/upstream_wire.rs
@@ -1,5 +1,5 @@
-//! The server side of HTTP/1.1 for upstreams. It is written by hand, as a library does not send answers with broken
-//! framing.
+//! The server side of HTTP/1.1 for upstreams. It is written by hand, as a library does not send answers with
+//! broken framing.
 
 use std::time::Duration;
 
@@ -152,8 +152,8 @@
         self.write.write_all(text.as_bytes()).await
     }
 
-    /// Sends an answer as planned. The head and each piece of the body are written in two parts, split at a random
-    /// position.
+    /// Sends an answer as planned. The head and each piece of the body are written in two parts, split at a
+    /// random position.
     pub async fn send(
         &mut self,
         plan: AnswerPlan,
@@ -185,7 +185,8 @@
                 tokio::time::sleep(EVENT_PAUSE).await;
             }
             let count = piece.len().min(left);
-            // The last chunk of a body that breaks off is either cut short, or a whole chunk of the shorter length.
+            // The last chunk of a body that breaks off is either cut short, or a whole chunk of the shorter
+            // length.
             let cut_short = !framed_early && random.gen();
             let bytes = framed(plan.framing, &piece, count, cut_short);
             self.write_split(&bytes, random.gen_range(0..bytes.len())).await?;
@@ -230,8 +231,8 @@
     }
 }
 
-/// Frames the first `count` bytes of a piece. With `cut_short` a chunk states the length of the whole piece, so that it is
-/// cut short.
+/// Frames the first `count` bytes of a piece. With `cut_short` a chunk states the length of the whole piece,
+/// so that it is cut short.
 fn framed(framing: Framing, piece: &[u8], count: usize, cut_short: bool) -> Vec<u8> {
     let sent = &piece[..count];
     match framing {
--- a/soak/tests/test_judge.rs
+++ b/soak/tests/test_judge.rs
@@ -114,8 +114,8 @@
     assert_eq!(broken_promises(&rows), Vec::<&str>::new());
 }
 
-/// The rows of two requests through one VM to one upstream. The answer to the first one, at 60 s, announces that the
-/// upstream leaves; the second request is sent at `sent_ms`.
+/// The rows of two requests through one VM to one upstream. The answer to the first one, at 60 s, announces
+/// that the upstream leaves; the second request is sent at `sent_ms`.
 fn sent_after_notice(sent_ms: u64) -> LedgerRows {
     let mut rows = sound(RequestKind::Once, 60_000);
     rows.runs[0].leaving = true;
--- a/soak/tests/test_readers.rs
+++ b/soak/tests/test_readers.rs
@@ -1,4 +1,5 @@
-//! Which answers the callers and operators of the soak accept as complete, by framing and by how the connection ends.
+//! Which answers the callers and operators of the soak accept as complete, by framing and by how the
+//! connection ends.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -41,7 +42,8 @@
     }
 }
 
-/// Returns how an answer ends for a caller by HTTP/1.1 and for one by HTTP/1.0, and whether `call_once` accepts it.
+/// Returns how an answer ends for a caller by HTTP/1.1 and for one by HTTP/1.0, and whether `call_once`
+/// accepts it.
 fn ends(framing: &str, body: &str, reset: bool) -> (RequestEnd, RequestEnd, bool) {
     let spec = spec(&format!("127.250.{}.7", std::process::id() % 250));
     let bytes = format!(
--- a/soak/tests/test_soak.rs
+++ b/soak/tests/test_soak.rs
@@ -14,8 +14,8 @@
     program
 }
 
-/// Creates a folder, in memory if possible. While a build runs at the same time, a sync to disk takes up to 9 s, and
-/// keepers whose disk is stuck for that long do not serve.
+/// Creates a folder, in memory if possible. While a build runs at the same time, a sync to disk takes up to 9
+/// s, and keepers whose disk is stuck for that long do not serve.
 fn folder() -> tempfile::TempDir {
     let memory = Path::new("/dev/shm");
     match memory.is_dir() {
