--- a/soak/src/judge_answers.rs
+++ b/soak/src/judge_answers.rs
@@ -1,83 +1,87 @@
-//! Whether what a caller can take as complete is what upstreams sent as whole, byte for byte.
+//! Checks, byte for byte, that an answer which its caller can take as complete is one that upstreams sent as
+//! whole.
 
-use crate::answer_make::{AnswerKind, AnswerMake, EarlyEnd, Framing, STREAM_EVENTS};
-use crate::ledger::{AskKind, AskRow, LedgerRows, RunRow, SentEnd, Touched};
+use crate::answer_make::{AnswerKind, AnswerPlan, EarlyEnd, Framing, STREAM_EVENTS};
+use crate::ledger::{LedgerRows, RequestKind, RequestRow, RunRow, SentEnd, Touched};
 
-/// What is wrong with an answer that ended as complete.
-pub fn answer_fault(rows: &LedgerRows, ask: &AskRow, runs: &[&RunRow]) -> Option<String> {
-    let seen = ask.answer.as_ref()?;
-    if (200..300).contains(&seen.status) && !seen.stamped {
+/// Describes what is wrong with the answer to a request that had these runs; none if nothing is wrong, or if
+/// no answer ended as complete.
+pub fn answer_fault(rows: &LedgerRows, request: &RequestRow, runs: &[&RunRow]) -> Option<String> {
+    let received = request.answer.as_ref()?;
+    if (200..300).contains(&received.status) && !received.stamped {
         return Some("a success without a stamp".to_string());
     }
-    // A VM's own refusals carry none.
-    if !seen.stamped || (ask.old && is_ended_vm(rows, ask)) {
+    // Only answers of upstreams carry a stamp; refusals by a VM have none.
+    if !received.stamped || (request.old && overlaps_vm_disturbance(rows, request)) {
         return None;
     }
     if runs.is_empty() {
-        return Some("an answer that nobody gave".to_string());
+        return Some("an answer without any run".to_string());
     }
     let ends: Vec<RunEnd> = runs.iter().map(|run| run_end(rows, run)).collect();
-    let of = runs.iter().zip(&ends);
-    let whole = of.clone().any(|(run, end)| {
-        let made = run.make.pieces(&ask.attempt).concat();
-        run.make.status() == seen.status && *end == RunEnd::Whole && made == seen.body
+    let answers = runs.iter().zip(&ends);
+    let whole = answers.clone().any(|(run, end)| {
+        let body = run.make.pieces(&request.attempt).concat();
+        run.make.status() == received.status && *end == RunEnd::Whole && body == received.body
     });
     if whole {
         return None;
     }
-    let streams = matches!(ask.kind, AskKind::Stream | AskKind::Resume) && seen.status == 200;
+    let streams =
+        matches!(request.kind, RequestKind::Stream | RequestKind::Resume) && received.status == 200;
     if !streams {
-        return Some(format!("complete, but of {:?}", makes(runs, &ends)));
+        return Some(format!("complete, but of {:?}", plans(runs, &ends)));
     }
-    let mut joined = JoinedRuns { rest: &seen.body, next: 1, ended: false };
-    for (run, end) in of {
-        if joined.next == 1 || ask.kind == AskKind::Resume {
-            joined.take(&ask.attempt, &run.make, *end);
+    let mut joined = JoinedRuns { rest: &received.body, next: 1, ended: false };
+    for (run, end) in answers {
+        if joined.next == 1 || request.kind == RequestKind::Resume {
+            joined.consume(&request.attempt, &run.make, *end);
         }
     }
     match (joined.rest.is_empty(), joined.ended) {
         (true, true) => None,
         (true, false) => {
-            Some(format!("complete after {} events, of {:?}", joined.next - 1, makes(runs, &ends)))
+            Some(format!("complete after {} events, of {:?}", joined.next - 1, plans(runs, &ends)))
         }
         (false, _) => Some(format!(
-            "{} bytes after event {} are none of its runs', of {:?}",
+            "{} bytes after event {} are of none of its runs: {:?}",
             joined.rest.len(),
             joined.next - 1,
-            makes(runs, &ends)
+            plans(runs, &ends)
         )),
     }
 }
 
-/// By HTTP/1.0 an answer ends with its connection, which the end of a VM's process closes too.
-fn is_ended_vm(rows: &LedgerRows, ask: &AskRow) -> bool {
+/// Whether a disturbance of the VM that got the request overlaps it. An HTTP/1.0 answer ends with its
+/// connection, which the end of a VM's process closes too, so the caller cannot distinguish the two.
+fn overlaps_vm_disturbance(rows: &LedgerRows, request: &RequestRow) -> bool {
     rows.spans.iter().any(|span| {
-        span.touched == Touched::Vm(ask.vm)
-            && span.from_ms <= ask.ended_ms
-            && span.until_ms.is_none_or(|until_ms| until_ms >= ask.sent_ms)
+        span.touched == Touched::Vm(request.vm)
+            && span.from_ms <= request.ended_ms
+            && span.until_ms.is_none_or(|until_ms| until_ms >= request.sent_ms)
     })
 }
 
-fn makes(runs: &[&RunRow], ends: &[RunEnd]) -> Vec<(AnswerMake, RunEnd)> {
+fn plans(runs: &[&RunRow], ends: &[RunEnd]) -> Vec<(AnswerPlan, RunEnd)> {
     runs.iter().zip(ends).map(|(run, end)| (run.make, *end)).collect()
 }
 
-/// What is to be known of a run's end.
+/// How the answer of a run ended, as far as its receiver can see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunEnd {
-    /// All of it was sent, and its framing ended it.
+    /// The whole body was sent, and ended by its framing.
     Whole,
-    /// It has no framing and was closed cleanly after so many events, between two of them. Nothing tells it
-    /// from a whole one, so a VM that takes it as complete does what it can.
+    /// The stream has no framing and was closed cleanly between two events, after this many. Nothing
+    /// distinguishes it from a whole stream, so a VM may take it as complete.
     LooksWhole(u64),
-    /// It broke off.
+    /// The answer broke off in a way that its receiver can detect, or its end is not recorded.
     Broken,
 }
 
 fn run_end(rows: &LedgerRows, run: &RunRow) -> RunEnd {
-    let make = &run.make;
-    let sent = match rows.sent.iter().find(|sent| sent.run == make.run).map(|sent| sent.end) {
-        Some(SentEnd::AsMade) => match make.early {
+    let plan = &run.make;
+    let sent = match rows.sent.iter().find(|sent| sent.run == plan.run).map(|sent| sent.end) {
+        Some(SentEnd::AsMade) => match plan.early {
             None => return RunEnd::Whole,
             Some(early) if early.end == EarlyEnd::Reset => return RunEnd::Broken,
             Some(early) => early.sent,
@@ -85,11 +89,11 @@
         Some(SentEnd::Closed(sent)) => sent,
         None => return RunEnd::Broken,
     };
-    if make.framing != Framing::Connection || !matches!(make.kind, AnswerKind::Stream(_)) {
+    if plan.framing != Framing::Connection || !matches!(plan.kind, AnswerKind::Stream(_)) {
         return RunEnd::Broken;
     }
     let (mut bytes, mut events) = (0, 0);
-    for piece in make.pieces(&run.attempt) {
+    for piece in plan.pieces(&run.attempt) {
         if bytes == sent {
             break;
         }
@@ -102,23 +106,26 @@
     }
 }
 
-/// A stream as far as it was found to be made of events of its runs, in their order.
+/// Matches the body of a received stream against the events of its runs, in order.
 struct JoinedRuns<'a> {
+    /// The bytes that are not matched yet.
     rest: &'a [u8],
+    /// The number of the next event.
     next: u64,
-    /// Whether the last of them ended there in a way that can be taken as complete.
+    /// Whether the last matched run ended there in a way that can be taken as complete.
     ended: bool,
 }
 
 impl JoinedRuns<'_> {
-    fn take(&mut self, attempt: &str, make: &AnswerMake, end: RunEnd) {
-        let AnswerKind::Stream(after) = make.kind else { return };
-        if make.status() != 200 || after >= self.next {
+    /// Matches the events of one run from `next` on, as far as the bytes agree.
+    fn consume(&mut self, attempt: &str, plan: &AnswerPlan, end: RunEnd) {
+        let AnswerKind::Stream(after) = plan.kind else { return };
+        if plan.status() != 200 || after >= self.next {
             return;
         }
         let before = self.next - 1;
         let skipped = (self.next - 1 - after) as usize;
-        for event in make.pieces(attempt).iter().skip(skipped) {
+        for event in plan.pieces(attempt).iter().skip(skipped) {
             let Some(rest) = self.rest.strip_prefix(event.as_slice()) else { break };
             self.rest = rest;
             self.next += 1;
@@ -129,7 +136,8 @@
             RunEnd::LooksWhole(events) => reached == after + events,
             RunEnd::Broken => false,
         };
-        // A later run that brought nothing new may still say that this is the end.
+        // A run that added no events can confirm that this is the end, and does not undo an end reached
+        // before.
         self.ended = ended || (self.ended && reached == before);
     }
 }
