--- a/daemons/src/bin/wingshed-node.rs
+++ b/daemons/src/bin/wingshed-node.rs
@@ -1,4 +1,5 @@
-//! One VM of the fleet on the users' platform: router, and keeper where there is a disk.
+//! The main function of a VM of the fleet on the users' platform. Every VM is a router, and also a keeper if it
+//! has a disk.
 
 use std::process::ExitCode;
 
--- a/daemons/src/bin/wingshed-router.rs
+++ b/daemons/src/bin/wingshed-router.rs
@@ -1,4 +1,4 @@
-//! The router's main: settings in, node out, drain on SIGTERM.
+//! The main function of `wingshed-router`. On SIGTERM the router drains and stops.
 
 fn main() -> std::process::ExitCode {
     wingshed_daemons::run_daemon(wingshed_daemons::DaemonRole::Router)
--- a/daemons/src/lib.rs
+++ b/daemons/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the two daemons share: arguments, logs, signals.
+//! The main functions of the daemons: arguments, logs and signals.
 
 pub mod log_sink;
 pub mod log_writer;
@@ -17,7 +17,7 @@
 use wingshed_lib::transport::keeper_node::KeeperNode;
 use wingshed_lib::transport::router_node::RouterNode;
 
-/// Which daemon runs.
+/// The daemon that a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonRole {
     /// `wingshed-router`.
@@ -35,15 +35,16 @@
     /// write logs as JSON
     #[argh(switch)]
     json_logs: bool,
-    /// which logs to write, such as info or wingshed_lib=debug
+    /// the log filter, such as info or wingshed_lib=debug
     #[argh(option, default = "String::from(\"info\")")]
     log: String,
 }
 
-/// Threads are many, so their stacks are small; the main thread sets this before any other.
+/// The stack size of each thread, in bytes, as `RUST_MIN_STACK` takes it. It is small because a daemon runs many
+/// threads. The variable is set before the first thread starts, since it is read only then.
 const STACK_BYTES: &str = "262144";
 
-/// Runs a daemon to its end.
+/// Runs a daemon until it terminates, and returns its exit code.
 pub fn run_daemon(role: DaemonRole) -> ExitCode {
     std::env::set_var("RUST_MIN_STACK", STACK_BYTES);
     let arguments: Arguments = argh::from_env();
@@ -73,13 +74,14 @@
     writer
 }
 
-/// Why a daemon failed, in lines for its operator.
+/// The lines that tell the operator why a daemon failed.
 type FailureLines = Vec<String>;
 
 fn run_role(role: DaemonRole, path: &Path) -> Result<(), FailureLines> {
-    // Registered before the node starts, so that no early signal is lost.
+    // The signals are registered before the node starts, so that a signal during the start is not lost.
     let signals = Signals::new([SIGTERM, SIGINT]);
-    let mut signals = signals.map_err(|error| failure(&format!("cannot take signals: {error}")))?;
+    let mut signals =
+        signals.map_err(|error| failure(&format!("cannot register signal handlers: {error}")))?;
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|error| failure(&format!("{}: {error}", path.display())))?;
     match role {
--- a/daemons/src/log_sink.rs
+++ b/daemons/src/log_sink.rs
@@ -1,12 +1,13 @@
-//! Writes lines of a log without waiting for the process that reads or the disk that stores them.
+//! Writes log lines without waiting for the process that reads them or the disk that stores them.
 //!
 //! A pipe whose reader stopped blocks its writers, and so does a file on a stalled disk. Neither
-//! may stop a daemon from serving or from ending. Pipes, sockets and terminals report whether they
+//! may keep a daemon from serving or from terminating. Pipes, sockets and terminals report whether they
 //! accept a line at once. Files always report that they do, so a thread writes to them from a
-//! bounded queue. Lines that would wait are dropped, never written in part.
+//! bounded queue. A line that would have to wait is dropped as a whole;
+//! lines are never written in part.
 //!
-//! Files are written through the descriptor that was given, not a duplicate: collectors may replace
-//! it or see only what is written through it.
+//! Files are written through the given descriptor and not through a duplicate, because a log collector may
+//! replace the descriptor, or see only what is written through it.
 
 use std::fs::{File, FileType, OpenOptions};
 use std::io::{self, Write};
@@ -19,61 +20,66 @@
 
 use crossbeam::channel::{bounded, Sender};
 
-/// A pipe that accepts anything accepts this many bytes whole (`PIPE_BUF` of Linux).
-pub const LONGEST_LINE: usize = 4096;
-/// Lines that wait for a file. At the longest they take 1 MB.
-pub const QUEUED_LINES: usize = 256;
+/// The maximum length of a line, in bytes (`PIPE_BUF` of Linux). A pipe that is writable accepts this many bytes
+/// at once; a longer line could be written in part, so it is dropped.
+pub const MAX_LINE_BYTES: usize = 4096;
+/// The maximum number of lines that wait to be written to a file. At their maximum length they take 1 MB.
+pub const MAX_QUEUED_LINES: usize = 256;
+/// The stack size of the thread that writes to a file, in bytes.
 const STACK_BYTES: usize = 64 << 10;
 const FLUSH_POLL: Duration = Duration::from_millis(2);
 
-/// An output for whole lines.
+/// An output that accepts each line as a whole or not at all.
 pub struct LogSink {
     output: SinkOutput,
 }
 
 enum SinkOutput {
     Socket(RawFd),
-    /// A description of its own, so that other processes with the same pipe keep theirs blocking.
+    /// A separate open file description in non-blocking mode, so that other processes that share the pipe keep
+    /// theirs in blocking mode.
     Pipe(File),
-    /// Asked before each write. The lock keeps two threads from claiming the same room.
+    /// A descriptor that is polled before each write. The lock keeps two threads from counting on the same free
+    /// space.
     Polled(Mutex<RawFd>),
     Queue(LineQueue),
 }
 
 impl LogSink {
-    /// A sink for a descriptor that stays open as long as lines are written or queued.
+    /// Creates a sink for a descriptor, which must stay open as long as lines are written or queued.
     pub fn to(output: RawFd) -> LogSink {
         LogSink { output: SinkOutput::of(output) }
     }
 
-    /// A sink whose lines are written by a thread.
+    /// Creates a sink that queues lines and writes them from a thread of its own.
     ///
     /// # Errors
     ///
-    /// The system has no room for the thread.
+    /// Fails if the system cannot start the thread.
     pub fn queued(output: impl Write + Send + 'static) -> io::Result<LogSink> {
         Ok(LogSink { output: SinkOutput::Queue(LineQueue::start(output)?) })
     }
 
-    /// Writes or queues a line; false when that would wait or fails.
+    /// Writes or queues a line. Returns false if that would have to wait, if it fails, or if the line is longer
+    /// than [`MAX_LINE_BYTES`].
     pub fn write(&self, line: &[u8]) -> bool {
-        if line.len() > LONGEST_LINE {
+        if line.len() > MAX_LINE_BYTES {
             return false;
         }
         match &self.output {
-            SinkOutput::Socket(socket) => send_now(*socket, line),
+            SinkOutput::Socket(socket) => send_nonblocking(*socket, line),
             SinkOutput::Pipe(pipe) => {
                 (&mut &*pipe).write(line).is_ok_and(|sent| sent == line.len())
             }
-            SinkOutput::Polled(place) => {
-                let output = place.lock().unwrap_or_else(|poison| poison.into_inner());
-                accepts_now(*output) && write_to(*output, line)
+            SinkOutput::Polled(descriptor) => {
+                let output = descriptor.lock().unwrap_or_else(|poison| poison.into_inner());
+                is_writable(*output) && write_to(*output, line)
             }
             SinkOutput::Queue(queue) => queue.push(line),
         }
     }
 
-    /// Lines that were queued and could not be written since this was last asked.
+    /// Returns the number of lines that were queued but could not be written since the previous call.
     pub fn take_failed(&self) -> u32 {
         match &self.output {
             SinkOutput::Queue(queue) => queue.counts.failed.swap(0, Ordering::Relaxed),
@@ -81,10 +87,10 @@
         }
     }
 
-    /// Waits until all queued lines are written, but no longer than `most`.
-    pub fn flush(&self, most: Duration) {
+    /// Waits until all queued lines are written, but no longer than `max_wait`.
+    pub fn flush(&self, max_wait: Duration) {
         let SinkOutput::Queue(queue) = &self.output else { return };
-        let until = Instant::now() + most;
+        let until = Instant::now() + max_wait;
         while queue.counts.waiting.load(Ordering::Acquire) > 0 && Instant::now() < until {
             std::thread::sleep(FLUSH_POLL);
         }
@@ -97,9 +103,9 @@
             return SinkOutput::Socket(output);
         }
         let polled = || SinkOutput::Polled(Mutex::new(output));
-        let Ok(kind) = kind_of(output) else { return polled() };
+        let Ok(kind) = file_type(output) else { return polled() };
         if kind.is_file() {
-            let queue = LineQueue::start(KeptDescriptor(output));
+            let queue = LineQueue::start(BorrowedDescriptor(output));
             return queue.map_or_else(|_| polled(), SinkOutput::Queue);
         }
         match kind.is_fifo().then(|| reopen_nonblocking(output)) {
@@ -109,12 +115,12 @@
     }
 }
 
-/// A descriptor that stays open and is not closed here.
-struct KeptDescriptor(RawFd);
+/// Writes to a descriptor that belongs to the caller of [`LogSink::to`] and is not closed here.
+struct BorrowedDescriptor(RawFd);
 
-impl Write for KeptDescriptor {
+impl Write for BorrowedDescriptor {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        borrowed(self.0).write(bytes)
+        borrowed_file(self.0).write(bytes)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -122,13 +128,13 @@
     }
 }
 
-fn borrowed(output: RawFd) -> ManuallyDrop<File> {
-    // SAFETY: the caller of `LogSink::to` keeps the descriptor open, and this does not close it.
+fn borrowed_file(output: RawFd) -> ManuallyDrop<File> {
+    // SAFETY: the caller of `LogSink::to` keeps the descriptor open, and `ManuallyDrop` does not close it.
     ManuallyDrop::new(unsafe { File::from_raw_fd(output) })
 }
 
-fn kind_of(output: RawFd) -> io::Result<FileType> {
-    Ok(borrowed(output).metadata()?.file_type())
+fn file_type(output: RawFd) -> io::Result<FileType> {
+    Ok(borrowed_file(output).metadata()?.file_type())
 }
 
 fn reopen_nonblocking(pipe: RawFd) -> io::Result<File> {
@@ -136,7 +142,7 @@
     OpenOptions::new().write(true).custom_flags(libc::O_NONBLOCK).open(path)
 }
 
-fn send_now(socket: RawFd, line: &[u8]) -> bool {
+fn send_nonblocking(socket: RawFd, line: &[u8]) -> bool {
     let flags = libc::MSG_DONTWAIT | libc::MSG_NOSIGNAL;
     // SAFETY: the buffer is valid for its length.
     let sent = unsafe { libc::send(socket, line.as_ptr().cast(), line.len(), flags) };
@@ -149,10 +155,11 @@
     written == line.len() as isize
 }
 
-/// Whether the descriptor accepts [`LONGEST_LINE`] bytes now. Sockets cannot be asked this.
-fn accepts_now(output: RawFd) -> bool {
+/// Returns whether the descriptor accepts [`MAX_LINE_BYTES`] bytes without blocking. For a socket `poll` does not
+/// guarantee that.
+fn is_writable(output: RawFd) -> bool {
     let mut poll = libc::pollfd { fd: output, events: libc::POLLOUT, revents: 0 };
-    // SAFETY: one valid entry, and no waiting.
+    // SAFETY: the pointer is valid for the one entry that is passed. The timeout of 0 keeps the call from blocking.
     let ready = unsafe { libc::poll(&mut poll, 1, 0) };
     ready == 1 && poll.revents & libc::POLLOUT != 0
 }
@@ -160,15 +167,15 @@
 fn is_socket(output: RawFd) -> bool {
     let mut kind = 0i32;
     let mut length = size_of::<i32>() as libc::socklen_t;
-    let place: *mut i32 = &mut kind;
-    // SAFETY: the place is valid for the length that is passed.
-    let asked = unsafe {
-        libc::getsockopt(output, libc::SOL_SOCKET, libc::SO_TYPE, place.cast(), &mut length)
+    let option: *mut i32 = &mut kind;
+    // SAFETY: the pointer is valid for the length that is passed.
+    let result = unsafe {
+        libc::getsockopt(output, libc::SOL_SOCKET, libc::SO_TYPE, option.cast(), &mut length)
     };
-    asked == 0
+    result == 0
 }
 
-/// Lines on their way to a thread that may block.
+/// A bounded queue of lines for a thread that may block while it writes them.
 struct LineQueue {
     lines: Sender<Vec<u8>>,
     counts: Arc<QueueCounts>,
@@ -182,7 +189,7 @@
 
 impl LineQueue {
     fn start(mut output: impl Write + Send + 'static) -> io::Result<LineQueue> {
-        let (lines, queued) = bounded::<Vec<u8>>(QUEUED_LINES);
+        let (lines, queued) = bounded::<Vec<u8>>(MAX_QUEUED_LINES);
         let counts = Arc::new(QueueCounts::default());
         let written = counts.clone();
         let run = move || {
--- a/daemons/src/log_writer.rs
+++ b/daemons/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! Formats a daemon's log for [`LogSink`] and reports the lines that are missing from it.
+//! Writes a daemon's log lines to a [`LogSink`], within the limits of a [`LineBudget`].
 //!
 //! Lines that were not written are counted, and the count is written before the next line.
 
@@ -13,12 +13,13 @@
 use wingshed_lib::coordination::line_budget::{LineBudget, LineVerdict};
 
 use crate::log_sink::LogSink;
-pub use crate::log_sink::LONGEST_LINE;
+pub use crate::log_sink::MAX_LINE_BYTES;
 
-/// A daemon that ends waits this long for its last lines. The disk may have stalled.
+/// The maximum time that a terminating daemon waits for its last lines to be written. Without a limit a stalled
+/// disk would keep it from terminating.
 const FLUSH_WAIT: Duration = Duration::from_secs(1);
 
-/// How the count of missing lines is written.
+/// The format of the note that reports missing lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogStyle {
     /// As a JSON object.
@@ -27,7 +28,7 @@
     Text,
 }
 
-/// Makes a writer for each line.
+/// Creates the writer of each log line, and shares the sink and the line budget among them.
 #[derive(Clone)]
 pub struct LogWriter {
     budget: Arc<Mutex<LineBudget<Identifier>>>,
@@ -37,18 +38,18 @@
 }
 
 impl LogWriter {
-    /// Writes JSON lines to standard output, within the limits of [`LineBudget`].
+    /// Creates a writer of JSON lines to standard output, within the limits of [`LineBudget`].
     pub fn stdout() -> LogWriter {
         LogWriter::to(std::io::stdout().as_raw_fd())
     }
 
-    /// Writes to standard error, without a limit on how many lines there may be.
+    /// Creates a writer to standard error without limits on the number of lines.
     pub fn stderr(style: LogStyle) -> LogWriter {
         let budget = LineBudget::unlimited();
         LogWriter { style, ..LogWriter::with(budget, std::io::stderr().as_raw_fd()) }
     }
 
-    /// Writes JSON lines to a descriptor that stays open, within the limits of [`LineBudget`].
+    /// Creates a writer of JSON lines to a descriptor, which must stay open, within the limits of [`LineBudget`].
     pub fn to(output: RawFd) -> LogWriter {
         LogWriter::with(LineBudget::default(), output)
     }
@@ -58,17 +59,17 @@
         LogWriter { budget, started: Instant::now(), sink, style: LogStyle::Json }
     }
 
-    /// Writes a line that is no log event, such as why the process ends.
+    /// Writes a line that is not a log event, such as the reason why the process terminates.
     pub fn write_line(&self, text: &str) {
         self.sink.write(format!("{text}\n").as_bytes());
     }
 
-    /// Waits for queued lines, for a bounded time. To be called before the process ends.
+    /// Waits until queued lines are written, at most for a second. Call this before the process terminates.
     pub fn flush(&self) {
         self.sink.flush(FLUSH_WAIT);
     }
 
-    /// Logs panics. The default hook writes to standard error and waits for it.
+    /// Installs a panic hook that logs panics. The default hook would write to standard error and could block.
     pub fn log_panics() {
         std::panic::set_hook(Box::new(|panic| tracing::error!("{panic}")));
     }
@@ -85,7 +86,7 @@
         self.budget.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    fn missing_note(&self, folded: u32, dropped: u32) -> String {
+    fn missing_lines_note(&self, folded: u32, dropped: u32) -> String {
         match self.style {
             LogStyle::Json => format!(
                 "{{\"level\":\"WARN\",\"target\":\"log\",\"message\":\"lines are missing\",\
@@ -110,7 +111,7 @@
     }
 }
 
-/// One line on its way.
+/// The writer of one log line, which it collects and passes to the sink when it is dropped.
 pub struct LogLine {
     writer: LogWriter,
     verdict: LineVerdict,
@@ -135,7 +136,7 @@
         let LineVerdict::Write { folded, dropped } = self.verdict else { return };
         let mut bytes = Vec::new();
         if folded + dropped > 0 {
-            bytes.extend_from_slice(self.writer.missing_note(folded, dropped).as_bytes());
+            bytes.extend_from_slice(self.writer.missing_lines_note(folded, dropped).as_bytes());
         }
         bytes.extend_from_slice(&self.bytes);
         if !self.writer.sink.write(&bytes) {
--- a/daemons/src/vm.rs
+++ b/daemons/src/vm.rs
@@ -1,4 +1,4 @@
-//! The main program of a VM on the users' platform: settings, logs, signals.
+//! The main function of a VM on the users' platform: settings, logs and signals.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,47 +13,47 @@
 use wingshed_lib::transport::vm_node::VmNode;
 use wingshed_platform::{read_settings, settings_path, PlatformAdapter};
 
-/// The settings may change without a signal; they are looked at this often.
-const LOOK_AT_SETTINGS: Duration = Duration::from_secs(3);
+/// The interval at which the settings file is checked for changes, since a change may come without a signal.
+const SETTINGS_POLL: Duration = Duration::from_secs(3);
 
 /// a VM of a fleet on the users' platform
 #[derive(FromArgs)]
 struct VmArguments {
-    /// where the VM tells its figures, as PORT/PATH
-    #[argh(option, from_str_fn(read_place))]
-    figures: Option<FiguresPlace>,
+    /// where to serve the VM's metrics, as PORT/PATH
+    #[argh(option, from_str_fn(read_endpoint))]
+    figures: Option<MetricsEndpoint>,
 }
 
-/// A port and a path.
+/// The port and path at which a VM serves its metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FiguresPlace {
-    /// The port.
+pub struct MetricsEndpoint {
+    /// The TCP port.
     pub port: u16,
-    /// The path, with its slash.
+    /// The path, including its leading slash.
     pub path: String,
 }
 
-/// Reads a place written as PORT/PATH.
-pub fn read_place(text: &str) -> Result<FiguresPlace, String> {
+/// Reads an endpoint that is written as PORT/PATH. The port must not be 0.
+pub fn read_endpoint(text: &str) -> Result<MetricsEndpoint, String> {
     let parts = text.split_once('/').and_then(|(port, path)| Some((port.parse().ok()?, path)));
     match parts {
-        Some((port, path)) if port > 0 => Ok(FiguresPlace { port, path: format!("/{path}") }),
+        Some((port, path)) if port > 0 => Ok(MetricsEndpoint { port, path: format!("/{path}") }),
         _ => Err(format!("'{text}' is not PORT/PATH")),
     }
 }
 
-/// Runs a VM to its end.
+/// Runs a VM until it is stopped by SIGTERM or fails, and returns its exit code.
 pub fn run_vm() -> ExitCode {
     let arguments: VmArguments = argh::from_env();
     let logs = start_logs();
-    let code = run_settings(arguments);
+    let code = run_configured(arguments);
     logs.flush();
     code
 }
 
-fn run_settings(arguments: VmArguments) -> ExitCode {
+fn run_configured(arguments: VmArguments) -> ExitCode {
     let Some(path) = settings_path() else {
-        error!(target: "node", "the environment doesn't say where the settings are");
+        error!(target: "node", "the environment contains no path of a settings file");
         return ExitCode::FAILURE;
     };
     let Some(settings) = load_settings(&path) else { return ExitCode::FAILURE };
@@ -61,7 +61,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(target: "node", "no event loop: {error}");
+            error!(target: "node", "cannot create the event loop: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -69,7 +69,7 @@
     match tasks.block_on(&runtime, run_node(settings, path, arguments.figures)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!(target: "node", "cannot go on: {error}");
+            error!(target: "node", "the VM failed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -107,8 +107,8 @@
     }
 }
 
-/// A number that differs between lives and VMs.
-fn life_seed(settings: &VmSettings) -> u64 {
+/// Returns a random seed that differs between VMs and between incarnations of a VM.
+fn random_seed(settings: &VmSettings) -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u32(u32::from(settings.ip));
@@ -121,16 +121,16 @@
 async fn run_node(
     settings: VmSettings,
     path: PathBuf,
-    figures: Option<FiguresPlace>,
+    figures: Option<MetricsEndpoint>,
 ) -> std::io::Result<()> {
-    let seed = life_seed(&settings);
+    let seed = random_seed(&settings);
     let mut stop = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
     let node = VmNode::bind(settings, Box::new(PlatformAdapter), seed).await?;
     node.start()?;
     node.start_listeners()?;
-    if let Some(place) = figures {
-        node.start_metrics(place.port, place.path);
+    if let Some(endpoint) = figures {
+        node.start_metrics(endpoint.port, endpoint.path);
     }
     let mut seen = modified(&path);
     loop {
@@ -140,7 +140,7 @@
                 seen = modified(&path);
                 reload_settings(&node, &path);
             }
-            () = tokio::time::sleep(LOOK_AT_SETTINGS) => {
+            () = tokio::time::sleep(SETTINGS_POLL) => {
                 let now = modified(&path);
                 if now != seen {
                     seen = now;
@@ -157,10 +157,11 @@
     std::fs::metadata(path).and_then(|about| about.modified()).ok()
 }
 
-/// Takes what may change while a VM runs; what it listens on stays.
+/// Applies those settings that may change while a VM runs. The others, such as the addresses that it listens on,
+/// stay until it is restarted.
 fn reload_settings(node: &Rc<VmNode>, path: &Path) {
     let Some(fresh) = load_settings(path) else {
-        warn!(target: "settings", "the old settings stay in force");
+        warn!(target: "settings", "the settings cannot be read; the previous ones stay in force");
         return;
     };
     let mut settings = node.settings.borrow_mut();
@@ -168,5 +169,5 @@
     settings.bounds = fresh.bounds;
     settings.list = fresh.list;
     settings.tolerated_losses = fresh.tolerated_losses;
-    info!(target: "settings", "taken anew");
+    info!(target: "settings", "the settings were reloaded");
 }
--- a/daemons/tests/test_log_writer.rs
+++ b/daemons/tests/test_log_writer.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 
 use tracing::info;
-use wingshed_daemons::log_writer::{LogWriter, LONGEST_LINE};
+use wingshed_daemons::log_writer::{LogWriter, MAX_LINE_BYTES};
 
 fn pipe() -> (File, File) {
     let mut ends = [0; 2];
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_reader_that_does_not_read_holds_nothing_up_and_what_is_lost_is_told() {
-    let long = "x".repeat(LONGEST_LINE / 2);
+    let long = "x".repeat(MAX_LINE_BYTES / 2);
 
     let text = logged(|empty| {
         // A pipe holds 64 KiB by default; this is more, from different places.
@@ -62,7 +62,7 @@
 #[test]
 fn a_line_longer_than_a_pipe_takes_whole_is_lost_and_told() {
     let text = logged(|_| {
-        info!("{}", "y".repeat(LONGEST_LINE));
+        info!("{}", "y".repeat(MAX_LINE_BYTES));
         info!("next");
     });
 
@@ -87,7 +87,7 @@
     let (mut reader, writer) = UnixStream::pair().unwrap();
     let log = LogWriter::to(writer.as_raw_fd());
     let subscriber = tracing_subscriber::fmt().json().with_writer(log).finish();
-    let long = "z".repeat(LONGEST_LINE / 2);
+    let long = "z".repeat(MAX_LINE_BYTES / 2);
 
     tracing::subscriber::with_default(subscriber, || {
         for _ in 0..20 {
@@ -102,5 +102,5 @@
     drop(writer);
     let mut read = Vec::new();
     reader.read_to_end(&mut read).unwrap();
-    assert!(read.len() > LONGEST_LINE && read.ends_with(b"\n"), "whole lines: {}", read.len());
+    assert!(read.len() > MAX_LINE_BYTES && read.ends_with(b"\n"), "whole lines: {}", read.len());
 }
--- a/daemons/tests/test_stalled_logs.rs
+++ b/daemons/tests/test_stalled_logs.rs
@@ -10,7 +10,7 @@
 
 use crossbeam::channel::{bounded, unbounded, Receiver, Sender};
 use serde_json::json;
-use wingshed_daemons::log_sink::{LogSink, QUEUED_LINES};
+use wingshed_daemons::log_sink::{LogSink, MAX_QUEUED_LINES};
 use wingshed_standin::caller::{chat_call, send};
 use wingshed_standin::engine::{EngineMake, EngineStandIn};
 
@@ -170,7 +170,7 @@
     let (resume, go_on) = bounded::<()>(0);
     let (written, lines) = unbounded();
     let sink = LogSink::queued(StalledFile { go_on, written }).unwrap();
-    let lines_sent = QUEUED_LINES + 50;
+    let lines_sent = MAX_QUEUED_LINES + 50;
 
     let accepted = (0..lines_sent).filter(|at| sink.write(format!("{at}\n").as_bytes())).count();
     sink.flush(Duration::from_millis(1));
@@ -178,7 +178,7 @@
     sink.flush(PATIENCE);
 
     // The line that the thread holds may have left the queue before it was full.
-    assert!((QUEUED_LINES..=QUEUED_LINES + 1).contains(&accepted), "{accepted}");
+    assert!((MAX_QUEUED_LINES..=MAX_QUEUED_LINES + 1).contains(&accepted), "{accepted}");
     let written: Vec<Vec<u8>> = lines.try_iter().collect();
     let expected: Vec<Vec<u8>> = (0..accepted).map(|at| format!("{at}\n").into_bytes()).collect();
     assert_eq!(written, expected);
