--- a/cli/src/bench_classes.rs
+++ b/cli/src/bench_classes.rs
@@ -3,9 +3,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use wingshed_standin::caller::{chat_call, send, CallerAnswer, ChatAsk};
-use wingshed_standin::engine::EngineMake;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::{chat_call, send, CallerAnswer, ChatRequest};
+use wingshed_standin::engine::EngineOptions;
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 use crate::bench_decision::percentile;
 use crate::table::to_text;
@@ -55,9 +55,13 @@
     let mut table = Vec::new();
     for (name, watched, other, slow) in rows {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.engine =
-            EngineMake { slots: 8, piece_ms: 20, prefill_per_ms: 40, ..EngineMake::default() };
+        let mut make = SystemOptions::small(folder.path().to_path_buf());
+        make.engine = EngineOptions {
+            slots: 8,
+            piece_ms: 20,
+            prefill_per_ms: 40,
+            ..EngineOptions::default()
+        };
         make.requests_per_engine = make.engine.slots as u32;
         let system = SystemStandIn::start(make);
         if slow {
@@ -121,7 +125,7 @@
     let mut router = routers[caller.len() % routers.len()];
     while !stop.load(Ordering::Relaxed) {
         let number = answers.len();
-        let ask = ChatAsk {
+        let ask = ChatRequest {
             workspace: format!("w{}", kind.workspace),
             key: format!("k{}", kind.workspace),
             request_id: format!("{caller}-{number}"),
--- a/cli/src/bench_control.rs
+++ b/cli/src/bench_control.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use wingshed_lib::protocol::operator::WireRow;
-use wingshed_standin::caller::{chat_call, send, ChatAsk};
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::{chat_call, send, ChatRequest};
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 use crate::process::thread_seconds;
 use crate::table::to_text;
@@ -28,7 +28,7 @@
         (96, 40, false),
     ] {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
+        let mut make = SystemOptions::small(folder.path().to_path_buf());
         make.keepers = 3;
         make.routers = routers;
         make.engines = engines;
@@ -119,7 +119,7 @@
                     while Instant::now() < until {
                         let service = if sent % 10 == 9 { "alert" } else { "chat" };
                         let chat = format!("c{caller}-{}", sent % 7);
-                        let ask = ChatAsk {
+                        let ask = ChatRequest {
                             workspace: "w0".to_string(),
                             key: "k0".to_string(),
                             request_id: format!("r{caller}-{sent}"),
--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -23,7 +23,7 @@
 use wingshed_lib::transport::keeper_client::KeeperClient;
 use wingshed_lib::transport::keeper_node::KeeperNode;
 use wingshed_standin::address::free_address;
-use wingshed_standin::system::{SystemMake, SystemStandIn, FLEET_KEY};
+use wingshed_standin::system::{SystemOptions, SystemStandIn, FLEET_KEY};
 
 use crate::bench_decision::percentile;
 use crate::table::to_text;
@@ -161,7 +161,7 @@
 
 fn in_force() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-    let mut make = SystemMake::small(folder.path().to_path_buf());
+    let mut make = SystemOptions::small(folder.path().to_path_buf());
     make.keepers = 3;
     make.routers = 12;
     make.engines = 40;
--- a/cli/src/bench_relay.rs
+++ b/cli/src/bench_relay.rs
@@ -11,9 +11,9 @@
 use wingshed_lib::state::ids::ChatKey;
 use wingshed_lib::transport::http_client::HttpClient;
 use wingshed_standin::address::free_address;
-use wingshed_standin::caller::{chat_call, directory, send, CallerAnswer, ChatAsk};
-use wingshed_standin::engine::EngineMake;
-use wingshed_standin::system::{SystemMake, SystemStandIn, FLEET_KEY};
+use wingshed_standin::caller::{chat_call, directory, send, CallerAnswer, ChatRequest};
+use wingshed_standin::engine::EngineOptions;
+use wingshed_standin::system::{SystemOptions, SystemStandIn, FLEET_KEY};
 
 use crate::bench_decision::percentile;
 use crate::process::{cpu_seconds, rss_kb};
@@ -51,10 +51,10 @@
 }
 
 impl BenchSite {
-    fn start(routers: usize, engines: usize, engine: EngineMake) -> Result<BenchSite, String> {
+    fn start(routers: usize, engines: usize, engine: EngineOptions) -> Result<BenchSite, String> {
         let program = router_program()?;
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
+        let mut make = SystemOptions::small(folder.path().to_path_buf());
         make.routers = 0;
         make.engines = engines;
         make.engine = engine;
@@ -73,7 +73,7 @@
                 "role": "router", "id": at + 1, "zone": "a", "address": address.to_string(),
                 "keepers": keepers, "fleet_key": FLEET_KEY,
             });
-            let path = site.system.make.folder.join(format!("router-{at}.json"));
+            let path = site.system.options.folder.join(format!("router-{at}.json"));
             std::fs::write(&path, settings.to_string()).map_err(|error| error.to_string())?;
             let child = Command::new(&program)
                 .arg("--settings")
@@ -108,8 +108,8 @@
     }
 }
 
-fn bench_ask(id: &str, chat: &str, max_tokens: u32, returning: bool) -> ChatAsk {
-    ChatAsk {
+fn bench_ask(id: &str, chat: &str, max_tokens: u32, returning: bool) -> ChatRequest {
+    ChatRequest {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
         request_id: id.to_string(),
@@ -125,7 +125,8 @@
 
 /// Prints direct calls, calls through one router, and through entry and home, side by side.
 pub fn relay() -> Result<(), String> {
-    let engine = EngineMake { piece_ms: 4, prefill_per_ms: 1_000_000, ..EngineMake::default() };
+    let engine =
+        EngineOptions { piece_ms: 4, prefill_per_ms: 1_000_000, ..EngineOptions::default() };
     let site = BenchSite::start(2, 4, engine)?;
     let client = HttpClient::default();
     let direct = site.system.engines[0].as_ref().map(|engine| engine.address);
@@ -141,7 +142,7 @@
         let other = site.routers.iter().find(|router| **router != home).ok_or("one router")?;
         // The hop first: the home then knows the chat, and the second call finds it there.
         answers[2].push(send(&client, *other, &call, None));
-        let again = chat_call(&ChatAsk { request_id: format!("a{number}"), ..ask });
+        let again = chat_call(&ChatRequest { request_id: format!("a{number}"), ..ask });
         answers[1].push(send(&client, home, &again, None));
     }
     let mut rows = Vec::new();
@@ -186,11 +187,11 @@
 
 /// Prints what one router carries at 500, 1,000 and 2,000 streams.
 pub fn streams() -> Result<(), String> {
-    let engine = EngineMake {
+    let engine = EngineOptions {
         piece_ms: STREAM_PIECE_MS,
         prefill_per_ms: 1_000_000,
         slots: 4000,
-        ..EngineMake::default()
+        ..EngineOptions::default()
     };
     let site = BenchSite::start(1, 8, engine)?;
     let pid = site.children[0].id();
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -9,9 +9,9 @@
 use argh::FromArgs;
 use wingshed_lib::protocol::engine::run_id;
 use wingshed_lib::transport::http_client::HttpClient;
-use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatAsk};
+use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatRequest};
 use wingshed_standin::engine::whole_text;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 use wingshed_standin::verdict::{AnswerVerdict, RequestView};
 
 use crate::table::to_text;
@@ -55,7 +55,7 @@
 pub fn run(command: &DemoCommand) -> Result<bool, String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     println!("Starting 1 keeper, 3 routers, 6 stand-in engines, 2 plain upstreams.");
-    let mut system = SystemStandIn::start(SystemMake::small(folder.path().to_path_buf()));
+    let mut system = SystemStandIn::start(SystemOptions::small(folder.path().to_path_buf()));
     if command.serve {
         print_curl_lines(&system);
         loop {
@@ -66,7 +66,7 @@
     let wire_before = control_bytes(&system);
     let (results, skew) = put_load(&mut system);
     let seconds = started.elapsed().as_secs_f64();
-    let wire = (control_bytes(&system) - wire_before) / seconds / system.make.routers as f64;
+    let wire = (control_bytes(&system) - wire_before) / seconds / system.options.routers as f64;
     Ok(report(&system, &results, &skew, wire))
 }
 
@@ -119,7 +119,7 @@
             let address = system.engines[1].as_ref().map(|engine| engine.address);
             system.kill_engine(1);
             if let Some(address) = address {
-                system.revive_engine(1, address, 2);
+                system.restart_engine(1, address, 2);
             }
         }
         _ => {}
@@ -165,7 +165,7 @@
         return DemoResult { service, expected: target, run, answer, duplicate: None };
     }
     let pieces = if service == "digest" { 64 } else { 24 };
-    let ask = ChatAsk {
+    let ask = ChatRequest {
         workspace,
         key: format!("k{}", number % 3),
         request_id,
@@ -270,7 +270,7 @@
     for result in results.iter().filter(bad).take(5) {
         println!("wrong: {} {:?}", result.service, result.answer);
     }
-    let undropped = alerts.iter().filter(|result| !result.view(&starts).second_holds()).count();
+    let undropped = alerts.iter().filter(|result| !result.view(&starts).second_is_valid()).count();
     let held = wrong == 0 && doubled == 0 && undropped == 0;
     println!("\n{}", if held { "Every promise held." } else { "A promise was broken." });
     held
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -10,7 +10,7 @@
 use wingshed_lib::coordination::replay_outcome::ReplayOutcome;
 use wingshed_lib::coordination::trace::{read_trace, Trace};
 use wingshed_lib::state::configuration::{MoveRates, NO_IMPORT_RATES};
-use wingshed_standin::trace::{make_trace, write_trace, TraceCase, TraceDeployment, TraceMake};
+use wingshed_standin::trace::{make_trace, write_trace, TraceCase, TraceDeployment, TraceOptions};
 
 use crate::table::to_text;
 
@@ -80,7 +80,7 @@
         .ok_or_else(|| format!("there is no deployment `{}`", command.deployment))?;
     let case = TraceCase::named(&command.case)
         .ok_or_else(|| format!("there is no case `{}`", command.case))?;
-    let make = TraceMake {
+    let make = TraceOptions {
         deployment,
         case,
         minutes: command.minutes,
--- a/daemons/tests/test_processes.rs
+++ b/daemons/tests/test_processes.rs
@@ -12,7 +12,7 @@
 use wingshed_lib::protocol::http::HttpCall;
 use wingshed_lib::transport::http_client::CallTimes;
 use wingshed_standin::caller::{chat_call, send};
-use wingshed_standin::engine::{whole_text, EngineMake, EngineStandIn};
+use wingshed_standin::engine::{whole_text, EngineOptions, EngineStandIn};
 
 use testutils::{ask, keeper, log_of, router, spawn, Daemon, Site, FLEET_KEY};
 
@@ -21,7 +21,7 @@
     let site = Site::new(3, 2);
     let mut keepers: Vec<Daemon> =
         (0..3).map(|at| keeper(&site.path(&format!("keeper-{at}")))).collect();
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let _routers: Vec<Daemon> =
         (0..2).map(|at| router(&site.path(&format!("router-{at}")), None)).collect();
@@ -79,7 +79,7 @@
 fn sigterm_drains_a_router_without_cutting_its_streams() {
     let site = Site::new(1, 2);
     let _keeper = keeper(&site.path("keeper-0"));
-    let engines = [EngineStandIn::start(EngineMake { piece_ms: 5, ..EngineMake::default() })];
+    let engines = [EngineStandIn::start(EngineOptions { piece_ms: 5, ..EngineOptions::default() })];
     site.configure(&engines);
     let mut first = router(&site.path("router-0"), None);
     let _second = router(&site.path("router-1"), None);
@@ -119,7 +119,7 @@
 fn a_router_ends_after_sigterm_though_its_keeper_is_silent() {
     let site = Site::new(1, 1);
     let keeper = keeper(&site.path("keeper-0"));
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let mut router = router(&site.path("router-0"), None);
     site.wait_serving();
@@ -139,7 +139,7 @@
     let site = Site::new(7, 1);
     let keepers: Vec<Daemon> =
         (0..7).map(|at| keeper(&site.path(&format!("keeper-{at}")))).collect();
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let mut router = router(&site.path("router-0"), None);
     site.wait_serving();
@@ -157,7 +157,7 @@
 fn a_router_that_ran_out_of_descriptors_serves_again() {
     let site = Site::new(1, 1);
     let _keeper = keeper(&site.path("keeper-0"));
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let _router = router(&site.path("router-0"), Some((libc::RLIMIT_NOFILE, 64)));
     site.wait_serving();
--- a/daemons/tests/test_stalled_logs.rs
+++ b/daemons/tests/test_stalled_logs.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use wingshed_daemons::log_sink::{LogSink, MAX_QUEUED_LINES};
 use wingshed_standin::caller::{chat_call, send};
-use wingshed_standin::engine::{EngineMake, EngineStandIn};
+use wingshed_standin::engine::{EngineOptions, EngineStandIn};
 
 use testutils::{ask, keeper, spawn_logging, Daemon, Site};
 
@@ -74,7 +74,7 @@
 fn a_router_ends_after_sigterm_though_nobody_reads_its_log() {
     let site = Site::new(1, 1);
     let _keeper = keeper(&site.path("keeper-0"));
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let (mut router, _reader, mut log) = unread_router(&site);
     site.wait_serving();
@@ -92,7 +92,7 @@
 fn a_router_serves_by_new_versions_though_nobody_reads_its_log() {
     let site = Site::new(1, 1);
     let _keeper = keeper(&site.path("keeper-0"));
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let (_router, _reader, mut log) = unread_router(&site);
     site.wait_serving();
@@ -123,7 +123,7 @@
     let site = Site::new(1, 1);
     let (_keeper, _reader, mut log) =
         unread(env!("CARGO_BIN_EXE_wingshed-keeper"), &site.path("keeper-0"));
-    let engines = [EngineStandIn::start(EngineMake::default())];
+    let engines = [EngineStandIn::start(EngineOptions::default())];
     site.configure(&engines);
     let mut router = testutils::router(&site.path("router-0"), None);
     site.wait_serving();
--- a/daemons/tests/testutils/mod.rs
+++ b/daemons/tests/testutils/mod.rs
@@ -11,7 +11,7 @@
 use wingshed_lib::protocol::http::HttpCall;
 use wingshed_lib::transport::http_client::{CallTimes, HttpClient};
 use wingshed_standin::address::free_address;
-use wingshed_standin::caller::ChatAsk;
+use wingshed_standin::caller::ChatRequest;
 use wingshed_standin::engine::EngineStandIn;
 use wingshed_standin::system::POLICY;
 
@@ -224,8 +224,8 @@
 }
 
 /// A fresh chat of the workspace that [`Site::configure`] makes.
-pub fn ask(id: &str, service: &str, max_tokens: u32) -> ChatAsk {
-    ChatAsk {
+pub fn ask(id: &str, service: &str, max_tokens: u32) -> ChatRequest {
+    ChatRequest {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
         request_id: id.to_string(),
--- a/lib/tests/test_broken_answers.rs
+++ b/lib/tests/test_broken_answers.rs
@@ -9,11 +9,11 @@
 use testutils::{returning_chat, system_with, SystemFixture};
 use wingshed_lib::protocol::caller::RanMark;
 use wingshed_standin::caller::{chat_call, plain_call, send};
-use wingshed_standin::system::SystemMake;
+use wingshed_standin::system::SystemOptions;
 
 /// A system of one router, with these beside its upstreams.
 fn system_beside(
-    change: impl FnOnce(&mut SystemMake),
+    change: impl FnOnce(&mut SystemOptions),
     fleet: &str,
     upstreams: &[SocketAddr],
 ) -> SystemFixture {
@@ -83,7 +83,7 @@
     let body = "x".repeat(200_000);
     let bytes = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let upstream = raw_answer(bytes.into_bytes(), RawEnd::Close, RawPace::AtOnce);
-    let change = |make: &mut SystemMake| (make.plains, make.routers) = (0, 2);
+    let change = |make: &mut SystemOptions| (make.plains, make.routers) = (0, 2);
     let mut fixture = system_beside(change, "plain", &[upstream]);
     let system = &mut fixture.system;
     let entry = system.router_addresses()[0];
--- a/lib/tests/test_promises.rs
+++ b/lib/tests/test_promises.rs
@@ -10,7 +10,7 @@
 use wingshed_lib::protocol::caller::RanMark;
 use wingshed_lib::protocol::engine::run_id;
 use wingshed_lib::protocol::vm_list::{VmEntry, VmStanding};
-use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatAsk};
+use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatRequest};
 use wingshed_standin::engine::{whole_text, EngineFaults};
 use wingshed_standin::platform::PlatformStandIn;
 use wingshed_standin::system::SystemStandIn;
@@ -41,7 +41,7 @@
     faults.forget_runs.store(false, Ordering::Relaxed);
 }
 
-fn ask(system: &SystemStandIn, chat: &ChatAsk) -> CallerAnswer {
+fn ask(system: &SystemStandIn, chat: &ChatRequest) -> CallerAnswer {
     send(&system.client, system.router_addresses()[0], &chat_call(chat), None)
 }
 
@@ -72,7 +72,7 @@
             each_engine(system, clear);
             each_engine(system, fault);
             let id = format!("{}-{stream}-{service}", case.replace(' ', "-"));
-            let chat = ChatAsk { stream, max_tokens: 40, ..returning_chat(&id, service) };
+            let chat = ChatRequest { stream, max_tokens: 40, ..returning_chat(&id, service) };
 
             let answer = ask(system, &chat);
 
@@ -150,7 +150,7 @@
     let fault: Fault = |f| {
         f.cut_before_head.store(true, Ordering::Relaxed);
         f.forget_runs.store(true, Ordering::Relaxed);
-        f.told_life.store(9, Ordering::Relaxed);
+        f.reported_incarnation.store(9, Ordering::Relaxed);
     };
     each_engine(system, fault);
 
@@ -170,8 +170,9 @@
     let fixture = system_with(|make| make.engine.piece_ms = 20);
     let system = &fixture.system;
     let routers = system.router_addresses();
-    let long = ChatAsk { max_tokens: 400, ..returning_chat("hung-up", "chat") };
-    let kept = ChatAsk { max_tokens: 100, chat: "c2".into(), ..returning_chat("resumed", "chat") };
+    let long = ChatRequest { max_tokens: 400, ..returning_chat("hung-up", "chat") };
+    let kept =
+        ChatRequest { max_tokens: 100, chat: "c2".into(), ..returning_chat("resumed", "chat") };
 
     send(&system.client, routers[0], &chat_call(&long), Some(3));
     let first = send(&system.client, routers[0], &chat_call(&kept), Some(5));
@@ -218,7 +219,7 @@
 
         for number in 0..30 {
             let id = format!("{number}");
-            let chat = ChatAsk { chat: format!("c{number}"), ..returning_chat(&id, "chat") };
+            let chat = ChatRequest { chat: format!("c{number}"), ..returning_chat(&id, "chat") };
             let router = routers[number % routers.len()];
             let answer = send(&system.client, router, &chat_call(&chat), None);
             assert!(answer.whole, "{case}: {answer:?}");
@@ -244,10 +245,10 @@
         let call = plain_call("w0", "k0", id, "plain", "POST", "/x");
         send(&system.client, router, &call, None)
     };
-    let tire = |at: usize, rest_s: u64| {
+    let tire = |at: usize, backoff_s: u64| {
         let faults = system.plains[at].as_ref().unwrap().faults();
         faults.refuse.store(true, Ordering::Relaxed);
-        faults.rest_s.store(rest_s, Ordering::Relaxed);
+        faults.backoff_s.store(backoff_s, Ordering::Relaxed);
     };
     let refused = || -> Vec<u64> { system.plains.iter().flatten().map(|p| p.refused()).collect() };
 
@@ -291,7 +292,7 @@
     let set_aside = counts();
     tired.faults().cut.store(false, Ordering::Relaxed);
     tired.faults().refuse.store(true, Ordering::Relaxed);
-    tired.faults().rest_s.store(1, Ordering::Relaxed);
+    tired.faults().backoff_s.store(1, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(FIRST_EJECTION_MS + 100));
     call_often("tried");
     let asked_rest = counts();
@@ -364,7 +365,7 @@
     let mut fixture = system_with(|_| {});
     let system = &mut fixture.system;
     let router = system.router_addresses()[0];
-    let unknown = ChatAsk { key: "k-new".to_string(), ..returning_chat("new", "chat") };
+    let unknown = ChatRequest { key: "k-new".to_string(), ..returning_chat("new", "chat") };
 
     let leased = send(&system.client, router, &chat_call(&unknown), None);
     system.keepers[0].take().unwrap().stop_now();
@@ -381,7 +382,7 @@
     let mut fixture = system_with(|make| make.engine.piece_ms = 10);
     let system = &mut fixture.system;
     let routers = system.router_addresses();
-    let chat = ChatAsk { max_tokens: 300, ..returning_chat("orphan", "alert") };
+    let chat = ChatRequest { max_tokens: 300, ..returning_chat("orphan", "alert") };
     let doomed = system.routers[0].take().unwrap();
 
     let first = std::thread::scope(|scope| {
@@ -412,7 +413,7 @@
     });
     let system = &fixture.system;
     let router = system.router_addresses()[0];
-    let chat = |id: &str, max_tokens| ChatAsk {
+    let chat = |id: &str, max_tokens| ChatRequest {
         prompt_tokens: 4000,
         max_tokens,
         ..returning_chat(id, "chat")
--- a/lib/tests/test_replay.rs
+++ b/lib/tests/test_replay.rs
@@ -4,12 +4,12 @@
 use wingshed_lib::coordination::replay::{replay, ReplayRule};
 use wingshed_lib::coordination::trace::{read_trace, Trace, TraceExpectation};
 use wingshed_lib::state::configuration::{MoveRates, NO_IMPORT_RATES};
-use wingshed_standin::trace::{make_trace, write_trace, TraceCase, TraceDeployment, TraceMake};
+use wingshed_standin::trace::{make_trace, write_trace, TraceCase, TraceDeployment, TraceOptions};
 
 const HOME: ReplayRule = ReplayRule::Home(BEST_RULE, Some(NO_IMPORT_RATES));
 
 fn trace_of(case: TraceCase, minutes: u64) -> Trace {
-    make_trace(&TraceMake { minutes, ..TraceMake::today(TraceDeployment::Hotare, case) })
+    make_trace(&TraceOptions { minutes, ..TraceOptions::standard(TraceDeployment::Hotare, case) })
 }
 
 /// Mostly start-up: enough for what holds at any time.
@@ -77,8 +77,10 @@
 
 #[test]
 fn a_trace_comes_back_as_it_was_written_and_bad_lines_are_named() {
-    let make =
-        TraceMake { minutes: 1, ..TraceMake::today(TraceDeployment::Campanario, TraceCase::Surge) };
+    let make = TraceOptions {
+        minutes: 1,
+        ..TraceOptions::standard(TraceDeployment::Campanario, TraceCase::Surge)
+    };
     let trace = make_trace(&make);
     let text = write_trace(&trace);
     assert_eq!(read_trace(&text).unwrap(), trace);
--- a/lib/tests/test_whole_path.rs
+++ b/lib/tests/test_whole_path.rs
@@ -7,7 +7,7 @@
 use testutils::{returning_chat, system_with};
 use wingshed_lib::protocol::caller::RanMark;
 use wingshed_lib::protocol::engine::run_id;
-use wingshed_standin::caller::{chat_call, directory, plain_call, send, ChatAsk};
+use wingshed_standin::caller::{chat_call, directory, plain_call, send, ChatRequest};
 use wingshed_standin::engine::whole_text;
 
 #[test]
@@ -21,7 +21,7 @@
             let answer = send(
                 &system.client,
                 router,
-                &chat_call(&ChatAsk { stream, ..returning_chat(&id, "chat") }),
+                &chat_call(&ChatRequest { stream, ..returning_chat(&id, "chat") }),
                 None,
             );
 
@@ -45,9 +45,9 @@
         let query = format!("workspace=w0&chat={chat}");
         let firsts: Vec<_> =
             routers.iter().map(|r| directory(&system.client, *r, &query)[0]).collect();
-        let asked = ChatAsk { chat, ..returning_chat(&format!("d{number}"), "chat") };
+        let asked = ChatRequest { chat, ..returning_chat(&format!("d{number}"), "chat") };
         let answer = send(&system.client, firsts[0], &chat_call(&asked), None);
-        let again = ChatAsk { request_id: format!("again{number}"), ..asked };
+        let again = ChatRequest { request_id: format!("again{number}"), ..asked };
         let next = answer.next.expect("each reply names the router to use next");
         let second = send(&system.client, next, &chat_call(&again), None);
 
@@ -96,7 +96,7 @@
     let system = &mut fixture.system;
     let routers = system.router_addresses();
     let drained = system.routers[0].take().unwrap();
-    let long = ChatAsk { max_tokens: 600, ..returning_chat("long", "chat") };
+    let long = ChatRequest { max_tokens: 600, ..returning_chat("long", "chat") };
     let call = chat_call(&long);
 
     let (answer, clean, listed) = std::thread::scope(|scope| {
--- a/lib/tests/testutils/mod.rs
+++ b/lib/tests/testutils/mod.rs
@@ -7,8 +7,8 @@
 pub mod raw_answer;
 pub mod rollouts;
 
-use wingshed_standin::caller::ChatAsk;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::ChatRequest;
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 /// A system with a folder of its own; the folder goes when the fixture does.
 pub struct SystemFixture {
@@ -17,16 +17,16 @@
 }
 
 /// Starts a system; `change` makes it other than the small one.
-pub fn system_with(change: impl FnOnce(&mut SystemMake)) -> SystemFixture {
+pub fn system_with(change: impl FnOnce(&mut SystemOptions)) -> SystemFixture {
     let folder = tempfile::tempdir().unwrap();
-    let mut make = SystemMake::small(folder.path().to_path_buf());
+    let mut make = SystemOptions::small(folder.path().to_path_buf());
     change(&mut make);
     SystemFixture { system: SystemStandIn::start(make), _folder: folder }
 }
 
 /// A chat of workspace `w0` that has an answer already.
-pub fn returning_chat(request_id: &str, service: &str) -> ChatAsk {
-    ChatAsk {
+pub fn returning_chat(request_id: &str, service: &str) -> ChatRequest {
+    ChatRequest {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
         request_id: request_id.to_string(),
--- a/standin/src/caller.rs
+++ b/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A small caller: asks the directory, sends a request, and reads the answer whole.
+//! A caller for tests: requests routers' addresses, sends a request, and reads the answer to its end.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -15,98 +15,98 @@
 use wingshed_lib::transport::clock::wall_ms;
 use wingshed_lib::transport::http_client::{CallTimes, HttpClient};
 
-/// What a caller got.
+/// The answer to a request, as its caller received it.
 #[derive(Clone, Debug, Default)]
 pub struct CallerAnswer {
-    /// The status; 0 when there was none.
+    /// The HTTP status; 0 if no head was received.
     pub status: u16,
-    /// The text of the answer, pieces joined.
+    /// The generated text, joined from all pieces.
     pub text: String,
-    /// The body of an answer that did not stream.
+    /// The body of an answer that is not a stream.
     pub body: String,
-    /// It ended as a whole answer.
+    /// Whether the whole answer was received. Refusals and errors are never whole.
     pub whole: bool,
-    /// A stream's explicit error event.
+    /// The data of the error event with which a stream ended, if there was one.
     pub error_event: Option<String>,
-    /// What the head said of running; `None` without a head.
+    /// Whether the request ran, as reported by the head; `None` if no head was received.
     pub ran: Option<RanMark>,
-    /// The upstream that served it.
+    /// The name of the upstream that served the request.
     pub upstream: String,
-    /// Routers passed after the first.
+    /// The number of routers that the request passed after the first one.
     pub hops: u32,
-    /// The router to use for the chat's next request.
+    /// The router to which the next request of the chat should be sent.
     pub next: Option<SocketAddr>,
-    /// The id of the last event.
+    /// The id of the last event of a stream.
     pub last_id: Option<String>,
-    /// To the first piece, in microseconds.
+    /// The time until the first piece, in microseconds.
     pub first_us: u64,
-    /// Each gap between pieces, in microseconds.
+    /// The times between consecutive pieces, in microseconds.
     pub gaps_us: Vec<u64>,
-    /// The whole time, in microseconds.
+    /// The time until the end of the answer, in microseconds.
     pub whole_us: u64,
-    /// Why there was no answer.
+    /// The connection error that prevented or interrupted the answer.
     pub failure: Option<String>,
 }
 
 impl CallerAnswer {
-    /// The error code of a refusal.
+    /// Returns the error code in the body of a refusal; empty if there is none.
     pub fn code(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap_or_default();
         value["error"]["code"].as_str().unwrap_or("").to_string()
     }
 }
 
-/// A chat request's parts.
+/// The parameters of a chat request.
 #[derive(Clone, Debug)]
-pub struct ChatAsk {
-    /// The workspace.
+pub struct ChatRequest {
+    /// The name of the workspace.
     pub workspace: String,
-    /// Its key.
+    /// The key of the workspace.
     pub key: String,
-    /// The request's id.
+    /// The id of the request.
     pub request_id: String,
-    /// The chat.
+    /// The id of the chat.
     pub chat: String,
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The prompt's size in tokens.
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: usize,
-    /// The answer's size in pieces.
+    /// The length of the answer, in pieces.
     pub max_tokens: u32,
-    /// Whether to stream.
+    /// Whether the answer is to be streamed.
     pub stream: bool,
-    /// At most one run.
+    /// Whether the request may run at most once.
     pub run_once: bool,
-    /// The chat has an answer already.
+    /// Whether the chat already contains an answer.
     pub returning: bool,
 }
 
-/// The call of a chat.
-pub fn chat_call(ask: &ChatAsk) -> HttpCall {
-    let prompt = "word".repeat(ask.prompt_tokens);
+/// Builds the HTTP call of a chat request.
+pub fn chat_call(request: &ChatRequest) -> HttpCall {
+    let prompt = "word".repeat(request.prompt_tokens);
     let mut messages = vec![json!({ "role": "user", "content": prompt })];
-    if ask.returning {
+    if request.returning {
         messages.push(json!({ "role": "assistant", "content": "so be it" }));
         messages.push(json!({ "role": "user", "content": "and then" }));
     }
     let body = json!({
-        "model": "m", "stream": ask.stream, "max_tokens": ask.max_tokens, "messages": messages,
+        "model": "m", "stream": request.stream, "max_tokens": request.max_tokens, "messages": messages,
     });
     let mut call = HttpCall::post(CHAT_PATH, body.to_string().into_bytes())
-        .with("authorization", format!("Bearer {}", ask.key))
+        .with("authorization", format!("Bearer {}", request.key))
         .with("content-type", "application/json")
-        .with(WORKSPACE_HEADER, ask.workspace.as_str())
-        .with(REQUEST_ID_HEADER, ask.request_id.as_str())
-        .with(CHAT_HEADER, ask.chat.as_str())
-        .with(SERVICE_HEADER, ask.service.as_str())
+        .with(WORKSPACE_HEADER, request.workspace.as_str())
+        .with(REQUEST_ID_HEADER, request.request_id.as_str())
+        .with(CHAT_HEADER, request.chat.as_str())
+        .with(SERVICE_HEADER, request.service.as_str())
         .with(ISSUED_HEADER, wall_ms().to_string());
-    if ask.run_once {
+    if request.run_once {
         call = call.with(RUN_ONCE_HEADER, "true");
     }
     call
 }
 
-/// The call of a plain request.
+/// Builds the HTTP call of a request to a plain upstream.
 pub fn plain_call(
     workspace: &str,
     key: &str,
@@ -123,7 +123,7 @@
         .with(ISSUED_HEADER, wall_ms().to_string())
 }
 
-/// Asks a router for the addresses to use for a chat.
+/// Requests the addresses to use for a chat from a router. Returns an empty list if the router does not answer.
 pub fn directory(client: &HttpClient, router: SocketAddr, query: &str) -> Vec<SocketAddr> {
     let call = HttpCall::get(format!("/v1/addresses?{query}"));
     let Ok(reply) = client.call(router, &call, CallTimes::of_ms(2000), 1 << 16, "directory") else {
@@ -134,7 +134,8 @@
     addresses.iter().filter_map(|a| a.as_str()?.parse().ok()).collect()
 }
 
-/// Sends a call and reads the answer to its end. `stop_after` hangs up after so many pieces.
+/// Sends a call and reads the answer to its end. If `stop_after` is set, the connection is closed after that
+/// number of pieces.
 pub fn send(
     client: &HttpClient,
     router: SocketAddr,
@@ -170,10 +171,11 @@
     answer
 }
 
-/// A body that fails when it ends short of its length, which the client's own reader takes for its end.
+/// A reader that fails if a body ends before its announced length. The client's reader treats that as the normal
+/// end.
 struct LengthReader<R> {
     inner: R,
-    /// What is to come; none without a length.
+    /// The number of bytes that are still expected; `None` if no length was announced.
     left: Option<u64>,
 }
 
@@ -223,7 +225,7 @@
             }
         }
         let Some(event) = events.take_line(line.trim_end_matches(['\r', '\n'])) else { continue };
-        if take_event(event, answer) {
+        if record_event(event, answer) {
             continue;
         }
         pieces += 1;
@@ -234,14 +236,14 @@
             1 => answer.first_us = us,
             _ => answer.gaps_us.push(us),
         }
-        if stop_after.is_some_and(|most| pieces >= most) {
+        if stop_after.is_some_and(|max| pieces >= max) {
             return;
         }
     }
 }
 
-/// True for an event that is not a piece.
-fn take_event(event: SseEvent, answer: &mut CallerAnswer) -> bool {
+/// Records an event in the answer. Returns true if the event is not a piece of the text.
+fn record_event(event: SseEvent, answer: &mut CallerAnswer) -> bool {
     if event.event.as_deref() == Some("error") {
         answer.error_event = Some(event.data);
         return true;
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,7 +1,6 @@
-//! A stand-in model engine: continuous batching, a limited prefix cache, priorities,
-//! resume, cancel, late and gappy cache events, a lagging load report, KV import, and
-//! fenced orders. Its answer to a run is a fixed row of pieces, so that a test knows
-//! the whole answer.
+//! A stand-in for a model engine, with continuous batching, a limited prefix cache, priorities, resume, cancel,
+//! late and incomplete cache events, a delayed load report, KV import, and fenced orders. The pieces of an answer
+//! depend only on the id of the run and their number, so that a test can compute the whole answer.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,11 +18,14 @@
 use wingshed_lib::transport::http_server::{HttpExchange, HttpServer, ResponseWriter};
 
 use crate::address::free_address;
-pub use crate::engine_make::{EngineFaults, EngineMake};
+pub use crate::engine_make::{EngineFaults, EngineOptions};
 use crate::server::serve;
 
+/// The interval at which the batch is advanced.
 const TICK: Duration = Duration::from_millis(1);
+/// The interval at which a stream checks whether the engine was stopped.
 const POLL: Duration = Duration::from_millis(50);
+/// The time for which a finished run can still be resumed.
 const KEEP_FINISHED: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug, Default)]
@@ -42,63 +44,63 @@
 }
 
 #[derive(Debug, Default)]
-struct EngineInside {
+struct EngineState {
     runs: HashMap<String, EngineRun>,
     waiting: Vec<String>,
-    /// How often each run was started here.
+    /// The number of times that each run was started on this engine.
     starts: HashMap<String, u64>,
     cache: BTreeMap<String, (u64, u64)>,
-    cache_use: u64,
+    cache_uses: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     next_event: u64,
     reports: VecDeque<(Instant, u32, u32, u64)>,
     orders: Vec<(u64, Value)>,
     highest_fence: u64,
-    most_running: usize,
+    max_running: usize,
 }
 
 struct EngineShared {
-    make: EngineMake,
-    inside: Mutex<EngineInside>,
+    options: EngineOptions,
+    state: Mutex<EngineState>,
     changed: Condvar,
     leaving: AtomicBool,
     stop: AtomicBool,
     faults: EngineFaults,
 }
 
-/// A running stand-in.
+/// A running stand-in engine.
 pub struct EngineStandIn {
     shared: Arc<EngineShared>,
     server: HttpServer,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
-/// The text of a run's piece.
+/// Returns the text of piece `number` of a run.
 pub fn piece_text(run: &str, number: u64) -> String {
     format!("{}.{number} ", &run[run.len().saturating_sub(6)..])
 }
 
-/// The whole text of a run of so many pieces.
+/// Returns the whole text of a run that has this number of pieces.
 pub fn whole_text(run: &str, pieces: u64) -> String {
     (1..=pieces).map(|number| piece_text(run, number)).collect()
 }
 
-fn lock(shared: &EngineShared) -> MutexGuard<'_, EngineInside> {
-    shared.inside.lock().unwrap_or_else(|poison| poison.into_inner())
+fn lock(shared: &EngineShared) -> MutexGuard<'_, EngineState> {
+    shared.state.lock().unwrap_or_else(|poison| poison.into_inner())
 }
 
 impl EngineStandIn {
     /// Starts an engine on a free port.
-    pub fn start(make: EngineMake) -> EngineStandIn {
-        EngineStandIn::start_at(free_address(), make)
+    pub fn start(options: EngineOptions) -> EngineStandIn {
+        EngineStandIn::start_at(free_address(), options)
     }
 
-    /// Starts an engine at an address, as one that comes back does.
-    pub fn start_at(address: SocketAddr, make: EngineMake) -> EngineStandIn {
+    /// Starts an engine at a given address, such as that of an engine which was killed.
+    pub fn start_at(address: SocketAddr, options: EngineOptions) -> EngineStandIn {
         let shared = Arc::new(EngineShared {
-            make,
-            inside: Mutex::default(),
+            options,
+            state: Mutex::default(),
             changed: Condvar::new(),
             leaving: AtomicBool::new(false),
             stop: AtomicBool::new(false),
@@ -111,37 +113,37 @@
         EngineStandIn { shared, server, address }
     }
 
-    /// Its faults.
+    /// Returns the faults of this engine, which can be switched while it runs.
     pub fn faults(&self) -> &EngineFaults {
         &self.shared.faults
     }
 
-    /// It says that it leaves from now on.
+    /// Makes the engine report from now on that it is leaving, and refuse new runs.
     pub fn leave(&self) {
         self.shared.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// How often each run was started here.
+    /// Returns the number of times that each run was started on this engine.
     pub fn starts(&self) -> HashMap<String, u64> {
         lock(&self.shared).starts.clone()
     }
 
-    /// Runs that are not over.
+    /// Returns the number of runs that have not ended.
     pub fn open_runs(&self) -> usize {
         lock(&self.shared).runs.values().filter(|run| !run.done).count()
     }
 
-    /// Runs that were cancelled.
+    /// Returns the number of runs that were cancelled.
     pub fn cancelled_runs(&self) -> usize {
         lock(&self.shared).runs.values().filter(|run| run.cancelled).count()
     }
 
-    /// The orders that it took, with their fences.
+    /// Returns the orders that the engine accepted, with their fences.
     pub fn orders(&self) -> Vec<(u64, Value)> {
         lock(&self.shared).orders.clone()
     }
 
-    /// Dies: every connection is cut, and it listens no more.
+    /// Stops the engine abruptly: it closes every connection and no longer listens.
     pub fn kill(mut self) {
         self.shared.stop.store(true, Ordering::Relaxed);
         self.shared.changed.notify_all();
@@ -162,42 +164,42 @@
     while !shared.stop.load(Ordering::Relaxed) {
         std::thread::sleep(TICK);
         let now = Instant::now();
-        let mut inside = lock(shared);
-        start_waiting(shared, &mut inside, now);
-        if make_pieces(shared, &mut inside, now) {
+        let mut state = lock(shared);
+        start_waiting(shared, &mut state, now);
+        if generate_pieces(shared, &mut state, now) {
             shared.changed.notify_all();
         }
-        forget_finished(&mut inside, now);
-        report(shared, &mut inside, now);
+        remove_finished(&mut state, now);
+        record_load(shared, &mut state, now);
     }
 }
 
-fn start_waiting(shared: &EngineShared, inside: &mut EngineInside, now: Instant) {
-    let running = inside.runs.values().filter(|run| run.running).count();
-    let room = shared.make.slots.saturating_sub(running);
-    if room == 0 || inside.waiting.is_empty() {
+fn start_waiting(shared: &EngineShared, state: &mut EngineState, now: Instant) {
+    let running = state.runs.values().filter(|run| run.running).count();
+    let free_slots = shared.options.slots.saturating_sub(running);
+    if free_slots == 0 || state.waiting.is_empty() {
         return;
     }
-    let mut waiting = std::mem::take(&mut inside.waiting);
-    // The order of arrival is kept among equals.
-    waiting.sort_by_key(|id| std::cmp::Reverse(inside.runs.get(id).map_or(0, |run| run.priority)));
-    for id in waiting.drain(..room.min(waiting.len())) {
-        let Some(run) = inside.runs.get_mut(&id) else { continue };
+    let mut waiting = std::mem::take(&mut state.waiting);
+    // The sort is stable, so runs of equal priority stay in the order of their arrival.
+    waiting.sort_by_key(|id| std::cmp::Reverse(state.runs.get(id).map_or(0, |run| run.priority)));
+    for id in waiting.drain(..free_slots.min(waiting.len())) {
+        let Some(run) = state.runs.get_mut(&id) else { continue };
         run.running = !run.cancelled;
-        let prefill = Duration::from_millis(run.prompt / shared.make.prefill_per_ms.max(1));
+        let prefill = Duration::from_millis(run.prompt / shared.options.prefill_per_ms.max(1));
         run.ready_at = Some(now + prefill);
         run.next_at = Some(now + prefill);
     }
-    inside.waiting = waiting;
-    let running = inside.runs.values().filter(|run| run.running).count();
-    inside.most_running = inside.most_running.max(running);
+    state.waiting = waiting;
+    let running = state.runs.values().filter(|run| run.running).count();
+    state.max_running = state.max_running.max(running);
 }
 
-fn make_pieces(shared: &EngineShared, inside: &mut EngineInside, now: Instant) -> bool {
-    let step = shared.make.piece_ms + shared.faults.slow_ms.load(Ordering::Relaxed);
+fn generate_pieces(shared: &EngineShared, state: &mut EngineState, now: Instant) -> bool {
+    let step = shared.options.piece_ms + shared.faults.slow_ms.load(Ordering::Relaxed);
     let step = Duration::from_millis(step);
     let mut made = false;
-    for run in inside.runs.values_mut().filter(|run| run.running) {
+    for run in state.runs.values_mut().filter(|run| run.running) {
         while run.running && run.next_at.is_some_and(|at| at <= now) {
             run.made += 1;
             run.next_at = run.next_at.map(|at| at + step);
@@ -213,20 +215,20 @@
     made
 }
 
-/// Finished runs can be resumed for a while, then they are forgotten.
-fn forget_finished(inside: &mut EngineInside, now: Instant) {
-    inside.runs.retain(|_, run| run.done_at.is_none_or(|at| now < at + KEEP_FINISHED));
+/// Removes the runs that finished [`KEEP_FINISHED`] ago.
+fn remove_finished(state: &mut EngineState, now: Instant) {
+    state.runs.retain(|_, run| run.done_at.is_none_or(|at| now < at + KEEP_FINISHED));
 }
 
-fn report(shared: &EngineShared, inside: &mut EngineInside, now: Instant) {
-    let running = inside.runs.values().filter(|run| run.running).count() as u32;
-    let waiting = inside.waiting.len() as u32;
-    let open = inside.runs.values().filter(|run| !run.done);
+fn record_load(shared: &EngineShared, state: &mut EngineState, now: Instant) {
+    let running = state.runs.values().filter(|run| run.running).count() as u32;
+    let waiting = state.waiting.len() as u32;
+    let open = state.runs.values().filter(|run| !run.done);
     let work = open.map(|run| run.pieces - run.made).sum();
-    inside.reports.push_back((now, running, waiting, work));
-    let lag = Duration::from_millis(shared.make.report_lag_ms);
-    while inside.reports.get(1).is_some_and(|(at, ..)| *at + lag <= now) {
-        inside.reports.pop_front();
+    state.reports.push_back((now, running, waiting, work));
+    let lag = Duration::from_millis(shared.options.report_lag_ms);
+    while state.reports.get(1).is_some_and(|(at, ..)| *at + lag <= now) {
+        state.reports.pop_front();
     }
 }
 
@@ -234,36 +236,36 @@
 
 fn cache_lookup(
     shared: &EngineShared,
-    inside: &mut EngineInside,
+    state: &mut EngineState,
     key: &str,
     tokens: u64,
     prompt: u64,
 ) -> u64 {
-    inside.cache_use += 1;
-    let held = inside.cache.get(key).map_or(0, |(held, _)| *held);
+    state.cache_uses += 1;
+    let held = state.cache.get(key).map_or(0, |(held, _)| *held);
     let cached = held.min(prompt);
-    inside.cache.insert(key.to_string(), (tokens.max(held), inside.cache_use));
-    push_event(shared, inside, key, tokens.max(held));
-    while inside.cache.values().map(|(held, _)| held).sum::<u64>() > shared.make.cache_tokens {
-        let oldest = inside.cache.iter().min_by_key(|(_, (_, used))| *used);
+    state.cache.insert(key.to_string(), (tokens.max(held), state.cache_uses));
+    push_event(shared, state, key, tokens.max(held));
+    while state.cache.values().map(|(held, _)| held).sum::<u64>() > shared.options.cache_tokens {
+        let oldest = state.cache.iter().min_by_key(|(_, (_, used))| *used);
         let Some(oldest) = oldest.map(|(key, _)| key.clone()) else { break };
-        inside.cache.remove(&oldest);
-        push_event(shared, inside, &oldest, 0);
+        state.cache.remove(&oldest);
+        push_event(shared, state, &oldest, 0);
     }
     cached
 }
 
-fn push_event(shared: &EngineShared, inside: &mut EngineInside, key: &str, tokens: u64) {
-    inside.next_event += 1;
-    let every = shared.make.event_gap_every;
-    if every > 0 && inside.next_event % every == 0 {
+fn push_event(shared: &EngineShared, state: &mut EngineState, key: &str, tokens: u64) {
+    state.next_event += 1;
+    let every = shared.options.event_gap_every;
+    if every > 0 && state.next_event % every == 0 {
         return;
     }
     let event =
-        CacheEvent { number: inside.next_event, cache_key: key.to_string(), tokens: tokens as u32 };
-    inside.events.push_back((Instant::now(), event));
-    if inside.events.len() > 10_000 {
-        inside.events.pop_front();
+        CacheEvent { number: state.next_event, cache_key: key.to_string(), tokens: tokens as u32 };
+    state.events.push_back((Instant::now(), event));
+    if state.events.len() > 10_000 {
+        state.events.pop_front();
     }
 }
 
@@ -297,14 +299,14 @@
 fn own_headers(shared: &EngineShared, reply: HttpReply) -> HttpReply {
     let leaving = shared.leaving.load(Ordering::Relaxed);
     reply
-        .with(INCARNATION_HEADER, told_life(shared).to_string())
+        .with(INCARNATION_HEADER, reported_incarnation(shared).to_string())
         .with(LEAVING_HEADER, leaving.to_string())
 }
 
-fn told_life(shared: &EngineShared) -> u64 {
-    match shared.faults.told_life.load(Ordering::Relaxed) {
-        0 => shared.make.incarnation,
-        told => told,
+fn reported_incarnation(shared: &EngineShared) -> u64 {
+    match shared.faults.reported_incarnation.load(Ordering::Relaxed) {
+        0 => shared.options.incarnation,
+        reported => reported,
     }
 }
 
@@ -325,8 +327,8 @@
     }
     let id = call.header(RUN_HEADER).unwrap_or("anonymous").to_string();
     let cached = {
-        let mut inside = lock(shared);
-        begin_run(shared, &mut inside, &id, call, &body)
+        let mut state = lock(shared);
+        begin_run(shared, &mut state, &id, call, &body)
     };
     if shared.faults.cut_before_head.load(Ordering::Relaxed) {
         return;
@@ -334,15 +336,16 @@
     stream(shared, &id, 0, cached, true, writer);
 }
 
-/// A run that is known already is joined, so that a start sent twice runs once here.
+/// Begins a run and returns the number of its prompt tokens that were cached. If the run exists already, the
+/// request joins it, so that a start that is sent twice runs once.
 fn begin_run(
     shared: &EngineShared,
-    inside: &mut EngineInside,
+    state: &mut EngineState,
     id: &str,
     call: &HttpCall,
     body: &Value,
 ) -> u64 {
-    if inside.runs.get(id).is_some_and(|run| !run.cancelled) {
+    if state.runs.get(id).is_some_and(|run| !run.cancelled) {
         return 0;
     }
     let characters: usize = body["messages"].as_array().map_or(0, |messages| {
@@ -351,12 +354,12 @@
     let prompt = (characters as u64 / 4).max(1);
     let pieces = body["max_tokens"].as_u64().unwrap_or(16).clamp(1, 100_000);
     let key = call.header(CACHE_KEY_HEADER).unwrap_or(id).to_string();
-    let cached = cache_lookup(shared, inside, &key, prompt + pieces, prompt);
+    let cached = cache_lookup(shared, state, &key, prompt + pieces, prompt);
     let priority = call.header(PRIORITY_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
     let run = EngineRun { pieces, prompt: prompt - cached, priority, ..EngineRun::default() };
-    inside.runs.insert(id.to_string(), run);
-    inside.waiting.push(id.to_string());
-    *inside.starts.entry(id.to_string()).or_default() += 1;
+    state.runs.insert(id.to_string(), run);
+    state.waiting.push(id.to_string());
+    *state.starts.entry(id.to_string()).or_default() += 1;
     cached
 }
 
@@ -381,8 +384,8 @@
     writer: &mut ResponseWriter,
 ) {
     let reader = {
-        let mut inside = lock(shared);
-        let Some(run) = inside.runs.get_mut(id) else { return };
+        let mut state = lock(shared);
+        let Some(run) = state.runs.get_mut(id) else { return };
         run.readers += 1;
         run.readers
     };
@@ -396,17 +399,17 @@
     let mut sent = after;
     loop {
         let (made, pieces, done, cancelled) = {
-            let mut inside = lock(shared);
+            let mut state = lock(shared);
             loop {
-                let Some(run) = inside.runs.get(id) else { return };
+                let Some(run) = state.runs.get(id) else { return };
                 if run.made > sent || run.done || run.cancelled {
                     break (run.made, run.pieces, run.done, run.cancelled);
                 }
                 if shared.stop.load(Ordering::Relaxed) {
                     return;
                 }
-                let waited = shared.changed.wait_timeout(inside, POLL);
-                inside = waited.unwrap_or_else(|poison| poison.into_inner()).0;
+                let waited = shared.changed.wait_timeout(state, POLL);
+                state = waited.unwrap_or_else(|poison| poison.into_inner()).0;
             }
         };
         if shared.stop.load(Ordering::Relaxed) {
@@ -420,14 +423,14 @@
             return;
         }
         if done && sent >= pieces {
-            let end = numbered(pieces + 1, "[DONE]".to_string());
+            let end = numbered_event(pieces + 1, "[DONE]".to_string());
             let _ = writer.chunk(&end).and_then(|()| writer.finish());
             return;
         }
     }
 }
 
-/// False when the stream is over by a fault or a reader that is gone.
+/// Sends the pieces up to number `made`. Returns false if a fault ended the stream or the reader closed it.
 fn send_pieces(
     shared: &EngineShared,
     id: &str,
@@ -447,7 +450,7 @@
         let number = *sent;
         let text = piece_text(id, number);
         let data = json!({ "choices": [{ "index": 0, "delta": { "content": text } }] });
-        let bytes = numbered(number, data.to_string());
+        let bytes = numbered_event(number, data.to_string());
         if first_reading && every(&faults.lose_every, number) {
             continue;
         }
@@ -480,7 +483,7 @@
     }
 }
 
-fn numbered(number: u64, data: String) -> Vec<u8> {
+fn numbered_event(number: u64, data: String) -> Vec<u8> {
     write_event(&SseEvent { id: Some(number.to_string()), event: None, data })
 }
 
@@ -492,8 +495,8 @@
 
 fn cancel_reply(shared: &EngineShared, id: &str, call: &HttpCall) -> HttpReply {
     let reader: u64 = call.header(READER_HEADER).and_then(|t| t.parse().ok()).unwrap_or(0);
-    let mut inside = lock(shared);
-    let Some(run) = inside.runs.get_mut(id) else {
+    let mut state = lock(shared);
+    let Some(run) = state.runs.get_mut(id) else {
         return HttpReply { status: 404, ..HttpReply::default() };
     };
     if run.readers <= reader && !run.done {
@@ -507,18 +510,18 @@
 
 fn state_reply(shared: &EngineShared, call: &HttpCall) -> HttpReply {
     let after: u64 = call.query("events_after").and_then(|t| t.parse().ok()).unwrap_or(0);
-    let inside = lock(shared);
-    let lag = Duration::from_millis(shared.make.event_lag_ms);
-    let told = inside.events.iter().filter(|(at, _)| at.elapsed() >= lag);
+    let state = lock(shared);
+    let lag = Duration::from_millis(shared.options.event_lag_ms);
+    let visible = state.events.iter().filter(|(at, _)| at.elapsed() >= lag);
     let events: Vec<&CacheEvent> =
-        told.map(|(_, event)| event).filter(|event| event.number > after).collect();
+        visible.map(|(_, event)| event).filter(|event| event.number > after).collect();
     let latest = events.last().map_or(after, |event| event.number);
     let (_, running, waiting, work) =
-        inside.reports.front().copied().unwrap_or((Instant::now(), 0, 0, 0));
+        state.reports.front().copied().unwrap_or((Instant::now(), 0, 0, 0));
     HttpReply::json(
         200,
         &json!({
-            "incarnation": shared.make.incarnation,
+            "incarnation": shared.options.incarnation,
             "leaving": shared.leaving.load(Ordering::Relaxed),
             "running": running, "waiting": waiting, "work": work,
             "events": events, "latest_event": latest,
@@ -531,8 +534,8 @@
     let (Some(key), Some(tokens)) = (body["cache_key"].as_str(), body["tokens"].as_u64()) else {
         return HttpReply { status: 400, ..HttpReply::default() };
     };
-    let mut inside = lock(shared);
-    cache_lookup(shared, &mut inside, key, tokens, 0);
+    let mut state = lock(shared);
+    cache_lookup(shared, &mut state, key, tokens, 0);
     HttpReply::json(200, &json!({ "imported": tokens }))
 }
 
@@ -541,14 +544,14 @@
     let Some(fence) = body["fence"].as_u64() else {
         return HttpReply { status: 400, ..HttpReply::default() };
     };
-    let mut inside = lock(shared);
-    if fence < inside.highest_fence {
-        return HttpReply::json(409, &json!({ "highest": inside.highest_fence }));
+    let mut state = lock(shared);
+    if fence < state.highest_fence {
+        return HttpReply::json(409, &json!({ "highest": state.highest_fence }));
     }
-    // The same fence again is the same order resent.
-    if fence > inside.highest_fence {
-        inside.highest_fence = fence;
-        inside.orders.push((fence, body["action"].clone()));
+    // An order with the fence of the previous one is the same order sent again.
+    if fence > state.highest_fence {
+        state.highest_fence = fence;
+        state.orders.push((fence, body["action"].clone()));
     }
     HttpReply::json(200, &json!({ "done": true }))
 }
--- a/standin/src/engine_make.rs
+++ b/standin/src/engine_make.rs
@@ -1,31 +1,31 @@
-//! How a stand-in engine is made, and the faults that can be switched on it.
+//! The options of a stand-in engine, and the faults that can be switched on it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64};
 
-/// How an engine is made.
+/// The options of a stand-in engine.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineMake {
-    /// Its life.
+pub struct EngineOptions {
+    /// The number of its incarnation.
     pub incarnation: u64,
-    /// Runs that generate at once.
+    /// The number of runs that it processes at once.
     pub slots: usize,
-    /// Milliseconds between two pieces of a run.
+    /// The time between two pieces of a run, in milliseconds.
     pub piece_ms: u64,
-    /// Prompt tokens computed in a millisecond.
+    /// The number of prompt tokens that it processes per millisecond.
     pub prefill_per_ms: u64,
-    /// Tokens that the prefix cache holds.
+    /// The capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// The load report is this old, in milliseconds.
+    /// The age of the load that it reports, in milliseconds.
     pub report_lag_ms: u64,
-    /// Cache events are told this late, in milliseconds.
+    /// The delay before a cache event is reported, in milliseconds.
     pub event_lag_ms: u64,
-    /// One event of this many is lost; 0 loses none.
+    /// If not 0, every n-th cache event is lost.
     pub event_gap_every: u64,
 }
 
-impl Default for EngineMake {
-    fn default() -> EngineMake {
-        EngineMake {
+impl Default for EngineOptions {
+    fn default() -> EngineOptions {
+        EngineOptions {
             incarnation: 1,
             slots: 64,
             piece_ms: 2,
@@ -38,27 +38,28 @@
     }
 }
 
-/// The faults of one engine; 0 or false is none. Each may be switched while it runs.
+/// The faults of one engine; 0 or false disables a fault. Each can be switched while the engine runs. The fields
+/// that end in `_every` apply to every n-th piece of a run.
 #[derive(Debug, Default)]
 pub struct EngineFaults {
-    /// Every so many pieces, one is sent twice.
+    /// Every n-th piece is sent twice.
     pub double_every: AtomicU64,
-    /// Every so many pieces, one is sent after its successor.
+    /// Every n-th piece is sent after its successor.
     pub swap_every: AtomicU64,
-    /// Every so many pieces, one is left out on a first reading.
+    /// Every n-th piece is left out of the first stream of a run, but not of a resumed one.
     pub lose_every: AtomicU64,
-    /// The connection is cut after this piece, on a first reading.
+    /// The first stream of a run is cut after this piece, but not a resumed one.
     pub cut_after: AtomicU64,
-    /// The connection is cut before the head, after the run began.
+    /// The connection is cut after the run has begun and before the head is sent.
     pub cut_before_head: AtomicBool,
-    /// A run is refused as not run, with this status.
+    /// Runs are refused as not run, with this status.
     pub refuse_status: AtomicU64,
-    /// The run says that it failed after this piece.
+    /// A run reports that it failed after this piece.
     pub fail_after: AtomicU64,
-    /// Resuming finds nothing.
+    /// A run cannot be resumed: the engine answers that it does not exist.
     pub forget_runs: AtomicBool,
-    /// It tells this life instead of its own.
-    pub told_life: AtomicU64,
-    /// Each piece takes this many milliseconds more.
+    /// The engine reports this number as its incarnation instead of its own.
+    pub reported_incarnation: AtomicU64,
+    /// The additional time that each piece takes, in milliseconds.
     pub slow_ms: AtomicU64,
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what wingshed serves and stands on, used only by tests, the
-//! demo and benches. They speak the published wire of each interface and switch
-//! faults by a table; they are no simulator of a cluster.
+//! Small stand-ins for wingshed's upstreams, callers and platform, which only tests, the demo and benches use.
+//! They implement the published protocol of each interface, and have faults that can be switched. They do not
+//! simulate a cluster.
 
 pub mod address;
 pub mod caller;
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,10 +1,10 @@
-//! Stand-in engines and plain upstreams as a process of their own, for bringing up an
-//! example by hand: `wingshed-standin ENGINES PLAINS FIRST_PORT`.
+//! Runs stand-in engines and plain upstreams in a process of their own, to start an example by hand:
+//! `wingshed-standin ENGINES PLAINS FIRST_PORT`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wingshed_standin::engine::{EngineMake, EngineStandIn};
+use wingshed_standin::engine::{EngineOptions, EngineStandIn};
 use wingshed_standin::plain::PlainStandIn;
 
 fn main() {
@@ -14,9 +14,9 @@
         std::process::exit(2);
     };
     let address = |at: u16| SocketAddr::from(([127, 0, 0, 1], first_port + at));
-    let make = EngineMake { piece_ms: 20, prefill_per_ms: 8, ..EngineMake::default() };
+    let options = EngineOptions { piece_ms: 20, prefill_per_ms: 8, ..EngineOptions::default() };
     let running: Vec<EngineStandIn> =
-        (0..engines).map(|at| EngineStandIn::start_at(address(at), make)).collect();
+        (0..engines).map(|at| EngineStandIn::start_at(address(at), options)).collect();
     let plain: Vec<PlainStandIn> =
         (engines..engines + plains).map(|at| PlainStandIn::start_at(address(at))).collect();
     println!(
--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain upstream: echoes what it was asked, and counts each request id.
+//! A stand-in for a plain upstream. It echoes each request and counts how often each request id ran.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 /// The faults of one plain upstream.
 #[derive(Debug, Default)]
 pub struct PlainFaults {
-    /// Says 503 and that the request did not run.
+    /// Answers with status 503 and reports that the request did not run.
     pub refuse: AtomicBool,
-    /// Asks for so much rest when it refuses, in seconds; 0 for none.
-    pub rest_s: AtomicU64,
-    /// Runs the request and cuts the connection before answering.
+    /// The backoff that it requests when it refuses, in seconds; 0 requests none.
+    pub backoff_s: AtomicU64,
+    /// Runs the request, then closes the connection without an answer.
     pub cut: AtomicBool,
-    /// Answers this late, in milliseconds.
+    /// The delay before it answers, in milliseconds.
     pub late_ms: AtomicU64,
 }
 
@@ -34,21 +34,21 @@
     faults: PlainFaults,
 }
 
-/// A running stand-in.
+/// A running stand-in for a plain upstream.
 pub struct PlainStandIn {
     shared: Arc<PlainShared>,
     server: HttpServer,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
 impl PlainStandIn {
-    /// Starts one on a free port.
+    /// Starts a plain upstream on a free port.
     pub fn start() -> PlainStandIn {
         PlainStandIn::start_at(free_address())
     }
 
-    /// Starts one at an address.
+    /// Starts a plain upstream at a given address.
     pub fn start_at(address: SocketAddr) -> PlainStandIn {
         let shared = Arc::new(PlainShared::default());
         let handler = shared.clone();
@@ -56,22 +56,22 @@
         PlainStandIn { shared, server, address }
     }
 
-    /// Its faults.
+    /// Returns the faults of this upstream, which can be switched while it runs.
     pub fn faults(&self) -> &PlainFaults {
         &self.shared.faults
     }
 
-    /// How often each request id ran here.
+    /// Returns the number of times that each request id ran on this upstream.
     pub fn runs(&self) -> HashMap<String, u64> {
         self.shared.runs.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// How many requests it refused.
+    /// Returns the number of requests that it refused.
     pub fn refused(&self) -> u64 {
         self.shared.refused.load(Ordering::Relaxed)
     }
 
-    /// Stops listening.
+    /// Stops the upstream: it no longer listens.
     pub fn kill(mut self) {
         self.server.stop();
     }
@@ -82,9 +82,9 @@
     if shared.faults.refuse.load(Ordering::Relaxed) {
         shared.refused.fetch_add(1, Ordering::Relaxed);
         let reply = HttpReply { status: 503, ..HttpReply::default() }.with(NOT_RUN_HEADER, "true");
-        let reply = match shared.faults.rest_s.load(Ordering::Relaxed) {
+        let reply = match shared.faults.backoff_s.load(Ordering::Relaxed) {
             0 => reply,
-            rest_s => reply.with("retry-after", rest_s.to_string()),
+            backoff_s => reply.with("retry-after", backoff_s.to_string()),
         };
         let _ = exchange.writer.send(&reply);
         return;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform: the lagging VM list and the weight store.
+//! A stand-in for the platform, with a VM list and a weight store.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,24 +12,24 @@
 use crate::address::free_address;
 use crate::server::serve;
 
-/// A platform whose list and store are set by the test.
+/// A running stand-in for the platform. A test sets its VM list.
 pub struct PlatformStandIn {
     list: Arc<Mutex<Vec<VmEntry>>>,
     _server: HttpServer,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
 impl PlatformStandIn {
-    /// Starts one whose weight store takes so many loads at once.
+    /// Starts a platform whose weight store allows at most `most_loads` loads at once.
     pub fn start(most_loads: usize) -> PlatformStandIn {
         let address = free_address();
         let list: Arc<Mutex<Vec<VmEntry>>> = Arc::default();
-        let shown = list.clone();
+        let served_list = list.clone();
         let server = serve(address, 64, move |mut exchange: HttpExchange| {
             let reply = match exchange.call.path() {
                 "/vms" => {
-                    let list = shown.lock().unwrap_or_else(|poison| poison.into_inner());
+                    let list = served_list.lock().unwrap_or_else(|poison| poison.into_inner());
                     HttpReply::json(200, &json!({ "vms": *list }))
                 }
                 "/weights/state" => HttpReply::json(200, &StoreState { most_loads, loads: 0 }),
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server under each stand-in.
+//! The HTTP server that each stand-in uses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,8 @@
 use wingshed_lib::protocol::http::HttpReply;
 use wingshed_lib::transport::http_server::{listen, HttpExchange, HttpServer, ServerLimits};
 
-/// Serves at an address that is free; panics otherwise, as a fixture may.
+/// Starts an HTTP server at a free address, and panics if the address is in use. `in_flight` limits the number of
+/// requests at once; further ones get status 503.
 pub fn serve(
     address: SocketAddr,
     in_flight: usize,
@@ -19,14 +20,15 @@
         header_bytes: 64 << 10,
         read_timeout: Duration::from_secs(30),
     };
-    let listener = listen_soon(address);
+    let listener = listen_with_retries(address);
     let refusal = Arc::new(|_| HttpReply { status: 503, ..HttpReply::default() });
     HttpServer::start(listener, limits, Arc::new(handler), refusal).expect("the server starts")
 }
 
-/// Listens at an address that was free a moment ago. A process that a test starts just then holds
-/// a copy of the socket that tried the port, until it has become its own program.
-fn listen_soon(address: SocketAddr) -> std::net::TcpListener {
+/// Listens at an address whose port was free when it was checked. If a test forks a process during the check,
+/// the child holds a copy of the checking socket until it executes its program, so the port can be in use for a
+/// short time. Therefore the attempt is repeated for a second.
+fn listen_with_retries(address: SocketAddr) -> std::net::TcpListener {
     let tries = 100;
     for _ in 1..tries {
         match listen(address) {
--- a/standin/src/system.rs
+++ b/standin/src/system.rs
@@ -1,5 +1,5 @@
-//! A whole small system in one process on loopback ports: keepers, routers, engines and
-//! plain upstreams. Each part can be killed and started again.
+//! A complete small system in one process on loopback ports: keepers, routers, engines and plain upstreams. Each
+//! part can be stopped and started again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,18 +17,18 @@
 use wingshed_lib::transport::router_node::RouterNode;
 
 use crate::address::free_address;
-use crate::engine::{EngineMake, EngineStandIn};
+use crate::engine::{EngineOptions, EngineStandIn};
 use crate::plain::PlainStandIn;
 
-/// The secret of the stand-in system.
+/// The fleet key of the stand-in system.
 pub const FLEET_KEY: &str = "stand-in fleet key";
-/// Its operator's name.
+/// The name of the system's operator.
 pub const OPERATOR: &str = "ana";
-/// Its operator's key.
+/// The key of the system's operator.
 pub const OPERATOR_KEY: &str = "ana-key";
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A policy that serves the stand-in's services.
+/// A policy for the services of the stand-in system.
 pub const POLICY: &str = r#"
 if service == "plain" { return #{ fleet: "plain" }; }
 if service == "receipts" { return #{ fleet: "plain", run_once: true }; }
@@ -42,45 +42,45 @@
 #{ fleet: "engines", wait_ms: 5000, expected_output: 32 }
 "#;
 
-/// What a system is made of.
+/// The options of a stand-in system.
 #[derive(Clone, Debug)]
-pub struct SystemMake {
-    /// Keepers.
+pub struct SystemOptions {
+    /// The number of keepers.
     pub keepers: usize,
-    /// Routers.
+    /// The number of routers.
     pub routers: usize,
-    /// Engines.
+    /// The number of engines.
     pub engines: usize,
-    /// Plain upstreams.
+    /// The number of plain upstreams.
     pub plains: usize,
-    /// Workspaces, named `w0` and on, with keys `k0` and on.
+    /// The number of workspaces. They are named `w0`, `w1`, ... and have the keys `k0`, `k1`, ...
     pub workspaces: usize,
-    /// How each engine is made.
-    pub engine: EngineMake,
-    /// Requests that one engine is given at once.
+    /// The options of each engine.
+    pub engine: EngineOptions,
+    /// The maximum number of requests that are sent to one engine at once.
     pub requests_per_engine: u32,
-    /// Tokens of KV that engines import in a millisecond; 0 when they do not.
+    /// The number of KV tokens that an engine imports per millisecond; 0 disables the import.
     pub import_per_ms: f64,
-    /// The multiple of the engine fleet.
+    /// The load limit of an engine, as a multiple of the mean load of its fleet.
     pub multiple: f64,
-    /// The VM list's address, if there is one.
+    /// The address of the VM list, if the system has one.
     pub vm_list: Option<SocketAddr>,
-    /// The weight store's address, if there is one.
+    /// The address of the weight store, if the system has one.
     pub weight_store: Option<SocketAddr>,
-    /// Where keepers keep their folders.
+    /// The folder that contains the data folders of the keepers.
     pub folder: PathBuf,
 }
 
-impl SystemMake {
-    /// One keeper, three routers, six engines, two plain upstreams.
-    pub fn small(folder: PathBuf) -> SystemMake {
-        SystemMake {
+impl SystemOptions {
+    /// The options of a system with one keeper, three routers, six engines and two plain upstreams.
+    pub fn small(folder: PathBuf) -> SystemOptions {
+        SystemOptions {
             keepers: 1,
             routers: 3,
             engines: 6,
             plains: 2,
             workspaces: 3,
-            engine: EngineMake::default(),
+            engine: EngineOptions::default(),
             requests_per_engine: 256,
             import_per_ms: 0.0,
             multiple: 1.25,
@@ -93,50 +93,53 @@
 
 /// A running system.
 pub struct SystemStandIn {
-    /// What it is made of.
-    pub make: SystemMake,
-    /// Keepers; `None` while one is down.
+    /// The options with which the system was started.
+    pub options: SystemOptions,
+    /// The keepers; `None` for one that is stopped.
     pub keepers: Vec<Option<KeeperNode>>,
-    /// Routers; `None` while one is down.
+    /// The routers; `None` for one that is stopped.
     pub routers: Vec<Option<RouterNode>>,
-    /// Engines; `None` while one is down.
+    /// The engines; `None` for one that is stopped.
     pub engines: Vec<Option<EngineStandIn>>,
-    /// Plain upstreams.
+    /// The plain upstreams; `None` for one that is stopped.
     pub plains: Vec<Option<PlainStandIn>>,
-    /// A client for calls.
+    /// The HTTP client for calls to the system.
     pub client: HttpClient,
     keeper_addresses: Vec<SocketAddr>,
     router_addresses: Vec<SocketAddr>,
-    lost_starts: Vec<HashMap<String, u64>>,
+    killed_starts: Vec<HashMap<String, u64>>,
 }
 
 impl SystemStandIn {
-    /// Starts everything, submits the first configuration, and waits until all routers serve.
-    pub fn start(make: SystemMake) -> SystemStandIn {
-        let keeper_addresses: Vec<SocketAddr> = (0..make.keepers).map(|_| free_address()).collect();
-        let router_addresses: Vec<SocketAddr> = (0..make.routers).map(|_| free_address()).collect();
-        let engines = (0..make.engines).map(|_| Some(EngineStandIn::start(make.engine))).collect();
-        let plains = (0..make.plains).map(|_| Some(PlainStandIn::start())).collect();
+    /// Starts a system, submits its first configuration, and waits until all routers serve.
+    pub fn start(options: SystemOptions) -> SystemStandIn {
+        let keeper_addresses: Vec<SocketAddr> =
+            (0..options.keepers).map(|_| free_address()).collect();
+        let router_addresses: Vec<SocketAddr> =
+            (0..options.routers).map(|_| free_address()).collect();
+        let engines =
+            (0..options.engines).map(|_| Some(EngineStandIn::start(options.engine))).collect();
+        let plains = (0..options.plains).map(|_| Some(PlainStandIn::start())).collect();
         let mut system = SystemStandIn {
-            keepers: (0..make.keepers).map(|_| None).collect(),
-            routers: (0..make.routers).map(|_| None).collect(),
+            keepers: (0..options.keepers).map(|_| None).collect(),
+            routers: (0..options.routers).map(|_| None).collect(),
             engines,
             plains,
             client: HttpClient::default(),
             keeper_addresses,
             router_addresses,
-            lost_starts: Vec::new(),
-            make,
+            killed_starts: Vec::new(),
+            options,
         };
-        (0..system.make.keepers).for_each(|at| system.start_keeper(at));
+        (0..system.options.keepers).for_each(|at| system.start_keeper(at));
         let document = system.document();
         system.apply(&document, "first");
-        (0..system.make.routers).for_each(|at| system.start_router(at));
+        (0..system.options.routers).for_each(|at| system.start_router(at));
         system.wait_ready();
         system
     }
 
-    /// The settings of a keeper.
+    /// Returns the settings of the keeper at index `at`.
     pub fn keeper_settings(&self, at: usize) -> KeeperSettings {
         KeeperSettings {
             id: KeeperId(at as u32 + 1),
@@ -144,14 +147,14 @@
             address: self.keeper_addresses[at],
             keepers: self.keeper_list(),
             join: false,
-            data_folder: self.make.folder.join(format!("keeper-{}", at + 1)),
+            data_folder: self.options.folder.join(format!("keeper-{}", at + 1)),
             fleet_key: FLEET_KEY.to_string(),
-            weight_store: self.make.weight_store,
+            weight_store: self.options.weight_store,
             weight_loads: 2,
         }
     }
 
-    /// All keepers.
+    /// Returns the ids and addresses of all keepers.
     pub fn keeper_list(&self) -> Vec<KeeperAddress> {
         let numbered = self.keeper_addresses.iter().enumerate();
         let entry = |(at, address): (usize, &SocketAddr)| KeeperAddress {
@@ -161,14 +164,14 @@
         numbered.map(entry).collect()
     }
 
-    /// The settings of a router.
+    /// Returns the settings of the router at index `at`.
     pub fn router_settings(&self, at: usize) -> RouterSettings {
         RouterSettings {
             id: RouterId(at as u32 + 1),
             zone: ZONES[at % 3].to_string(),
             address: self.router_addresses[at],
             keepers: self.keeper_list(),
-            vm_list: self.make.vm_list,
+            vm_list: self.options.vm_list,
             statsd: None,
             fleet_key: FLEET_KEY.to_string(),
             limits: RouterLimits {
@@ -181,33 +184,33 @@
         }
     }
 
-    /// Starts a keeper that is down.
+    /// Starts a keeper that is stopped.
     pub fn start_keeper(&mut self, at: usize) {
         let node = KeeperNode::start(self.keeper_settings(at)).expect("the keeper starts");
         self.keepers[at] = Some(node);
     }
 
-    /// Starts a router that is down.
+    /// Starts a router that is stopped.
     pub fn start_router(&mut self, at: usize) {
         let node = RouterNode::start(self.router_settings(at)).expect("the router starts");
         self.routers[at] = Some(node);
     }
 
-    /// Kills an engine and remembers what it ran.
+    /// Stops an engine abruptly and keeps the counts of the runs that it started.
     pub fn kill_engine(&mut self, at: usize) {
         if let Some(engine) = self.engines[at].take() {
-            self.lost_starts.push(engine.starts());
+            self.killed_starts.push(engine.starts());
             engine.kill();
         }
     }
 
-    /// Starts an engine that is down as a new life at an address of its own.
-    pub fn revive_engine(&mut self, at: usize, address: SocketAddr, incarnation: u64) {
-        let make = EngineMake { incarnation, ..self.make.engine };
-        self.engines[at] = Some(EngineStandIn::start_at(address, make));
+    /// Starts an engine that is stopped as a new incarnation at the given address.
+    pub fn restart_engine(&mut self, at: usize, address: SocketAddr, incarnation: u64) {
+        let options = EngineOptions { incarnation, ..self.options.engine };
+        self.engines[at] = Some(EngineStandIn::start_at(address, options));
     }
 
-    /// Waits until every running router serves.
+    /// Waits until every running router serves. Panics after 15 s.
     pub fn wait_ready(&self) {
         for router in self.routers.iter().flatten() {
             assert!(router.wait_ready(Duration::from_secs(15)), "a router does not become ready");
@@ -215,22 +218,22 @@
         std::thread::sleep(Duration::from_millis(700));
     }
 
-    /// The addresses of the running routers.
+    /// Returns the addresses of the running routers.
     pub fn router_addresses(&self) -> Vec<SocketAddr> {
         self.routers.iter().flatten().map(|router| router.address).collect()
     }
 
-    /// How often each run was started, over all engines, also those killed since.
+    /// Returns the number of times that each run was started, on all engines including those that were killed.
     pub fn starts(&self) -> HashMap<String, u64> {
         let running = self.engines.iter().flatten().map(|engine| engine.starts());
         let mut sums: HashMap<String, u64> = HashMap::new();
-        for (run, count) in running.chain(self.lost_starts.iter().cloned()).flatten() {
+        for (run, count) in running.chain(self.killed_starts.iter().cloned()).flatten() {
             *sums.entry(run).or_default() += count;
         }
         sums
     }
 
-    /// The configuration document of this system.
+    /// Returns the configuration document of this system, with the upstreams that are running.
     pub fn document(&self) -> Value {
         let mut upstreams = serde_json::Map::new();
         for (at, engine) in self.engines.iter().enumerate() {
@@ -244,14 +247,14 @@
             upstreams.insert(format!("plain-{at}"), entry);
         }
         let mut workspaces = serde_json::Map::new();
-        for at in 0..self.make.workspaces {
+        for at in 0..self.options.workspaces {
             let entry = json!({ "key_hash": hash_key(&format!("k{at}")), "policy": "main", "rate": 100_000, "in_flight": 100_000 });
             workspaces.insert(format!("w{at}"), entry);
         }
         json!({
             "fleets": {
-                "engines": { "kind": "engine", "multiple": self.make.multiple, "queue": 10_000, "requests_per_engine": self.make.requests_per_engine,
-                    "rates": { "import_per_ms": self.make.import_per_ms } },
+                "engines": { "kind": "engine", "multiple": self.options.multiple, "queue": 10_000, "requests_per_engine": self.options.requests_per_engine,
+                    "rates": { "import_per_ms": self.options.import_per_ms } },
                 "plain": { "kind": "plain", "set_aside_share": 0.5 },
             },
             "upstreams": upstreams, "workspaces": workspaces,
@@ -260,7 +263,7 @@
         })
     }
 
-    /// Makes the whole document the configuration, whatever is in force; panics if refused.
+    /// Replaces the configuration in force by the document, and returns its version. Panics if it is refused.
     pub fn apply(&self, document: &Value, id: &str) -> u64 {
         let target = read_configuration(&document.to_string()).expect("the document is good");
         let until = Instant::now() + Duration::from_secs(20);
@@ -281,7 +284,7 @@
         version + 1
     }
 
-    /// The version and configuration in force, from a keeper that vouches for it.
+    /// Returns the version and configuration in force, from a keeper that confirms that it is current.
     pub fn current(&self) -> Option<(u64, Configuration)> {
         let reply = self.operate("GET", "/operator/config", None)?;
         let value: Value = serde_json::from_slice(&reply.body).ok()?;
@@ -290,7 +293,7 @@
         Some((version, Configuration { version, ..read }))
     }
 
-    /// An operator's call at whichever keeper vouches; `None` when none does.
+    /// Sends an operator's call to the keepers in turn, until one executes it; `None` if none does.
     pub fn operate(&self, method: &str, path: &str, body: Option<&Value>) -> Option<HttpReply> {
         self.keeper_addresses.iter().find_map(|address| {
             let reply = self.operate_at(*address, method, path, body)?;
@@ -298,7 +301,7 @@
         })
     }
 
-    /// An operator's call at one keeper.
+    /// Sends an operator's call to one keeper; `None` if it does not answer.
     pub fn operate_at(
         &self,
         address: SocketAddr,
@@ -314,7 +317,7 @@
             body: bytes,
         };
         let times = CallTimes::of_ms(6000);
-        // Before there is an operator, the fleet key does.
+        // The fleet key is accepted until the configuration contains an operator.
         [OPERATOR_KEY, FLEET_KEY].iter().find_map(|key| {
             let call = call
                 .clone()
@@ -325,15 +328,15 @@
         })
     }
 
-    /// The keeper that leads and vouches, by its place in the list.
+    /// Returns the index of the keeper that is confirmed as the leader.
     pub fn leader(&self) -> Option<usize> {
         (0..self.keepers.len()).find(|at| {
             let node = self.keepers[*at].as_ref();
-            node.and_then(|node| node.read(|_, vouched| vouched)).unwrap_or(false)
+            node.and_then(|node| node.read(|_, confirmed| confirmed)).unwrap_or(false)
         })
     }
 
-    /// Waits for a leader.
+    /// Waits until a keeper is the leader, and returns its index. Panics after 15 s.
     pub fn wait_leader(&self) -> usize {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
--- a/standin/src/verdict.rs
+++ b/standin/src/verdict.rs
@@ -1,43 +1,43 @@
-//! What a caller may say of the answers that it got, against what the upstreams counted.
+//! Compares the answers that a caller received with the runs that the upstreams counted.
 //!
-//! "Not run" is a promise about one send. A request that must run once and was refused as not
-//! run may be sent again, and that second send may run: so a run is held against the first
-//! answer only as far as no second one accounts for it.
+//! "Not run" applies to a single send. A run-once request that was refused as not run may be sent again, and the
+//! second send may run. Therefore a counted run contradicts the first answer only if the second send can't have
+//! caused it.
 
 use wingshed_lib::protocol::caller::RanMark;
 
 use crate::caller::CallerAnswer;
 
-/// How a request's first answer stands up.
+/// The result of checking the first answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerVerdict {
-    /// The whole answer to this request.
+    /// The answer is the whole answer to this request.
     Whole,
-    /// Refused as not run, and truly so.
+    /// The request was refused as not run, and no upstream ran it.
     Refused,
-    /// It failed, and the answer says so.
+    /// The request failed, and the answer reports an error.
     Failed,
-    /// Wrong, or cut without a word, or a promise that doesn't hold.
+    /// The answer is wrong, was cut without an error, or reports "not run" although the request ran.
     Wrong,
 }
 
-/// One request as its caller saw it.
+/// The answers that a caller received to one request, and the runs that upstreams counted.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestView<'a> {
-    /// The whole text of a whole answer, or the target that it echoes where it isn't `exact`.
+    /// The whole text of the expected answer, or the target that it must echo if `exact` is false.
     pub expected: &'a str,
-    /// A whole answer is `expected` and nothing else; another is a whole echo.
+    /// Whether a whole answer must be equal to `expected`. Otherwise it must be an echo of the target.
     pub exact: bool,
     /// The answer to the first send.
     pub first: &'a CallerAnswer,
     /// The answer to a second send of the same run-once request, if there was one.
     pub second: Option<&'a CallerAnswer>,
-    /// How often upstreams began the request.
+    /// The number of times that upstreams started the request.
     pub starts: u64,
 }
 
 impl RequestView<'_> {
-    /// How the first answer stands up.
+    /// Checks the first answer.
     pub fn verdict(&self) -> AnswerVerdict {
         let first = self.first;
         if self.is_whole(first) {
@@ -49,16 +49,17 @@
                 false => AnswerVerdict::Wrong,
             };
         }
-        let said = first.error_event.is_some() || (first.status >= 500 && !first.code().is_empty());
-        match said && !first.whole {
+        let reports_error =
+            first.error_event.is_some() || (first.status >= 500 && !first.code().is_empty());
+        match reports_error && !first.whole {
             true => AnswerVerdict::Failed,
             false => AnswerVerdict::Wrong,
         }
     }
 
-    /// Whether the second send was treated as it must be: dropped as a duplicate, unless the
-    /// first was refused as not run.
-    pub fn second_holds(&self) -> bool {
+    /// Returns whether the second send was handled correctly: it must be rejected as a duplicate, unless the first
+    /// one was refused as not run. True if there was no second send.
+    pub fn second_is_valid(&self) -> bool {
         let Some(second) = self.second else { return true };
         let first_refused = self.first.ran == Some(RanMark::No) && !self.is_whole(self.first);
         second.status == 409 || first_refused
--- a/standin/tests/test_verdict.rs
+++ b/standin/tests/test_verdict.rs
@@ -33,7 +33,7 @@
     let again = view(&first, Some(&second), 1);
 
     assert_eq!(again.verdict(), AnswerVerdict::Refused);
-    assert!(again.second_holds());
+    assert!(again.second_is_valid());
 }
 
 #[test]
@@ -54,8 +54,8 @@
 fn a_duplicate_of_what_ran_must_be_dropped() {
     let (first, second, other) = (whole(), dropped(), whole());
 
-    assert!(view(&first, Some(&second), 1).second_holds());
-    assert!(!view(&first, Some(&other), 2).second_holds());
+    assert!(view(&first, Some(&second), 1).second_is_valid());
+    assert!(!view(&first, Some(&other), 2).second_is_valid());
 }
 
 #[test]
