--- a/daemons/tests/test_log_writer.rs
+++ b/daemons/tests/test_log_writer.rs
@@ -1,4 +1,4 @@
-//! A log that nobody reads holds nothing up.
+//! A log whose reader doesn't read it never blocks the threads that log.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -10,27 +10,27 @@
 
 fn pipe() -> (File, File) {
     let mut ends = [0; 2];
-    // SAFETY: the array has room for two descriptors, and nobody else has them.
+    // SAFETY: the array can hold two descriptors, and no other code owns them.
     unsafe {
         assert_eq!(libc::pipe(ends.as_mut_ptr()), 0);
         (File::from_raw_fd(ends[0]), File::from_raw_fd(ends[1]))
     }
 }
 
-/// Logs with `act` into a pipe, and gives what was in it afterwards. The reader reads nothing
-/// before `act` is done: were the writer to wait for it, this test would never end.
+/// Runs `act`, which logs into a pipe, and returns what was written to the pipe. The pipe is read only after
+/// `act` or when `act` calls its argument, so a writer that waited for the reader would block the test forever.
 fn logged(act: impl FnOnce(&mut dyn FnMut())) -> String {
     let (mut reader, writer) = pipe();
     let mut read = String::new();
     let log = LogWriter::to(writer.as_raw_fd());
     let subscriber = tracing_subscriber::fmt().json().with_writer(log).finish();
     tracing::subscriber::with_default(subscriber, || {
-        let mut empty = || {
+        let mut read_pipe = || {
             let mut buffer = vec![0; 1 << 20];
             let length = reader.read(&mut buffer).unwrap();
             read.push_str(&String::from_utf8_lossy(&buffer[..length]));
         };
-        act(&mut empty);
+        act(&mut read_pipe);
     });
     drop(writer);
     reader.read_to_string(&mut read).unwrap();
@@ -41,14 +41,14 @@
 fn a_reader_that_does_not_read_holds_nothing_up_and_what_is_lost_is_told() {
     let long = "x".repeat(MAX_LINE_BYTES / 2);
 
-    let text = logged(|empty| {
-        // A pipe holds 64 KiB by default; this is more, from different places.
+    let text = logged(|read_pipe| {
+        // This is more than the 64 KiB that a pipe holds by default. It is logged from different places.
         for _ in 0..15 {
             info!("a {long}");
             info!("b {long}");
             info!("c {long}");
         }
-        empty();
+        read_pipe();
         info!("heard again");
     });
 
--- a/daemons/tests/test_processes.rs
+++ b/daemons/tests/test_processes.rs
@@ -1,4 +1,4 @@
-//! The daemons as real processes: kills, signals, and running out of descriptors.
+//! The daemons as real processes: they are killed, get signals, and run out of file descriptors.
 
 mod testutils;
 
@@ -14,7 +14,7 @@
 use wingshed_standin::caller::{chat_call, send};
 use wingshed_standin::engine::{whole_text, EngineOptions, EngineStandIn};
 
-use testutils::{ask, keeper, log_of, router, spawn, Daemon, Site, FLEET_KEY};
+use testutils::{chat_request, keeper, log_of, router, spawn, Daemon, Site, FLEET_KEY};
 
 #[test]
 fn every_acknowledged_change_and_claim_survives_kill_9_of_the_leader() {
@@ -55,8 +55,12 @@
         version += 1;
         accepted.push(name);
         let id = format!("alert-{number}");
-        let answer =
-            send(&site.client, site.routers[number % 2], &chat_call(&ask(&id, "alert", 4)), None);
+        let answer = send(
+            &site.client,
+            site.routers[number % 2],
+            &chat_call(&chat_request(&id, "alert", 4)),
+            None,
+        );
         if answer.whole {
             claimed.push(id);
         }
@@ -69,7 +73,8 @@
     }
     assert!(claimed.len() >= 20, "only {} of 30 alerts ran", claimed.len());
     for id in claimed {
-        let again = send(&site.client, site.routers[0], &chat_call(&ask(&id, "alert", 4)), None);
+        let again =
+            send(&site.client, site.routers[0], &chat_call(&chat_request(&id, "alert", 4)), None);
         assert_eq!(again.status, 409, "{id} was claimed before: {again:?}");
         assert_eq!(engines[0].starts().get(&run_id("w0", &id)), Some(&1));
     }
@@ -89,7 +94,7 @@
     let (answers, code) = std::thread::scope(|scope| {
         let running: Vec<_> = (0..8)
             .map(|number| {
-                let call = chat_call(&ask(&format!("long-{number}"), "chat", 300));
+                let call = chat_call(&chat_request(&format!("long-{number}"), "chat", 300));
                 let site = &site;
                 scope.spawn(move || {
                     let answer = send(&site.client, site.routers[0], &call, None);
@@ -133,7 +138,8 @@
     assert_eq!(code, Some(0));
 }
 
-// A stop asked each keeper twice, one after the other, before its drain and again after it.
+// Guards against a stop that calls the keepers one after the other, before the drain and again after it: each
+// silent keeper would delay the end of the process.
 #[test]
 fn a_router_ends_after_sigterm_though_all_of_its_keepers_are_silent() {
     let site = Site::new(7, 1);
@@ -171,7 +177,7 @@
     let mut number = 0;
     let answer = loop {
         number += 1;
-        let call = chat_call(&ask(&format!("after-{number}"), "chat", 4));
+        let call = chat_call(&chat_request(&format!("after-{number}"), "chat", 4));
         let answer = send(&site.client, site.routers[0], &call, None);
         if answer.whole || Instant::now() > until {
             break answer;
@@ -206,7 +212,7 @@
         std::thread::sleep(Duration::from_millis(100));
     }
 
-    // Some threads of the pool were idle and are used again.
+    // The pool reuses some threads that were idle, so fewer than 100 are new.
     assert!(during >= before + 90, "each holds a thread at first: {before} {during}");
     assert!(threads() <= before + 10, "silent connections are given up");
 }
--- a/daemons/tests/testutils/mod.rs
+++ b/daemons/tests/testutils/mod.rs
@@ -1,4 +1,4 @@
-//! A system of real processes: its settings, its daemons, and an operator's calls.
+//! A system of real daemon processes, with their settings, and the calls of its operator.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -17,28 +17,30 @@
 
 pub const FLEET_KEY: &str = "0123456789abcdef";
 
-/// A process that is killed when the test is over.
+/// A daemon process, which is killed when this is dropped.
 pub struct Daemon(pub Child);
 
 impl Daemon {
     pub fn signal(&self, signal: i32) {
-        // SAFETY: the child is ours and has not been waited for.
+        // SAFETY: the child was started here and has not been waited for.
         unsafe { libc::kill(self.0.id() as i32, signal) };
     }
 
-    pub fn wait(&mut self, most: Duration) -> Option<i32> {
-        let until = Instant::now() + most;
+    /// Waits for the process to terminate and returns its exit code, -1 if a signal ended it; `None` if it still
+    /// runs after `timeout`.
+    pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if let Ok(Some(status)) = self.0.try_wait() {
                 return Some(status.code().unwrap_or(-1));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        eprintln!("process {} still runs after {most:?}:\n{}", self.0.id(), self.threads());
+        eprintln!("process {} still runs after {timeout:?}:\n{}", self.0.id(), self.threads());
         None
     }
 
-    /// Each thread's name, state and kernel function that it waits in, a line each.
+    /// Returns a line for each thread with its name, its state and the kernel function in which it waits.
     fn threads(&self) -> String {
         let tasks = PathBuf::from(format!("/proc/{}/task", self.0.id()));
         let Ok(entries) = std::fs::read_dir(&tasks) else { return "it has ended".to_string() };
@@ -62,7 +64,7 @@
     }
 }
 
-/// Where a daemon with these settings logs to.
+/// Returns the path of the log of a daemon with these settings.
 pub fn log_of(settings: &Path) -> PathBuf {
     settings.with_extension("log")
 }
@@ -78,16 +80,16 @@
     Daemon(command(program, settings, log).spawn().unwrap())
 }
 
-/// Starts a daemon under a limit of the system, if one is given: the resource and its value.
+/// Starts a daemon, under a resource limit if one is given as the resource and its value.
 pub fn spawn(program: &str, settings: &Path, limit: Option<(u32, u64)>) -> Daemon {
     let log = std::fs::File::options().create(true).append(true).open(log_of(settings)).unwrap();
     let mut command = command(program, settings, Stdio::from(log));
     if let Some((resource, most)) = limit {
         let limit = libc::rlimit { rlim_cur: most, rlim_max: most };
-        // SAFETY: only system calls that are safe after fork.
+        // SAFETY: the closure only calls functions that are safe after a fork.
         unsafe {
             command.pre_exec(move || {
-                // A write beyond the limit of a file's size is then an error, as on a full disk.
+                // Without the signal a write beyond the limit of a file's size fails, as on a full disk.
                 libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
                 libc::setrlimit(resource, &limit);
                 Ok(())
@@ -158,7 +160,7 @@
         std::fs::write(self.path(name), value.to_string()).unwrap();
     }
 
-    /// An operator's call at whichever keeper leads.
+    /// Sends an operator's call to the keepers in turn, until the leader answers; `None` if none does.
     pub fn operate(&self, method: &str, path: &str, body: Option<&Value>) -> Option<(u16, Value)> {
         let call = HttpCall {
             method: method.to_string(),
@@ -175,6 +177,7 @@
         })
     }
 
+    /// Repeats [`Site::operate`] until a keeper answers, for 20 s at most.
     pub fn operate_until(&self, method: &str, path: &str, body: Option<&Value>) -> (u16, Value) {
         let until = Instant::now() + Duration::from_secs(20);
         loop {
@@ -186,6 +189,7 @@
         }
     }
 
+    /// Submits the first configuration, with these engines.
     pub fn configure(&self, engines: &[EngineStandIn]) {
         let put = |section: &str, name: &str, value: Value| json!({ "Put": { "section": section, "name": name, "value": value } });
         let mut operations = vec![
@@ -204,6 +208,7 @@
         assert_eq!(status, 200, "{answer}");
     }
 
+    /// Waits until all routers serve.
     pub fn wait_serving(&self) {
         let until = Instant::now() + Duration::from_secs(20);
         for address in &self.routers {
@@ -223,8 +228,8 @@
     }
 }
 
-/// A fresh chat of the workspace that [`Site::configure`] makes.
-pub fn ask(id: &str, service: &str, max_tokens: u32) -> ChatRequest {
+/// Returns the first request of a new chat, in the workspace that [`Site::configure`] creates.
+pub fn chat_request(id: &str, service: &str, max_tokens: u32) -> ChatRequest {
     ChatRequest {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
--- a/standin/tests/test_short_answers.rs
+++ b/standin/tests/test_short_answers.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' caller takes for a whole answer, by framing and by where the answer ends.
+//! The stand-in caller counts an answer as whole only if it is complete, for every framing and end.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -8,7 +8,7 @@
 use wingshed_lib::transport::http_client::HttpClient;
 use wingshed_standin::caller::{send, CallerAnswer};
 
-/// Answers one connection with these bytes and ends it, by a reset if asked for.
+/// Answers one connection with these bytes and closes it, by a reset if `reset` is set.
 fn answer_once(bytes: String, reset: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -28,7 +28,8 @@
     address
 }
 
-fn got(head: &str, body: &str, reset: bool) -> CallerAnswer {
+/// Sends a request that is answered with this head and body, and returns the answer as the caller received it.
+fn received_answer(head: &str, body: &str, reset: bool) -> CallerAnswer {
     let bytes = format!("HTTP/1.1 200 OK\r\nwingshed-ran: yes\r\n{head}\r\n{body}");
     let address = answer_once(bytes, reset);
     send(&HttpClient::default(), address, &HttpCall::get("/x"), None)
@@ -38,7 +39,7 @@
 const EVENTS: &str = "content-type: text/event-stream\r\n";
 const CHUNKED: &str = "transfer-encoding: chunked\r\n";
 
-/// A body as one chunk.
+/// Returns a body as one chunk.
 fn chunk(body: &str) -> String {
     format!("{:x}\r\n{body}\r\n", body.len())
 }
@@ -48,15 +49,16 @@
 
 #[test]
 fn a_plain_answer_that_is_short_of_its_length_is_not_whole() {
-    let whole = got(&format!("{JSON}content-length: 9\r\n"), "{\"a\":123}", false);
-    let short = got(&format!("{JSON}content-length: 9\r\n"), "{\"a\":12", false);
+    let whole = received_answer(&format!("{JSON}content-length: 9\r\n"), "{\"a\":123}", false);
+    let short = received_answer(&format!("{JSON}content-length: 9\r\n"), "{\"a\":12", false);
 
     assert!(whole.whole, "{whole:?}");
     assert!(!short.whole, "{short:?}");
     assert!(short.failure.is_some(), "{short:?}");
 
     let body = format!("{PIECE}{DONE}");
-    let short = got(&format!("{EVENTS}content-length: {}\r\n", body.len() + 5), &body, false);
+    let short =
+        received_answer(&format!("{EVENTS}content-length: {}\r\n", body.len() + 5), &body, false);
     assert!(!short.whole, "{short:?}");
 }
 
@@ -65,14 +67,15 @@
     let body = "{\"a\":123}";
     let within = chunk(body).replace("}\r\n", "");
     let broken = [
-        got(&format!("{JSON}{CHUNKED}"), &chunk(body), false),
-        got(&format!("{JSON}{CHUNKED}"), &within, false),
-        got(JSON, body, true),
+        received_answer(&format!("{JSON}{CHUNKED}"), &chunk(body), false),
+        received_answer(&format!("{JSON}{CHUNKED}"), &within, false),
+        received_answer(JSON, body, true),
     ];
 
-    let whole = got(&format!("{JSON}{CHUNKED}"), &format!("{}0\r\n\r\n", chunk(body)), false);
+    let whole =
+        received_answer(&format!("{JSON}{CHUNKED}"), &format!("{}0\r\n\r\n", chunk(body)), false);
     assert!(whole.whole, "{whole:?}");
-    assert!(got(JSON, body, false).whole);
+    assert!(received_answer(JSON, body, false).whole);
     for answer in broken {
         assert!(!answer.whole && answer.failure.is_some(), "{answer:?}");
     }
@@ -88,7 +91,7 @@
         for (head, body) in
             [(EVENTS, &body), (&format!("{EVENTS}{CHUNKED}"), &framed), (&length, &body)]
         {
-            let answer = got(head, body, false);
+            let answer = received_answer(head, body, false);
             assert!(!answer.whole, "{stop:?} {head}: {answer:?}");
         }
     }
@@ -97,12 +100,18 @@
 #[test]
 fn a_stream_whose_framing_breaks_off_after_its_end_is_not_whole() {
     let body = format!("{PIECE}{DONE}");
-    let whole = got(&format!("{EVENTS}{CHUNKED}"), &format!("{}0\r\n\r\n", chunk(&body)), false);
+    let whole = received_answer(
+        &format!("{EVENTS}{CHUNKED}"),
+        &format!("{}0\r\n\r\n", chunk(&body)),
+        false,
+    );
     assert!(whole.whole && whole.text == "abc", "{whole:?}");
-    assert!(got(EVENTS, &body, false).whole);
+    assert!(received_answer(EVENTS, &body, false).whole);
 
-    let broken =
-        [got(&format!("{EVENTS}{CHUNKED}"), &chunk(&body), false), got(EVENTS, &body, true)];
+    let broken = [
+        received_answer(&format!("{EVENTS}{CHUNKED}"), &chunk(&body), false),
+        received_answer(EVENTS, &body, true),
+    ];
     for answer in broken {
         assert!(!answer.whole && answer.failure.is_some(), "{answer:?}");
     }
--- a/standin/tests/test_verdict.rs
+++ b/standin/tests/test_verdict.rs
@@ -1,4 +1,4 @@
-//! How a caller's count judges answers: strict on promises, fair to a request sent again.
+//! The verdicts on answers. They are strict about "not run", and account for the runs of a second send.
 
 use wingshed_lib::protocol::caller::RanMark;
 use wingshed_standin::caller::CallerAnswer;
@@ -14,7 +14,7 @@
     CallerAnswer { status: 503, body, ran: Some(RanMark::No), ..CallerAnswer::default() }
 }
 
-fn dropped() -> CallerAnswer {
+fn rejected_duplicate() -> CallerAnswer {
     CallerAnswer { status: 409, ran: Some(RanMark::Yes), ..CallerAnswer::default() }
 }
 
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_refusal_is_false_when_no_second_send_accounts_for_the_run() {
-    let (first, second, refused_again) = (refused(), dropped(), refused());
+    let (first, second, refused_again) = (refused(), rejected_duplicate(), refused());
 
     let verdicts = [
         view(&first, None, 1).verdict(),
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_duplicate_of_what_ran_must_be_dropped() {
-    let (first, second, other) = (whole(), dropped(), whole());
+    let (first, second, other) = (whole(), rejected_duplicate(), whole());
 
     assert!(view(&first, Some(&second), 1).second_is_valid());
     assert!(!view(&first, Some(&other), 2).second_is_valid());
@@ -61,10 +61,10 @@
 #[test]
 fn a_stream_that_ends_without_a_word_is_wrong() {
     let cut = CallerAnswer { status: 200, ran: Some(RanMark::Yes), ..CallerAnswer::default() };
-    let told = CallerAnswer { error_event: Some("engine died".to_string()), ..cut.clone() };
+    let reported = CallerAnswer { error_event: Some("engine died".to_string()), ..cut.clone() };
 
     assert_eq!(view(&cut, None, 1).verdict(), AnswerVerdict::Wrong);
-    assert_eq!(view(&told, None, 1).verdict(), AnswerVerdict::Failed);
+    assert_eq!(view(&reported, None, 1).verdict(), AnswerVerdict::Failed);
 }
 
 #[test]
