--- a/daemons/src/log_sink.rs
+++ b/daemons/src/log_sink.rs
@@ -3,8 +3,7 @@
 //! A pipe whose reader stopped blocks its writers, and so does a file on a stalled disk. Neither
 //! may keep a daemon from serving or from terminating. Pipes, sockets and terminals report whether they
 //! accept a line at once. Files always report that they do, so a thread writes to them from a
-//! bounded queue. A line that would have to wait is dropped as a whole;
-//! lines are never written in part.
+//! bounded queue. A line that would have to wait is dropped as a whole and never written in part.
 //!
 //! Files are written through the given descriptor and not through a duplicate, because a log collector may
 //! replace the descriptor, or see only what is written through it.
@@ -137,6 +136,7 @@
     Ok(borrowed_file(output).metadata()?.file_type())
 }
 
+/// Opens a pipe again, which creates an open file description of its own.
 fn reopen_nonblocking(pipe: RawFd) -> io::Result<File> {
     let path = format!("/proc/self/fd/{pipe}");
     OpenOptions::new().write(true).custom_flags(libc::O_NONBLOCK).open(path)
@@ -164,6 +164,7 @@
     ready == 1 && poll.revents & libc::POLLOUT != 0
 }
 
+/// Returns whether the descriptor is a socket: only sockets have the option `SO_TYPE`.
 fn is_socket(output: RawFd) -> bool {
     let mut kind = 0i32;
     let mut length = size_of::<i32>() as libc::socklen_t;
--- a/daemons/src/log_writer.rs
+++ b/daemons/src/log_writer.rs
@@ -74,6 +74,7 @@
         std::panic::set_hook(Box::new(|panic| tracing::error!("{panic}")));
     }
 
+    /// Decides whether a line of this place in the code is written, and adds failed writes to the lost lines.
     fn verdict(&self, place: Identifier) -> LineVerdict {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let failed = self.sink.take_failed();
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -28,32 +28,42 @@
 /// The time for which a finished run can still be resumed.
 const KEEP_FINISHED: Duration = Duration::from_secs(20);
 
+/// The state of one run.
 #[derive(Clone, Debug, Default)]
 struct EngineRun {
+    /// The number of pieces of its answer.
     pieces: u64,
+    /// The number of pieces that were generated.
     made: u64,
+    /// The number of prompt tokens that were not cached.
     prompt: u64,
     priority: u64,
     ready_at: Option<Instant>,
+    /// The time at which the next piece is generated.
     next_at: Option<Instant>,
     running: bool,
     done: bool,
     cancelled: bool,
+    /// The number of streams of this run that were opened. A cancel by an older stream is ignored.
     readers: u64,
     done_at: Option<Instant>,
 }
 
+/// The state of an engine that changes while it runs.
 #[derive(Debug, Default)]
 struct EngineState {
     runs: HashMap<String, EngineRun>,
     waiting: Vec<String>,
     /// The number of times that each run was started on this engine.
     starts: HashMap<String, u64>,
+    /// The cached tokens of each cache key, and the number of the last use.
     cache: BTreeMap<String, (u64, u64)>,
     cache_uses: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     next_event: u64,
+    /// The time of each load report, its running and waiting runs, and the pieces that are still to be generated.
     reports: VecDeque<(Instant, u32, u32, u64)>,
+    /// The fences and actions of the accepted orders.
     orders: Vec<(u64, Value)>,
     highest_fence: u64,
     max_running: usize,
@@ -220,6 +230,7 @@
     state.runs.retain(|_, run| run.done_at.is_none_or(|at| now < at + KEEP_FINISHED));
 }
 
+/// Adds a load report, and removes those that are older than the one to be reported after the lag.
 fn record_load(shared: &EngineShared, state: &mut EngineState, now: Instant) {
     let running = state.runs.values().filter(|run| run.running).count() as u32;
     let waiting = state.waiting.len() as u32;
@@ -234,6 +245,8 @@
 
 // ---- the cache ----
 
+/// Returns the number of prompt tokens that are cached under `key`, and stores `tokens` under it. The entries that
+/// were unused for the longest time are evicted if the cache is full.
 fn cache_lookup(
     shared: &EngineShared,
     state: &mut EngineState,
--- a/standin/src/trace.rs
+++ b/standin/src/trace.rs
@@ -138,10 +138,12 @@
 const PREFILL_TOKENS_PER_MS: f64 = 8.0;
 const DECODE_MS_PER_TOKEN: f64 = 25.0;
 
+/// A chat and its length so far.
 struct ChatTurn {
     chat: u64,
     workspace: u32,
     turn: u32,
+    /// The tokens of all previous prompts and answers.
     context: u32,
 }
 
@@ -269,6 +271,7 @@
     request.prefill_ms + request.decode_ms + 2000 + exponential(rng, mean) as u64
 }
 
+/// Draws from an exponential distribution.
 fn exponential(rng: &mut StdRng, mean: f64) -> f64 {
     -mean * (1.0 - rng.gen::<f64>()).ln()
 }
