--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -8,7 +8,7 @@
 use wingshed_lib::transport::http_server::{listen, HttpExchange, HttpServer, ServerLimits};
 
 /// Starts an HTTP server at a free address, and panics if the address is in use. `in_flight` limits the number of
-/// requests at once; further ones get status 503.
+/// requests at once. Requests that are refused get status 503.
 pub fn serve(
     address: SocketAddr,
     in_flight: usize,
--- a/standin/src/system.rs
+++ b/standin/src/system.rs
@@ -293,7 +293,7 @@
         Some((version, Configuration { version, ..read }))
     }
 
-    /// Sends an operator's call to the keepers in turn, until one executes it; `None` if none does.
+    /// Sends an operator's call to the keepers in turn, until one answers that is the leader; `None` if none does.
     pub fn operate(&self, method: &str, path: &str, body: Option<&Value>) -> Option<HttpReply> {
         self.keeper_addresses.iter().find_map(|address| {
             let reply = self.operate_at(*address, method, path, body)?;
@@ -301,7 +301,7 @@
         })
     }
 
-    /// Sends an operator's call to one keeper; `None` if it does not answer.
+    /// Sends an operator's call to one keeper; `None` if it does not answer or accepts neither key.
     pub fn operate_at(
         &self,
         address: SocketAddr,
--- a/standin/src/trace.rs
+++ b/standin/src/trace.rs
@@ -143,7 +143,7 @@
     chat: u64,
     workspace: u32,
     turn: u32,
-    /// The tokens of all previous prompts and answers.
+    /// The tokens of all previous prompts and answers, without digests.
     context: u32,
 }
 
--- a/standin/src/verdict.rs
+++ b/standin/src/verdict.rs
@@ -13,7 +13,7 @@
 pub enum AnswerVerdict {
     /// The answer is the whole answer to this request.
     Whole,
-    /// The request was refused as not run, and no upstream ran it.
+    /// The request was refused as not run, and that send did not run.
     Refused,
     /// The request failed, and the answer reports an error.
     Failed,
