--- a/cli/src/bench_classes.rs
+++ b/cli/src/bench_classes.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use wingshed_standin::caller::{chat_call, send, CallerAnswer, ChatAsk};
-use wingshed_standin::engine::EngineMake;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::{chat_call, send, CallerAnswer, ChatRequest};
+use wingshed_standin::engine::EngineOptions;
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 use crate::bench_decision::percentile;
 use crate::table::to_text;
@@ -61,9 +61,13 @@
     let mut table = Vec::new();
     for (name, watched, other, slow) in rows {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut options = SystemMake::small(folder.path().to_path_buf());
-        options.engine =
-            EngineMake { slots: 8, piece_ms: 20, prefill_per_ms: 40, ..EngineMake::default() };
+        let mut options = SystemOptions::small(folder.path().to_path_buf());
+        options.engine = EngineOptions {
+            slots: 8,
+            piece_ms: 20,
+            prefill_per_ms: 40,
+            ..EngineOptions::default()
+        };
         options.requests_per_engine = options.engine.slots as u32;
         let system = SystemStandIn::start(options);
         if slow {
@@ -130,7 +134,7 @@
     let mut router = routers[caller.len() % routers.len()];
     while !stop.load(Ordering::Relaxed) {
         let number = answers.len();
-        let request = ChatAsk {
+        let request = ChatRequest {
             workspace: format!("w{}", kind.workspace),
             key: format!("k{}", kind.workspace),
             request_id: format!("{caller}-{number}"),
--- a/cli/src/bench_keeper.rs
+++ b/cli/src/bench_keeper.rs
@@ -24,7 +24,7 @@
 use wingshed_lib::transport::keeper_client::KeeperClient;
 use wingshed_lib::transport::keeper_node::KeeperNode;
 use wingshed_standin::address::free_address;
-use wingshed_standin::system::{SystemMake, SystemStandIn, FLEET_KEY};
+use wingshed_standin::system::{SystemOptions, SystemStandIn, FLEET_KEY};
 
 use crate::bench_decision::percentile;
 use crate::table::to_text;
@@ -171,7 +171,7 @@
 /// in force on all of them.
 fn change_times() -> Result<(), String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-    let mut options = SystemMake::small(folder.path().to_path_buf());
+    let mut options = SystemOptions::small(folder.path().to_path_buf());
     options.keepers = 3;
     options.routers = 12;
     options.engines = 40;
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -10,9 +10,9 @@
 use argh::FromArgs;
 use wingshed_lib::protocol::engine::run_id;
 use wingshed_lib::transport::http_client::HttpClient;
-use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatAsk};
+use wingshed_standin::caller::{chat_call, directory, plain_call, send, CallerAnswer, ChatRequest};
 use wingshed_standin::engine::whole_text;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 use wingshed_standin::verdict::{AnswerVerdict, RequestView};
 
 use crate::table::to_text;
@@ -61,7 +61,7 @@
 pub fn run(command: &DemoCommand) -> Result<bool, String> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     println!("Starting 1 keeper, 3 routers, 6 stand-in engines, 2 plain upstreams.");
-    let mut system = SystemStandIn::start(SystemMake::small(folder.path().to_path_buf()));
+    let mut system = SystemStandIn::start(SystemOptions::small(folder.path().to_path_buf()));
     if command.serve {
         print_curl_lines(&system);
         loop {
@@ -72,7 +72,7 @@
     let wire_before = control_bytes(&system);
     let (results, skew) = run_load(&mut system);
     let seconds = started.elapsed().as_secs_f64();
-    let wire = (control_bytes(&system) - wire_before) / seconds / system.make.routers as f64;
+    let wire = (control_bytes(&system) - wire_before) / seconds / system.options.routers as f64;
     Ok(report(&system, &results, &skew, wire))
 }
 
@@ -127,7 +127,7 @@
             let address = system.engines[1].as_ref().map(|engine| engine.address);
             system.kill_engine(1);
             if let Some(address) = address {
-                system.revive_engine(1, address, 2);
+                system.restart_engine(1, address, 2);
             }
         }
         _ => {}
@@ -173,7 +173,7 @@
         return DemoResult { service, expected: target, run, answer, duplicate: None };
     }
     let pieces = if service == "digest" { 64 } else { 24 };
-    let request = ChatAsk {
+    let request = ChatRequest {
         workspace,
         key: format!("k{}", number % 3),
         request_id,
@@ -283,7 +283,7 @@
         println!("wrong: {} {:?}", result.service, result.answer);
     }
     let second_invalid =
-        alerts.iter().filter(|result| !result.view(&starts).second_holds()).count();
+        alerts.iter().filter(|result| !result.view(&starts).second_is_valid()).count();
     let all_held = wrong == 0 && doubled == 0 && second_invalid == 0;
     println!("\n{}", if all_held { "All guarantees held." } else { "A guarantee was violated." });
     all_held
