--- a/lib/src/transport/http_client.rs
+++ b/lib/src/transport/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP out, by `attohttpc`: one connection a call, the body handed on as it comes.
+//! HTTP client based on `attohttpc`, with one connection for each call and streamed answer bodies.
 
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -10,106 +10,107 @@
 use super::wire_count::{WireCount, CONNECTION_BYTES};
 use crate::protocol::http::{HttpCall, HttpReply};
 
-/// How long a call may take in its phases.
+/// The time limits of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimes {
-    /// To connect.
+    /// The longest time to connect.
     pub connect: Duration,
-    /// Between two reads.
+    /// The longest wait for a read.
     pub read: Duration,
 }
 
 impl CallTimes {
-    /// The same time for both.
+    /// Uses the same limit for both.
     pub fn of_ms(ms: u64) -> CallTimes {
         CallTimes { connect: Duration::from_millis(ms), read: Duration::from_millis(ms) }
     }
 }
 
-/// Why a call brought no whole answer.
+/// The reason why a call has no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CallFailure {
-    /// No byte was sent.
+    /// No byte of the call was sent.
     #[snafu(display("not sent: {text}"))]
     NotSent {
-        /// The system's word.
+        /// The underlying error.
         text: String,
     },
-    /// Bytes may have been sent.
+    /// Bytes of the call may have been sent.
     #[snafu(display("broken: {text}"))]
     Broken {
-        /// The system's word.
+        /// The underlying error.
         text: String,
     },
 }
 
-/// An answer whose body is still coming.
+/// An answer whose body is still being received.
 pub struct OpenReply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Names in lower case, with values.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The reader of the body.
     pub body: ReplyBody,
 }
 
 impl OpenReply {
-    /// Reads the rest: a body that breaks off, or that is longer than `most` bytes, makes no answer.
-    pub fn whole(self, most: usize) -> Result<HttpReply, CallFailure> {
+    /// Reads the rest of the answer. Fails if the body breaks off or is longer than `max_bytes`.
+    pub fn whole(self, max_bytes: usize) -> Result<HttpReply, CallFailure> {
         let mut body = Vec::new();
-        let read = self.body.take(most as u64 + 1).read_to_end(&mut body);
+        let read = self.body.take(max_bytes as u64 + 1).read_to_end(&mut body);
         read.map_err(|error| CallFailure::Broken { text: error.to_string() })?;
-        if body.len() > most {
+        if body.len() > max_bytes {
             return Err(CallFailure::Broken { text: "the answer is too long".to_string() });
         }
         Ok(HttpReply { status: self.status, headers: self.headers, body })
     }
 }
 
-/// A body that ends well only where its framing ends it.
+/// Reads a body, and fails unless it ends where its framing ends it.
 pub struct ReplyBody {
     reader: attohttpc::ResponseReader,
-    /// Bytes that must still come, where a length was given.
-    left: Option<u64>,
-    /// The kind of call or the status rules a body out, whatever the headers say.
-    none: bool,
+    /// The number of bytes still to be received, if the answer has a content length.
+    remaining: Option<u64>,
+    /// Whether the method or the status excludes a body, whatever the headers state.
+    is_empty: bool,
 }
 
 impl ReplyBody {
     fn new(method: &str, response: attohttpc::Response) -> ReplyBody {
         let status = response.status().as_u16();
-        let none = method == "HEAD" || matches!(status, 204 | 304);
+        let is_empty = method == "HEAD" || matches!(status, 204 | 304);
         let length = response.headers().get(attohttpc::header::CONTENT_LENGTH);
-        let left = length.and_then(|length| length.to_str().ok()?.parse().ok());
+        let remaining = length.and_then(|length| length.to_str().ok()?.parse().ok());
         let (_, _, reader) = response.split();
-        ReplyBody { reader, left, none }
+        ReplyBody { reader, remaining, is_empty }
     }
 }
 
 impl Read for ReplyBody {
     fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
-        if self.none || bytes.is_empty() {
+        if self.is_empty || bytes.is_empty() {
             return Ok(0);
         }
         let read = self.reader.read(bytes)?;
-        let Some(left) = &mut self.left else { return Ok(read) };
-        // `attohttpc` ends a body at its length, and as well where the connection is closed before that.
-        if read == 0 && *left > 0 {
-            let text = format!("the connection ended {left} bytes short of the length");
+        let Some(remaining) = &mut self.remaining else { return Ok(read) };
+        // `attohttpc` reports the end of a body also when the connection is closed before its
+        // length.
+        if read == 0 && *remaining > 0 {
+            let text = format!("the connection ended {remaining} bytes short of the length");
             return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
         }
-        let rest = left.checked_sub(read as u64);
-        *left = rest.ok_or_else(|| {
+        let rest = remaining.checked_sub(read as u64);
+        *remaining = rest.ok_or_else(|| {
             io::Error::new(io::ErrorKind::InvalidData, "the body is longer than its length")
         })?;
         Ok(read)
     }
 }
 
-/// Makes calls and counts them.
+/// An HTTP client that counts its messages and bytes.
 #[derive(Clone, Debug, Default)]
 pub struct HttpClient {
-    /// The counters.
+    /// The counters of messages and bytes.
     pub wire: Arc<WireCount>,
 }
 
@@ -152,22 +153,22 @@
         Ok(OpenReply { status, headers, body: ReplyBody::new(&call.method, response) })
     }
 
-    /// Sends a call and reads the whole answer, of at most `most` bytes.
+    /// Sends a call and reads the whole answer, whose body may have at most `max_bytes` bytes.
     pub fn call(
         &self,
         address: SocketAddr,
         call: &HttpCall,
         times: CallTimes,
-        most: usize,
+        max_bytes: usize,
         kind: &'static str,
     ) -> Result<HttpReply, CallFailure> {
-        let reply = self.open(address, call, times, kind)?.whole(most)?;
+        let reply = self.open(address, call, times, kind)?.whole(max_bytes)?;
         self.wire.received(kind, reply.body.len() as u64);
         Ok(reply)
     }
 }
 
-/// Only errors that a connection never opened with count as not sent.
+/// Maps an error to a failure. Only errors by which a connection never opened count as not sent.
 fn to_failure(error: attohttpc::Error) -> CallFailure {
     let text = error.to_string();
     let not_sent = match error.kind() {
--- a/lib/src/transport/keeper_node.rs
+++ b/lib/src/transport/keeper_node.rs
@@ -1,4 +1,4 @@
-//! The keeper as a node: its loop, its sockets, and the forming of the first group.
+//! The keeper as a node: its loop, its sockets, and the formation of the first group.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -18,7 +18,7 @@
 use super::http_server::{listen, HttpExchange, HttpServer, ServerLimits, ServerRefusal};
 use super::keeper_client::KeeperClient;
 use super::keeper_loop::{
-    KeeperEvent, KeeperLoop, LoopDisk, LoopFailure, LoopOutlets, LoopStart, OperateReply,
+    KeeperEvent, KeeperLoop, LoopDisk, LoopFailure, LoopOutputs, LoopStart, OperateReply,
 };
 use super::keeper_operator::{operator_reply, send_order};
 use super::vm_disk::run_jobs;
@@ -39,44 +39,49 @@
 };
 use crate::state::settings::KeeperSettings;
 
-const IN_FLIGHT: usize = 512;
-const LONGEST_BODY: usize = 64 << 20;
-const ANSWER_WAIT: Duration = Duration::from_secs(5);
-const LONG_QUEUE: usize = 64;
+/// The maximum number of HTTP requests that are handled at once.
+const MAX_IN_FLIGHT: usize = 512;
+/// The maximum length of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// How long a handler waits for the loop's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// The number of long messages that may wait for one keeper; further ones are dropped.
+const LONG_MESSAGE_QUEUE: usize = 64;
 
 /// Why a node does not start or has stopped.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum NodeError {
-    /// Its files.
+    /// The files cannot be opened or written.
     #[snafu(display("{source}"))]
     Store {
-        /// What is wrong with them.
+        /// The error of the store.
         source: StoreError,
     },
-    /// Its snapshot cannot be read.
+    /// The snapshot cannot be read.
     #[snafu(display("the snapshot cannot be read: {text}"))]
     Image {
-        /// What is wrong.
+        /// Why the snapshot cannot be read.
         text: String,
     },
-    /// Its sockets.
+    /// A socket cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The system's word.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Writes a backup into this keeper's empty data folder, as a group of this keeper alone; the
-/// others are then brought in as after the loss of their disks.
+/// Writes a backup into this keeper's empty data folder, as a group of this keeper alone. The other
+/// keepers are then added in the same way as after the loss of their disks.
 pub fn restore_backup(settings: &KeeperSettings, image: &[u8]) -> Result<(), NodeError> {
     KeeperMachine::from_image(image).map_err(|text| NodeError::Image { text })?;
-    let life = Incarnation(rand::random::<u64>() | 1);
+    let new_incarnation = Incarnation(rand::random::<u64>() | 1);
     let folder = &settings.data_folder;
-    let (mut store, stored) = LogStore::open(folder, settings.id, life).context(StoreSnafu)?;
+    let (mut store, stored) =
+        LogStore::open(folder, settings.id, new_incarnation).context(StoreSnafu)?;
     if !stored.blank {
         let path = folder.clone();
         let what = "holds a group already; a backup goes into an empty folder".to_string();
@@ -90,8 +95,8 @@
     store.install(&snapshot, hard_state, &[]).context(StoreSnafu)
 }
 
-/// What the handlers of a keeper share.
-pub(super) struct KeeperDesk {
+/// The state that the handlers of a keeper share.
+pub(super) struct KeeperShared {
     pub(super) settings: KeeperSettings,
     pub(super) events: Sender<KeeperEvent>,
     pub(super) checker: Arc<Mutex<SealChecker>>,
@@ -105,19 +110,19 @@
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     failure: Arc<Mutex<Option<LoopFailure>>>,
-    /// Where it listens.
+    /// The address on which the keeper listens.
     pub address: SocketAddr,
 }
 
 impl KeeperNode {
-    /// Opens the data folder and starts.
+    /// Opens the data folder and starts the keeper.
     pub fn start(settings: KeeperSettings) -> Result<KeeperNode, NodeError> {
         let clock = NodeClock::default();
-        let new_life = Incarnation(rand::random::<u64>() | 1);
-        let opened = LogStore::open(&settings.data_folder, settings.id, new_life);
+        let new_incarnation = Incarnation(rand::random::<u64>() | 1);
+        let opened = LogStore::open(&settings.data_folder, settings.id, new_incarnation);
         let (store, stored) = opened.context(StoreSnafu)?;
         if stored.torn_bytes > 0 {
-            tracing::warn!("keeper: cut a torn tail of {} bytes.", stored.torn_bytes);
+            tracing::warn!("keeper: truncated a torn tail of {} bytes.", stored.torn_bytes);
         }
         let machine = match stored.snapshot.image.is_empty() {
             true => KeeperMachine::default(),
@@ -130,8 +135,8 @@
         let port = DatagramPort::bind(address, maker.clone(), wire.clone());
         let port = port.context(ListenSnafu { address })?;
         let limits = ServerLimits {
-            in_flight: IN_FLIGHT,
-            body_bytes: LONGEST_BODY,
+            in_flight: MAX_IN_FLIGHT,
+            body_bytes: MAX_BODY_BYTES,
             header_bytes: 16 << 10,
             read_timeout: Duration::from_secs(10),
         };
@@ -143,18 +148,19 @@
         let core = RaftCore::new(settings.id, incarnation, stored, seed, clock.now_ms());
         let (events, receiver) = unbounded();
         let http = HttpClient { wire: wire.clone() };
-        let outlets = LoopOutlets {
+        let outputs = LoopOutputs {
             port: port.clone(),
-            send_long: long_sender(maker.clone(), http.clone()),
+            send_long: long_message_sender(maker.clone(), http.clone()),
             send_order: order_sender(events.clone(), http.clone()),
             wire: Box::new(move || wire.rows()),
         };
-        let most_loads = settings.weight_loads;
-        let named = settings.keepers.iter().map(|keeper| (keeper.id, keeper.address)).collect();
+        let max_loads = settings.weight_loads;
+        let configured =
+            settings.keepers.iter().map(|keeper| (keeper.id, keeper.address)).collect();
         let id = settings.id;
         let start =
-            LoopStart { id, core, machine, disk, incarnation, clock, seed, most_loads, named };
-        let keeper = KeeperLoop::new(start, outlets);
+            LoopStart { id, core, machine, disk, incarnation, clock, seed, max_loads, configured };
+        let keeper = KeeperLoop::new(start, outputs);
         let failure = Arc::new(Mutex::new(None));
         let stop = Arc::new(AtomicBool::new(false));
         let running = spawn_loop(keeper, receiver, failure.clone(), stop.clone());
@@ -163,42 +169,44 @@
         threads.extend(receive_datagrams(&port, &events, &checker, &stop));
         let client =
             KeeperClient::new(settings.keepers.clone(), maker, http, CallTimes::of_ms(2000));
-        let desk = Arc::new(KeeperDesk { settings, events: events.clone(), checker, client });
-        let handler_desk = desk.clone();
+        let shared = Arc::new(KeeperShared { settings, events: events.clone(), checker, client });
+        let handler_shared = shared.clone();
         let server = HttpServer::start(
             listener,
             limits,
-            Arc::new(move |exchange| handle(&handler_desk, exchange)),
+            Arc::new(move |exchange| handle(&handler_shared, exchange)),
             Arc::new(refusal_reply),
         );
         let server = server.context(ListenSnafu { address })?;
-        threads.push(spawn_helper(desk, blank, stop.clone()));
+        threads.push(spawn_background_tasks(shared, blank, stop.clone()));
         tracing::info!("keeper: listens on {address}.");
         Ok(KeeperNode { events, server, stop, threads, failure, address })
     }
 
-    /// Hands leadership over if it has it, then stops: a planned stop costs no election.
+    /// Hands leadership over if this keeper leads, then stops, so that a planned stop causes no
+    /// election timeout.
     pub fn stop_planned(self) {
         let (sender, receiver) = bounded(1);
         let _ = self.events.send(KeeperEvent::Transfer(sender));
-        if let Ok(OperateReply::Done(_)) = receiver.recv_timeout(ANSWER_WAIT) {
+        if let Ok(OperateReply::Done(_)) = receiver.recv_timeout(REPLY_TIMEOUT) {
             std::thread::sleep(Duration::from_millis(300));
         }
         self.stop_now();
     }
 
-    /// Stops at once, as a crash would but for the last write.
+    /// Stops at once. This equals a crash, except that the last write is completed.
     pub fn stop_now(mut self) {
-        self.shut();
+        self.shut_down();
     }
 
-    /// Whether the loop has ended, and why.
+    /// Returns the failure that ended the loop, if there is one.
     pub fn failure(&self) -> Option<String> {
         let failure = self.failure.lock().unwrap_or_else(|poison| poison.into_inner());
         failure.as_ref().map(|error| error.to_string())
     }
 
-    /// Reads something from the loop.
+    /// Reads a value from the loop; returns `None` when the loop has ended or doesn't answer in
+    /// time.
     pub fn read<T: Send + 'static>(
         &self,
         read: impl FnOnce(&KeeperLoop, bool) -> T + Send + 'static,
@@ -206,7 +214,7 @@
         read_loop(&self.events, read)
     }
 
-    fn shut(&mut self) {
+    fn shut_down(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.events.send(KeeperEvent::Stop);
         self.server.stop();
@@ -218,21 +226,21 @@
 
 impl Drop for KeeperNode {
     fn drop(&mut self) {
-        self.shut();
+        self.shut_down();
     }
 }
 
-/// Reads something from the loop; `None` when it has ended.
+/// Reads a value from the loop; returns `None` when the loop has ended or doesn't answer in time.
 pub(super) fn read_loop<T: Send + 'static>(
     events: &Sender<KeeperEvent>,
     read: impl FnOnce(&KeeperLoop, bool) -> T + Send + 'static,
 ) -> Option<T> {
     let (sender, receiver) = bounded(1);
-    let task = move |keeper: &KeeperLoop, vouched: bool| {
-        let _ = sender.send(read(keeper, vouched));
+    let task = move |keeper: &KeeperLoop, leased: bool| {
+        let _ = sender.send(read(keeper, leased));
     };
     events.send(KeeperEvent::Read(Box::new(task))).ok()?;
-    receiver.recv_timeout(ANSWER_WAIT).ok()
+    receiver.recv_timeout(REPLY_TIMEOUT).ok()
 }
 
 fn spawn_loop(
@@ -243,14 +251,14 @@
 ) -> JoinHandle<()> {
     spawn_named("keeper-loop", move || {
         if let Err(error) = keeper.run(receiver) {
-            tracing::error!("keeper: stops, for it cannot write: {error}.");
+            tracing::error!("keeper: stops because its loop failed: {error}.");
             *failure.lock().unwrap_or_else(|poison| poison.into_inner()) = Some(error);
         }
         stop.store(true, Ordering::Relaxed);
     })
 }
 
-/// Starts the thread that writes the files; it ends with the loop.
+/// Starts the thread that writes the data folder. It ends when the loop drops its channel.
 fn start_loop_disk(folder: PathBuf, store: LogStore) -> (LoopDisk, JoinHandle<()>) {
     let (jobs, to_do) = unbounded();
     let (done, reports) = unbounded();
@@ -260,7 +268,7 @@
 
 fn spawn_named(name: &str, run: impl FnOnce() + Send + 'static) -> JoinHandle<()> {
     let thread = std::thread::Builder::new().name(name.to_string()).spawn(run);
-    thread.expect("the system has room for a thread at the start")
+    thread.expect("a thread can be spawned at startup")
 }
 
 fn receive_datagrams(
@@ -270,7 +278,7 @@
     stop: &Arc<AtomicBool>,
 ) -> Option<JoinHandle<()>> {
     let events = events.clone();
-    let take = move |from, datagram| {
+    let handle_datagram = move |from, datagram| {
         let event = match datagram {
             Datagram::Renew(renewal) => KeeperEvent::Renew(from, renewal),
             Datagram::Raft(message) => KeeperEvent::Raft(message),
@@ -281,12 +289,13 @@
         };
         let _ = events.send(event);
     };
-    port.receive(checker.clone(), stop.clone(), take).ok()
+    port.receive(checker.clone(), stop.clone(), handle_datagram).ok()
 }
 
-/// One thread and one bounded queue for each other keeper: a slow one delays no other, and
-/// what does not fit is lost, which the consensus allows.
-fn long_sender(
+/// Returns a sender of long messages with one thread and one bounded queue for each keeper, so that
+/// a slow keeper delays no other. Messages that exceed a queue are dropped, which the consensus
+/// tolerates.
+fn long_message_sender(
     maker: Arc<SealMaker>,
     http: HttpClient,
 ) -> Box<dyn Fn(KeeperId, SocketAddr, RaftMessage) + Send> {
@@ -294,7 +303,7 @@
     Box::new(move |to, address, message| {
         let mut queues = queues.lock().unwrap_or_else(|poison| poison.into_inner());
         let queue = queues.entry(to).or_insert_with(|| {
-            let (sender, receiver) = bounded::<(SocketAddr, RaftMessage)>(LONG_QUEUE);
+            let (sender, receiver) = bounded::<(SocketAddr, RaftMessage)>(LONG_MESSAGE_QUEUE);
             let (maker, http) = (maker.clone(), http.clone());
             std::thread::spawn(move || {
                 for (address, message) in receiver {
@@ -329,61 +338,67 @@
     })
 }
 
-/// Forms the first group when the disk is blank, and asks the weight store for its limit.
-fn spawn_helper(desk: Arc<KeeperDesk>, blank: bool, stop: Arc<AtomicBool>) -> JoinHandle<()> {
+/// Starts a thread that forms the first group when the disk is blank and that requests the weight
+/// store's limit every five seconds.
+fn spawn_background_tasks(
+    shared: Arc<KeeperShared>,
+    blank: bool,
+    stop: Arc<AtomicBool>,
+) -> JoinHandle<()> {
     std::thread::spawn(move || {
-        let mut forming = blank && !desk.settings.join;
-        let mut waited = 0u32;
+        let mut forming = blank && !shared.settings.join;
+        let mut rounds = 0u32;
         while !stop.load(Ordering::Relaxed) {
             if forming {
-                forming = !try_forming(&desk);
+                forming = !try_forming_group(&shared);
             }
-            if waited % 50 == 0 {
-                ask_weight_store(&desk);
+            if rounds % 50 == 0 {
+                request_store_limit(&shared);
             }
-            waited = waited.wrapping_add(1);
+            rounds = rounds.wrapping_add(1);
             std::thread::sleep(Duration::from_millis(100));
         }
     })
 }
 
-fn ask_weight_store(desk: &KeeperDesk) {
-    let Some(address) = desk.settings.weight_store else { return };
+fn request_store_limit(shared: &KeeperShared) {
+    let Some(address) = shared.settings.weight_store else { return };
     let http = HttpClient::default();
     let call = weight_store::state_call();
     let Ok(reply) = http.call(address, &call, CallTimes::of_ms(1000), 4096, "weights") else {
         return;
     };
     if let Ok(state) = weight_store::read_state(&reply.body) {
-        let limit = state.max_loads.min(desk.settings.weight_loads);
-        let _ = desk.events.send(KeeperEvent::StoreLimit(limit));
+        let limit = state.max_loads.min(shared.settings.weight_loads);
+        let _ = shared.events.send(KeeperEvent::StoreLimit(limit));
     }
 }
 
-/// A blank keeper forms the first group only when every other named keeper is blank too, or
-/// knows this very life as a member: otherwise its disk was lost, and it must not vote.
-/// True when there is nothing left to try.
-fn try_forming(desk: &KeeperDesk) -> bool {
-    let Some(own) = read_loop(&desk.events, |keeper, _| keeper.identity()) else {
+/// Tries to form the first group; returns whether no further try is needed.
+///
+/// A blank keeper forms the group only when every other configured keeper is blank too or has this
+/// incarnation as a member. Otherwise this keeper has lost its disk and must not vote.
+fn try_forming_group(shared: &KeeperShared) -> bool {
+    let Some(own) = read_loop(&shared.events, |keeper, _| keeper.identity()) else {
         return true;
     };
     if !own.blank {
         return true;
     }
     let mut members = BTreeMap::new();
-    for keeper in &desk.settings.keepers {
+    for keeper in &shared.settings.keepers {
         let incarnation = if keeper.id == own.id {
             own.incarnation
         } else {
             let Ok(KeeperReply::Identity(other)) =
-                desk.client.ask(keeper.address, &KeeperCall::Identity)
+                shared.client.call(keeper.address, &KeeperCall::Identity)
             else {
                 return false;
             };
             if !other.blank && other.members.get(&own.id) != Some(&own.incarnation) {
                 tracing::error!(
-                    "keeper: this disk is new but the group is not; it does not vote until it \
-                     is brought in by `wingshed keeper replace`."
+                    "keeper: this disk is blank but the group exists already; the keeper does not \
+                     vote until it is added by `wingshed keeper replace`."
                 );
                 return true;
             }
@@ -392,22 +407,23 @@
         let member = GroupMember { incarnation, address: keeper.address, votes: true };
         members.insert(keeper.id, member);
     }
-    let _ = desk.events.send(KeeperEvent::Form(GroupMembership { members }));
+    let _ = shared.events.send(KeeperEvent::Form(GroupMembership { members }));
     true
 }
 
-fn handle(desk: &Arc<KeeperDesk>, mut exchange: HttpExchange) {
+fn handle(shared: &Arc<KeeperShared>, mut exchange: HttpExchange) {
     let path = exchange.call.path().to_string();
     let reply = match path.as_str() {
-        RAFT_PATH | CALL_PATH => sealed_reply(desk, &exchange.call, &path),
-        _ => operator_reply(desk, &exchange.call),
+        RAFT_PATH | CALL_PATH => sealed_reply(shared, &exchange.call, &path),
+        _ => operator_reply(shared, &exchange.call),
     };
     let _ = exchange.writer.send(&reply);
 }
 
-fn sealed_reply(desk: &KeeperDesk, call: &HttpCall, path: &str) -> HttpReply {
+/// Answers a call from a router or another keeper after checking its seal.
+fn sealed_reply(shared: &KeeperShared, call: &HttpCall, path: &str) -> HttpReply {
     let checked = {
-        let mut checker = desk.checker.lock().unwrap_or_else(|poison| poison.into_inner());
+        let mut checker = shared.checker.lock().unwrap_or_else(|poison| poison.into_inner());
         checker.check_header(call.header(SEAL_HEADER), path, &call.body, wall_ms())
     };
     if let Err(refusal) = checked {
@@ -421,17 +437,17 @@
             Err(text) => return bad(text),
         };
         for message in messages {
-            let _ = desk.events.send(KeeperEvent::Raft(message));
+            let _ = shared.events.send(KeeperEvent::Raft(message));
         }
         return HttpReply { status: 200, ..HttpReply::default() };
     }
-    let asked = match decode::<KeeperCall>(&call.body) {
-        Ok(asked) => asked,
+    let keeper_call = match decode::<KeeperCall>(&call.body) {
+        Ok(keeper_call) => keeper_call,
         Err(text) => return bad(text),
     };
     let (sender, receiver) = bounded(1);
-    let _ = desk.events.send(KeeperEvent::Call(asked, sender));
-    let reply = receiver.recv_timeout(ANSWER_WAIT).unwrap_or(KeeperReply::Unsure);
+    let _ = shared.events.send(KeeperEvent::Call(keeper_call, sender));
+    let reply = receiver.recv_timeout(REPLY_TIMEOUT).unwrap_or(KeeperReply::Unsure);
     HttpReply { status: 200, headers: vec![], body: encode(&reply) }
 }
 
--- a/lib/src/transport/router_forward.rs
+++ b/lib/src/transport/router_forward.rs
@@ -1,5 +1,5 @@
-//! Requests between routers: passed on to a chat's home, to an engine's home, or to a
-//! peer whose lease holds.
+//! Requests between routers: they are forwarded to the home of a chat, to the home of an engine, or
+//! to a peer that has a lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use super::http_server::ResponseWriter;
 use super::router_engines::{resume_for_caller, REFUSED_CODE, UNREACHABLE_CODE};
 use super::router_place::{serve_at_engine, serve_at_home, EngineTarget};
-use super::router_plain::LONGEST_ANSWER;
+use super::router_plain::MAX_ANSWER_BYTES;
 use super::router_relay::{relay_stream, AnswerSink, StreamEnd};
 use super::router_serve::{no_lease_error, serve_entry, ServeContext};
 use super::router_shared::{lock, RouterShared};
@@ -27,42 +27,43 @@
 };
 use crate::protocol::seal::SEAL_HEADER;
 
-const FORWARD_READ_MS: u64 = 120_000;
+/// The longest wait between two reads of a peer's answer, in milliseconds.
+const FORWARD_READ_TIMEOUT_MS: u64 = 120_000;
 
-/// What became of a request that was passed on.
+/// The outcome of a forwarded request.
 pub(super) enum ForwardEnd {
-    /// The caller has its answer.
+    /// The caller has received its answer or an explicit error.
     Answered,
-    /// The peer did not take it, or failed before anything of the answer came.
+    /// The peer did not accept the request, or failed before any part of the answer arrived.
     TryElsewhere(CallerError),
 }
 
-fn forward_call(cx: &ServeContext, request: &CallerRequest, aim: ForwardPurpose) -> HttpCall {
+fn forward_call(cx: &ServeContext, request: &CallerRequest, purpose: ForwardPurpose) -> HttpCall {
     let hops = cx.hops + 1;
-    let passed =
-        ForwardRequest { from: cx.shared.id(), hops, purpose: aim, request: request.clone() };
-    let body = encode(&passed);
+    let forwarded =
+        ForwardRequest { from: cx.shared.id(), hops, purpose, request: request.clone() };
+    let body = encode(&forwarded);
     let seal = cx.shared.maker.header(FORWARD_PATH, &body, wall_ms());
     HttpCall::post(FORWARD_PATH, body).with(SEAL_HEADER, seal)
 }
 
-/// Passes a request on and relays the answer. Sending it again elsewhere is safe also after
-/// bytes were sent: a run-once request is claimed by the router that dispatches it, and another may
-/// be repeated.
+/// Forwards a request and relays the answer. Another try elsewhere is safe even after bytes were
+/// sent: a run-once request is claimed by the router that dispatches it, and any other may be
+/// repeated.
 pub(super) fn forward(
     cx: &ServeContext,
     address: SocketAddr,
     request: &CallerRequest,
-    aim: ForwardPurpose,
+    purpose: ForwardPurpose,
     sink: &mut AnswerSink<'_>,
 ) -> ForwardEnd {
     let mut request = request.clone();
     let spent = cx.arrived.elapsed().as_millis() as u64;
     request.deadline_ms = request.deadline_ms.saturating_sub(spent).max(1);
-    let call = forward_call(cx, &request, aim);
+    let call = forward_call(cx, &request, purpose);
     let times = CallTimes {
         connect: Duration::from_millis(500),
-        read: Duration::from_millis(FORWARD_READ_MS),
+        read: Duration::from_millis(FORWARD_READ_TIMEOUT_MS),
     };
     let open = match cx.shared.client.open(address, &call, times, "forward") {
         Ok(open) => open,
@@ -85,10 +86,10 @@
         relay_from_peer(cx, &request, open, &upstream, sink);
         return ForwardEnd::Answered;
     }
-    take_peer_reply(open, sink)
+    handle_peer_reply(open, sink)
 }
 
-/// Relays a peer's stream; if the peer dies, the engine is asked directly for the rest.
+/// Relays a peer's stream. If the peer fails, the rest is requested directly from the engine.
 fn relay_from_peer(
     cx: &ServeContext,
     request: &CallerRequest,
@@ -98,26 +99,32 @@
 ) {
     let mut order = PieceOrder::after(0);
     match relay_stream(open.body, &mut order, sink, |_| {}) {
-        StreamEnd::Done | StreamEnd::SinkGone => {}
+        StreamEnd::Done | StreamEnd::CallerGone => {}
         StreamEnd::Failed(text) => {
             let message = "The engine failed before the answer was whole.";
-            tracing::warn!("relay: request {} failed at a peer: {text}.", request.request_id);
+            tracing::warn!(
+                "relay: the engine of request {} failed behind a peer: {text}.",
+                request.request_id
+            );
             let error = CallerError::not_run(502, "upstream_failed", message);
             sink.fail(&error.with_ran(RanStatus::Unknown));
         }
         StreamEnd::Broken(text) => {
-            tracing::warn!("relay: a peer broke off ({text}), asking {upstream} itself.");
-            cx.shared.seen.count("streams.taken_over");
-            let place = ResumePosition { upstream: upstream.to_string(), last: order.last() };
-            resume_for_caller(cx, request, &place, sink);
+            tracing::warn!(
+                "relay: the stream from a peer broke off ({text}); resumes at {upstream}."
+            );
+            cx.shared.metrics.count("streams.taken_over");
+            let position = ResumePosition { upstream: upstream.to_string(), last: order.last() };
+            resume_for_caller(cx, request, &position, sink);
         }
     }
 }
 
-/// Takes a peer's refusal, or an answer that it passes on whole.
-fn take_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
+/// Handles a peer's reply that is not a stream: a refusal that allows another try, or an answer
+/// that is sent to the caller as a whole.
+fn handle_peer_reply(open: OpenReply, sink: &mut AnswerSink<'_>) -> ForwardEnd {
     let ran = RanStatus::of(find_header(&open.headers, RAN_HEADER));
-    let HttpReply { status, headers, body } = match open.whole(LONGEST_ANSWER) {
+    let HttpReply { status, headers, body } = match open.whole(MAX_ANSWER_BYTES) {
         Ok(reply) => reply,
         Err(failure) => {
             let error = CallerError::not_run(502, "peer_failed", failure.to_string());
@@ -126,22 +133,27 @@
     };
     let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let code = value.pointer("/error/code").and_then(|code| code.as_str()).unwrap_or("");
-    let elsewhere = [NO_CAPACITY_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
-    let not_taken = status == 401 && code.is_empty();
-    if ran == RanStatus::No && elsewhere.contains(&code) || not_taken {
+    let retryable_codes =
+        [NO_CAPACITY_CODE, "no_lease", "too_many_hops", REFUSED_CODE, UNREACHABLE_CODE];
+    let rejected = status == 401 && code.is_empty();
+    if ran == RanStatus::No && retryable_codes.contains(&code) || rejected {
         let error = CallerError::not_run(503, code, "The peer did not take the request.");
         return ForwardEnd::TryElsewhere(error.after(1000));
     }
-    sink.pass(HttpReply { status, headers, body }, ran);
+    sink.send_reply(HttpReply { status, headers, body }, ran);
     ForwardEnd::Answered
 }
 
-/// A router without a lease, or draining, passes callers on to one that may serve.
-pub(super) fn pass_to_peer(cx: &ServeContext, request: &CallerRequest, sink: &mut AnswerSink<'_>) {
+/// Forwards a request to a peer that may serve it, since this router has no lease or is draining.
+pub(super) fn forward_to_peer(
+    cx: &ServeContext,
+    request: &CallerRequest,
+    sink: &mut AnswerSink<'_>,
+) {
     if cx.hops >= MAX_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
-    cx.shared.seen.count("requests.passed_on");
+    cx.shared.metrics.count("requests.passed_on");
     for (_, address) in peers(&cx.view.roster, cx.shared.id(), &cx.shared.settings.zone) {
         match forward(cx, address, request, ForwardPurpose::AsEntry, sink) {
             ForwardEnd::Answered => return,
@@ -152,8 +164,8 @@
     sink.fail(&no_lease_error());
 }
 
-/// A request that a peer passed on.
-pub(super) fn take_forward(
+/// Receives a request that a peer forwarded, after checking its seal.
+pub(super) fn receive_forward(
     shared: &Arc<RouterShared>,
     call: &HttpCall,
     writer: &mut ResponseWriter,
@@ -166,44 +178,46 @@
         wall_ms(),
     );
     if let Err(refusal) = checked {
-        tracing::warn!("router: refused a passed request: {refusal}.");
+        tracing::warn!("router: refused a forwarded request: {refusal}.");
         let _ = writer.send(&HttpReply { status: 401, ..HttpReply::default() });
         return;
     }
-    let passed: ForwardRequest = match decode(&call.body) {
-        Ok(passed) => passed,
+    let forwarded: ForwardRequest = match decode(&call.body) {
+        Ok(forwarded) => forwarded,
         Err(text) => {
             let error = CallerError::not_run(400, "bad_forward", text);
             let _ = writer.send(&error.to_reply("-"));
             return;
         }
     };
-    serve_passed(shared, passed, writer, arrived);
+    serve_forwarded(shared, forwarded, writer, arrived);
 }
 
-fn serve_passed(
+fn serve_forwarded(
     shared: &Arc<RouterShared>,
-    passed: ForwardRequest,
+    forwarded: ForwardRequest,
     writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
-    let ForwardRequest { hops, purpose: aim, mut request, .. } = passed;
-    // Between routers an answer always streams, so that the sender sees what is whole.
+    let ForwardRequest { hops, purpose, mut request, .. } = forwarded;
+    // Between routers an answer is always a stream, so that the sender can detect whether it
+    // is complete.
     if let Some(facts) = &mut request.facts {
         facts.stream = true;
     }
-    // The lease first: the view that is read after it holds all that the lease vouches for.
+    // The lease is checked before the view is read, so that the view is at least as new as the
+    // version that the lease covers.
     let leased = shared.is_leased();
     let cx = ServeContext { shared: shared.clone(), view: shared.view(), arrived, hops };
     let mut sink = AnswerSink::new(writer, true, &request.request_id, hops);
     if hops > MAX_HOPS {
         return sink.fail(&CallerError::not_run(503, "too_many_hops", "Passed on too often."));
     }
-    // A draining router goes on serving as a home until its peers have turned elsewhere.
+    // A draining router with a lease continues to serve as a home until its peers use other homes.
     if !leased {
         return sink.fail(&no_lease_error());
     }
-    match aim {
+    match purpose {
         ForwardPurpose::AsEntry => serve_entry(&cx, &request, &mut sink),
         ForwardPurpose::ToChatHome(decision) => serve_at_home(&cx, &request, &decision, &mut sink),
         ForwardPurpose::ToEngine { decision, engine, cached_tokens, import_from } => {
--- a/lib/src/transport/router_shared.rs
+++ b/lib/src/transport/router_shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share.
+//! The state that the threads of a router share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use super::datagram::DatagramPort;
 use super::http_client::HttpClient;
 use super::keeper_client::KeeperClient;
-use super::seen::SeenTable;
+use super::seen::RouterMetrics;
 use crate::coordination::admission::FleetLoad;
 use crate::coordination::claim_batch::ClaimBatch;
 use crate::coordination::fair_queue::{FairQueue, RequestClass};
@@ -35,55 +35,56 @@
 use crate::state::roster::RouterRoster;
 use crate::state::settings::RouterSettings;
 
-/// Chats that one home remembers.
-pub const CHATS_REMEMBERED: usize = 200_000;
+/// The maximum number of chats whose engines one home remembers.
+pub const MAX_REMEMBERED_CHATS: usize = 200_000;
 
-/// One upstream, as a view holds it.
+/// The data of one upstream in a view.
 #[derive(Clone, Debug)]
-pub struct UpstreamSight {
-    /// Its name.
+pub struct UpstreamInfo {
+    /// The upstream's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its fleet.
+    /// The fleet that it belongs to.
     pub fleet: FleetKey,
 }
 
-/// One fleet, as a view holds it.
+/// The data of one fleet in a view.
 #[derive(Clone, Debug)]
-pub struct FleetSight {
-    /// Its rules.
+pub struct FleetInfo {
+    /// The fleet's rules in the configuration.
     pub entry: Arc<FleetEntry>,
-    /// Those that take new work, with their homes.
+    /// The upstreams that accept new work, with their homes.
     pub view: FleetView,
-    /// All of its upstreams.
+    /// All upstreams of the fleet.
     pub members: Vec<UpstreamKey>,
 }
 
-/// All that a request needs to read, at one moment. Immutable; a newer one replaces it.
+/// An immutable snapshot of the data that requests read. A newer view replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct RouterView {
-    /// The configuration.
+    /// The configuration in force.
     pub configuration: Arc<Configuration>,
-    /// Its policies, compiled.
+    /// The compiled policies of the configuration, by name.
     pub policies: HashMap<String, Arc<PolicyProgram>>,
-    /// The routers.
+    /// The roster of routers.
     pub roster: RouterRoster,
-    /// The fleets.
-    pub fleets: HashMap<FleetKey, FleetSight>,
-    /// The upstreams.
-    pub upstreams: HashMap<UpstreamKey, UpstreamSight>,
+    /// The fleets by key.
+    pub fleets: HashMap<FleetKey, FleetInfo>,
+    /// The upstreams by key.
+    pub upstreams: HashMap<UpstreamKey, UpstreamInfo>,
 }
 
 impl RouterView {
-    /// The view of a configuration and a roster; `closed` is whether an upstream takes no new work.
+    /// Makes the view of a configuration and a roster. `closed` returns whether an upstream accepts
+    /// no new work.
     pub fn new(
         configuration: Arc<Configuration>,
         roster: RouterRoster,
         before: &RouterView,
         closed: impl Fn(UpstreamKey) -> bool,
     ) -> RouterView {
-        let policies = compile_all(&configuration, before);
+        let policies = compile_policies(&configuration, before);
         let mut upstreams = HashMap::new();
         let mut members: HashMap<FleetKey, Vec<UpstreamKey>> = HashMap::new();
         let mut draining = std::collections::HashSet::new();
@@ -93,8 +94,8 @@
             }
             let (key, fleet) = (UpstreamKey::of(name), FleetKey::of(&entry.fleet));
             members.entry(fleet).or_default().push(key);
-            let sight = UpstreamSight { name: name.clone(), address: entry.address, fleet };
-            upstreams.insert(key, sight);
+            let info = UpstreamInfo { name: name.clone(), address: entry.address, fleet };
+            upstreams.insert(key, info);
         }
         let mut fleets = HashMap::new();
         for (name, entry) in &configuration.fleets {
@@ -105,14 +106,14 @@
                 .copied()
                 .filter(|upstream| !closed(*upstream) && !draining.contains(upstream));
             let view = FleetView::new(open, &roster);
-            fleets.insert(key, FleetSight { entry: entry.clone(), view, members });
+            fleets.insert(key, FleetInfo { entry: entry.clone(), view, members });
         }
         RouterView { configuration, policies, roster, fleets, upstreams }
     }
 }
 
-/// Unchanged policies are not compiled again.
-fn compile_all(
+/// Compiles the policies of a configuration, and reuses the programs of unchanged ones.
+fn compile_policies(
     configuration: &Configuration,
     before: &RouterView,
 ) -> HashMap<String, Arc<PolicyProgram>> {
@@ -131,46 +132,46 @@
     policies
 }
 
-/// Who waits for a claim's answer.
-pub(super) struct ClaimWaiters {
-    /// What is to be sent.
+/// The claims that are still to be sent and the threads that wait for answers.
+pub(super) struct PendingClaims {
+    /// The claims and reports that are still to be sent.
     pub(super) batch: ClaimBatch,
-    /// By the caller's handle.
+    /// The threads that wait for the answer to a claim, by attempt number.
     pub(super) waiting: HashMap<u64, Sender<Option<ClaimAnswer>>>,
-    /// Batches that were sent by datagram, by number.
+    /// The threads that wait for the answers to a batch sent by datagram, by batch number.
     pub(super) batches: HashMap<u64, Sender<Option<Vec<ClaimAnswer>>>>,
 }
 
-/// The tables of a home, behind one lock because one decision reads most of them.
+/// The tables of a home. They share one lock, because one decision reads most of them.
 #[derive(Debug)]
-pub(super) struct HomeDesk {
+pub(super) struct HomeState {
     pub(super) homes: HomeTable,
     pub(super) memory: ChatMemory,
     pub(super) queues: HashMap<FleetKey, FairQueue>,
     pub(super) tickets: HashMap<u64, Sender<UpstreamKey>>,
-    pub(super) others: RemoteLoad,
+    pub(super) remote_load: RemoteLoad,
     pub(super) peer_loads: LoadTable,
     pub(super) outliers: OutlierTable,
     pub(super) leaving: LeavingTable,
     pub(super) notices: NoticeTable,
-    pub(super) news: Vec<(LeavingIncarnation, u64)>,
-    pub(super) notes: HashMap<RouterId, Vec<ChatNote>>,
+    pub(super) recent_leaving: Vec<(LeavingIncarnation, u64)>,
+    pub(super) chat_notes: HashMap<RouterId, Vec<ChatNote>>,
     pub(super) events_seen: HashMap<UpstreamKey, u64>,
     pub(super) plain_in_flight: HashMap<UpstreamKey, u32>,
     pub(super) retries: RetryBudget,
     pub(super) shares: ShareTable,
 }
 
-/// What all threads of a router reach.
+/// The state that all threads of a router share.
 ///
-/// Lock order, where a thread must hold two: `view`, then `desk`, then `limits`. The
-/// locks of `lease`, `claims`, `checker` and `seen` are never held with another.
+/// Lock order, where a thread must hold two: `view`, then `home_state`, then `limits`. The
+/// locks of `lease`, `claims`, `checker` and `metrics` are never held with another.
 pub struct RouterShared {
-    /// Its settings.
+    /// The router's settings.
     pub settings: RouterSettings,
-    /// This life.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Its monotonic clock.
+    /// The monotonic clock of this process.
     pub clock: NodeClock,
     pub(super) client: HttpClient,
     pub(super) maker: Arc<SealMaker>,
@@ -178,23 +179,24 @@
     pub(super) keepers: KeeperClient,
     pub(super) port: DatagramPort,
     /// Histograms and counters.
-    pub seen: SeenTable,
+    pub metrics: RouterMetrics,
     view: RwLock<Arc<RouterView>>,
     pub(super) lease: Mutex<RouterLease>,
-    pub(super) desk: Mutex<HomeDesk>,
+    pub(super) home_state: Mutex<HomeState>,
     pub(super) limits: Mutex<LimitTable>,
-    pub(super) claims: Mutex<ClaimWaiters>,
+    pub(super) claims: Mutex<PendingClaims>,
     pub(super) claims_ready: std::sync::Condvar,
     next_number: AtomicU64,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub(super) in_flight: AtomicUsize,
-    /// The router drains.
+    /// Whether the router is draining.
     pub(super) draining: AtomicBool,
-    /// The router stops.
+    /// Whether the router is stopping.
     pub(super) stopping: AtomicBool,
 }
 
-/// Takes a lock, also when a thread panicked with it: the tables are whole between steps.
+/// Takes a lock even if a thread panicked while holding it, since the tables are consistent between
+/// steps.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poison| poison.into_inner())
 }
@@ -209,8 +211,8 @@
     ) -> RouterShared {
         let checker = SealChecker::new(&settings.fleet_key, wall_ms());
         RouterShared {
-            // A later life has a higher number, as long as the VM's clock does not fall back
-            // by more than its restart takes.
+            // A later incarnation has a higher number, unless the VM's clock is set back by more
+            // than the time that the restart takes.
             incarnation: Incarnation(wall_ms()),
             clock: NodeClock::default(),
             client,
@@ -218,28 +220,28 @@
             checker: Arc::new(Mutex::new(checker)),
             keepers,
             port,
-            seen: SeenTable::new(settings.statsd),
+            metrics: RouterMetrics::new(settings.statsd),
             view: RwLock::default(),
             lease: Mutex::default(),
-            desk: Mutex::new(HomeDesk {
+            home_state: Mutex::new(HomeState {
                 homes: HomeTable::default(),
-                memory: ChatMemory::new(CHATS_REMEMBERED),
+                memory: ChatMemory::new(MAX_REMEMBERED_CHATS),
                 queues: HashMap::new(),
                 tickets: HashMap::new(),
-                others: RemoteLoad::default(),
+                remote_load: RemoteLoad::default(),
                 peer_loads: LoadTable::default(),
                 outliers: OutlierTable::default(),
                 leaving: LeavingTable::default(),
                 notices: NoticeTable::default(),
-                news: Vec::new(),
-                notes: HashMap::new(),
+                recent_leaving: Vec::new(),
+                chat_notes: HashMap::new(),
                 events_seen: HashMap::new(),
                 plain_in_flight: HashMap::new(),
                 retries: RetryBudget::default(),
                 shares: ShareTable::default(),
             }),
             limits: Mutex::default(),
-            claims: Mutex::new(ClaimWaiters {
+            claims: Mutex::new(PendingClaims {
                 batch: ClaimBatch::default(),
                 waiting: HashMap::new(),
                 batches: HashMap::new(),
@@ -253,179 +255,185 @@
         }
     }
 
-    /// This router's number.
+    /// Returns the number of this router.
     pub fn id(&self) -> RouterId {
         self.settings.id
     }
 
-    /// The view in force.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<RouterView> {
         self.view.read().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// A number that is unique in this life.
+    /// Returns a number that is unique in this incarnation.
     pub(super) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Whether the lease proves that what is applied here is in force.
+    /// Returns whether the lease proves that the configuration applied here is in force.
     pub(super) fn is_leased(&self) -> bool {
         lock(&self.lease).may_serve(self.clock.now_ms())
     }
 
-    /// Whether new work may be taken here.
+    /// Returns whether this router may accept new requests.
     pub fn may_serve(&self) -> bool {
         self.is_leased() && !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Replaces the view after a change of configuration, roster or leaving lives.
-    pub(super) fn renew_view(
+    /// Replaces the view after a change of the configuration, the roster, or the leaving or ejected
+    /// upstreams.
+    pub(super) fn update_view(
         &self,
         configuration: Option<Arc<Configuration>>,
         roster: Option<RouterRoster>,
     ) {
-        let mut place = self.view.write().unwrap_or_else(|poison| poison.into_inner());
-        let before = place.clone();
+        let mut current = self.view.write().unwrap_or_else(|poison| poison.into_inner());
+        let before = current.clone();
         let configuration = configuration.unwrap_or_else(|| before.configuration.clone());
         let roster = roster.filter(|new| new.epoch > before.roster.epoch);
         let roster = roster.unwrap_or_else(|| before.roster.clone());
-        let mut desk = lock(&self.desk);
+        let mut home_state = lock(&self.home_state);
         let now_ms = self.clock.now_ms();
         let closed = |upstream| {
-            desk.leaving.is_leaving(upstream) || desk.outliers.is_ejected(upstream, now_ms)
+            home_state.leaving.is_leaving(upstream)
+                || home_state.outliers.is_ejected(upstream, now_ms)
         };
         let view = RouterView::new(configuration, roster, &before, closed);
-        assign_homes(&mut desk, &view, self.settings.id);
-        *place = Arc::new(view);
+        assign_homes(&mut home_state, &view, self.settings.id);
+        *current = Arc::new(view);
     }
 
-    /// The load of a fleet, as known here and now.
+    /// Returns the load of a fleet from this router's own work and the last report of the other
+    /// routers.
     pub(super) fn fleet_load(
         &self,
-        desk: &HomeDesk,
+        home_state: &HomeState,
         fleet: FleetKey,
-        sight: &FleetSight,
+        info: &FleetInfo,
     ) -> FleetLoad {
-        let own_work = desk.homes.fleet_work(fleet);
-        let engines = sight.view.engines.len() as u32;
-        desk.others.fleet_load(fleet, own_work, engines, self.clock.now_ms())
+        let own_work = home_state.homes.fleet_work(fleet);
+        let engines = info.view.engines.len() as u32;
+        home_state.remote_load.fleet_load(fleet, own_work, engines, self.clock.now_ms())
     }
 
-    /// This router's rows for the load exchange.
+    /// Returns the rows that this router sends in the exchange of loads.
     pub(super) fn load_rows(&self) -> Vec<LoadRow> {
         let view = self.view();
-        let desk = lock(&self.desk);
+        let home_state = lock(&self.home_state);
         let engines = view.fleets.iter().filter(|(_, s)| s.entry.kind == FleetKind::Engine);
-        let row = |(fleet, sight): (&FleetKey, &FleetSight)| {
-            let queue = desk.queues.get(fleet);
+        let row = |(fleet, info): (&FleetKey, &FleetInfo)| {
+            let queue = home_state.queues.get(fleet);
             let waiting = queue.is_some_and(|queue| queue.has_waiting(RequestClass::Batch));
-            let most = sight.entry.requests_per_engine;
-            desk.homes.load_row(*fleet, sight.view.engines.len() as u32, most, waiting)
+            let most = info.entry.requests_per_engine;
+            home_state.homes.load_row(*fleet, info.view.engines.len() as u32, most, waiting)
         };
         engines.map(row).collect()
     }
 
-    /// What a placement in this fleet may go by.
-    pub(super) fn known<'a>(
+    /// Returns the data for placing `work` in a fleet.
+    pub(super) fn placement_context<'a>(
         &self,
-        desk: &'a HomeDesk,
+        home_state: &'a HomeState,
         fleet: FleetKey,
-        sight: &'a FleetSight,
+        info: &'a FleetInfo,
         work: u64,
     ) -> PlacementContext<'a> {
         PlacementContext {
             own: self.settings.id,
             fleet,
-            view: &sight.view,
-            homes: &desk.homes,
-            memory: &desk.memory,
-            hints: desk.others.hints(fleet),
-            hints_known: desk.others.reported_ms() > 0,
-            load: self.fleet_load(desk, fleet, sight),
-            multiple: sight.entry.multiple,
+            view: &info.view,
+            homes: &home_state.homes,
+            memory: &home_state.memory,
+            hints: home_state.remote_load.hints(fleet),
+            hints_known: home_state.remote_load.reported_ms() > 0,
+            load: self.fleet_load(home_state, fleet, info),
+            multiple: info.entry.multiple,
             work,
         }
     }
 
-    /// Notes where a chat went, here and for the chat's home.
+    /// Records that an engine holds a chat, in this router's memory and for the chat's home.
     pub(super) fn note_chat(
         &self,
         fleet: FleetKey,
         chat: ChatKey,
         engine: UpstreamKey,
-        life: Incarnation,
+        incarnation: Incarnation,
         tokens: u32,
     ) {
         let view = self.view();
-        let home = view.fleets.get(&fleet).and_then(|sight| sight.view.chat_home(chat));
-        let mut desk = lock(&self.desk);
-        let known = desk.memory.holders(chat).iter().any(|holder| holder.engine == engine);
-        desk.memory.note(chat, engine, life, tokens);
-        // The chat's home is notified once for each engine; it need not know of each turn.
-        if let Some(home) = home.filter(|home| *home != self.settings.id && !known) {
-            desk.notes.entry(home).or_default().push(ChatNote {
+        let home = view.fleets.get(&fleet).and_then(|info| info.view.chat_home(chat));
+        let mut home_state = lock(&self.home_state);
+        let noted = home_state.memory.holders(chat).iter().any(|holder| holder.engine == engine);
+        home_state.memory.note(chat, engine, incarnation, tokens);
+        // The chat's home is notified only once for each engine, not on each turn of the chat.
+        if let Some(home) = home.filter(|home| *home != self.settings.id && !noted) {
+            home_state.chat_notes.entry(home).or_default().push(ChatNote {
                 chat,
                 engine,
-                incarnation: life,
+                incarnation,
                 tokens,
             });
         }
     }
 
-    /// Notes a life that leaves; news is sent to the others, and closes it here at once.
-    pub(super) fn note_leaving(&self, mark: LeavingIncarnation) {
-        let news = {
-            let mut desk = lock(&self.desk);
-            let news = desk.leaving.note_leaving(mark);
-            if news {
-                desk.news.push((mark, self.clock.now_ms()));
-                desk.homes.close(mark.upstream, true);
+    /// Records that an incarnation of an upstream is leaving. A new report closes the upstream here
+    /// at once and is sent to the other routers.
+    pub(super) fn note_leaving(&self, leaving: LeavingIncarnation) {
+        let is_new = {
+            let mut home_state = lock(&self.home_state);
+            let is_new = home_state.leaving.note_leaving(leaving);
+            if is_new {
+                home_state.recent_leaving.push((leaving, self.clock.now_ms()));
+                home_state.homes.close(leaving.upstream, true);
             }
-            news
+            is_new
         };
-        if news {
-            self.renew_view(None, None);
-            if let Some(sight) = self.view().upstreams.get(&mark.upstream) {
-                tracing::info!("router: {} leaves.", sight.name);
+        if is_new {
+            self.update_view(None, None);
+            if let Some(info) = self.view().upstreams.get(&leaving.upstream) {
+                tracing::info!("router: {} leaves.", info.name);
             }
         }
     }
 
-    /// Notes the life that an upstream reported; a new life opens it again.
-    pub(super) fn note_incarnation(&self, upstream: UpstreamKey, life: Incarnation) {
+    /// Records the incarnation that an upstream reported. A new incarnation ends the leaving state
+    /// of the earlier one.
+    pub(super) fn note_incarnation(&self, upstream: UpstreamKey, incarnation: Incarnation) {
         let opened = {
-            let mut desk = lock(&self.desk);
-            let was_leaving = desk.leaving.is_leaving(upstream);
-            if desk.leaving.incarnation(upstream) < life {
-                desk.memory.set_incarnation(upstream, life);
-                desk.events_seen.remove(&upstream);
-                desk.notices.forget(upstream);
+            let mut home_state = lock(&self.home_state);
+            let was_leaving = home_state.leaving.is_leaving(upstream);
+            if home_state.leaving.incarnation(upstream) < incarnation {
+                home_state.memory.set_incarnation(upstream, incarnation);
+                home_state.events_seen.remove(&upstream);
+                home_state.notices.forget(upstream);
             }
-            desk.leaving.note_incarnation(upstream, life);
-            was_leaving && !desk.leaving.is_leaving(upstream)
+            home_state.leaving.note_incarnation(upstream, incarnation);
+            was_leaving && !home_state.leaving.is_leaving(upstream)
         };
         if opened {
-            self.renew_view(None, None);
+            self.update_view(None, None);
         }
     }
 }
 
-fn assign_homes(desk: &mut HomeDesk, view: &RouterView, own: RouterId) {
+/// Updates which engines this router is home to, and which of them are closed.
+fn assign_homes(home_state: &mut HomeState, view: &RouterView, own: RouterId) {
     let epoch = view.roster.epoch;
-    for (fleet, sight) in &view.fleets {
-        if sight.entry.kind != FleetKind::Engine {
+    for (fleet, info) in &view.fleets {
+        if info.entry.kind != FleetKind::Engine {
             continue;
         }
-        for engine in &sight.members {
+        for engine in &info.members {
             let home = view.roster.home(*engine) == Some(own);
-            desk.homes.assign(*engine, *fleet, home, epoch);
-            desk.homes.close(*engine, !sight.view.engines.contains_key(engine));
+            home_state.homes.assign(*engine, *fleet, home, epoch);
+            home_state.homes.close(*engine, !info.view.engines.contains_key(engine));
         }
     }
 }
 
 impl RouterShared {
-    /// Bytes on the wire by kind.
+    /// Returns the counted messages and bytes on the wire by kind.
     pub fn wire_rows(&self) -> Vec<crate::protocol::operator::WireRow> {
         self.client.wire.rows()
     }
