--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -132,7 +132,7 @@
         if !summary.is_fresh() {
             return false;
         }
-        let rooms = self.node.rooms.borrow();
+        let rooms = self.node.capacities.borrow();
         let bound = rooms.get(service).map(|capacity| capacity.bound(slots, request));
         let bound = bound.unwrap_or(f64::from(slots));
         let growth = summary.growth();
@@ -152,7 +152,7 @@
         let view = self.node.view.borrow();
         let mut summary = ReportedLoad {
             vms: view.roster.rows.len(),
-            age_ms: self.node.now_ms().saturating_sub(view.heard_ms),
+            age_ms: self.node.now_ms().saturating_sub(view.last_contact_ms),
             ..ReportedLoad::default()
         };
         let counts = |candidate: &&UpstreamCandidate| candidate.takes_work() && !candidate.ejected;
@@ -242,7 +242,7 @@
         let outliers = self.node.outliers.borrow();
         let silence = self.node.silence.borrow();
         // The list of an old grant is ignored; otherwise no VM would try these upstreams again.
-        let fresh = view.heard_ms + FAILING_MAX_AGE_MS > now_ms;
+        let fresh = view.last_contact_ms + FAILING_MAX_AGE_MS > now_ms;
         let failing = view.failing.iter().copied().filter(|_| fresh);
         let aside = outliers.known().filter(|key| outliers.is_ejected(*key, now_ms));
         for key in failing.chain(silence.view.unresponsive(now_ms)).chain(aside) {
@@ -259,7 +259,7 @@
         service: &str,
         act: impl FnOnce(&mut ServiceCapacity) -> T,
     ) -> T {
-        let mut rooms = self.rooms.borrow_mut();
+        let mut rooms = self.capacities.borrow_mut();
         match rooms.get_mut(service) {
             Some(capacity) => act(capacity),
             None => act(rooms.entry(service.to_string()).or_default()),
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -30,10 +30,10 @@
 
 impl VmNode {
     /// Renews, again and again.
-    pub async fn keep_contact(self: Rc<Self>) {
+    pub async fn run_renewals(self: Rc<Self>) {
         loop {
             self.renew();
-            let silent = self.view.borrow().heard_ms + LEADER_TIMEOUT_MS <= self.now_ms();
+            let silent = self.view.borrow().last_contact_ms + LEADER_TIMEOUT_MS <= self.now_ms();
             // A VM without a list or routes can't serve; the leader may have them by now.
             let lacks = !self.upstreams.borrow().is_held() || self.routes.borrow().is_none();
             let young = lacks && self.clock.age_ms() < NO_LIST_MS;
@@ -48,7 +48,7 @@
     /// A leader that may vouch now notifies all VMs that it knows, so that they need not find it.
     pub(super) fn announce_leadership(&self, now_ms: u64) {
         let term = match &*self.keeper.borrow() {
-            Some(keeper) if keeper.may_vouch(now_ms) => keeper.term(),
+            Some(keeper) if keeper.is_confirmed_leader(now_ms) => keeper.term(),
             _ => return,
         };
         if std::mem::replace(&mut self.view.borrow_mut().announced_term, term) == term {
@@ -66,7 +66,7 @@
     }
 
     /// A VM announced that it leads.
-    fn take_leadership(&self, from: VmId, term: u64) {
+    fn note_leader(&self, from: VmId, term: u64) {
         let newer = {
             let mut view = self.view.borrow_mut();
             let newer = term > view.term;
@@ -107,7 +107,7 @@
         let mut view = self.view.borrow_mut();
         let (roster, list) = (view.roster.mark, self.upstreams.borrow().revision);
         let mut desk = self.holders.borrow_mut();
-        let (holders, holders_heard) = (desk.outbox.take(), desk.heard);
+        let (holders, holders_heard) = (desk.outbox.take(), desk.received);
         let (doubts, dark) = {
             let view = &mut self.silence.borrow_mut().view;
             (view.take_suspicions(), view.revision())
@@ -131,7 +131,7 @@
             dark,
             rollout_changes: self.rollouts.borrow().tracker().table().changes(),
             life: self.rollouts.borrow().incarnation(),
-            rollouts: self.rollout_notes(),
+            rollouts: self.rollout_reports(),
             quarantine_changes,
             crashes,
         };
@@ -145,7 +145,7 @@
         let view = self.view.borrow();
         let leader = own_view.map(|id| id.0).or(view.leader).filter(|id| *id != self.id);
         if let Some(leader) = leader {
-            if view.heard_ms + LEADER_TIMEOUT_MS > now_ms {
+            if view.last_contact_ms + LEADER_TIMEOUT_MS > now_ms {
                 return vec![leader];
             }
         }
@@ -193,7 +193,7 @@
     }
 
     /// Takes datagrams, for ever.
-    pub async fn take_datagrams(self: Rc<Self>) {
+    pub async fn receive_datagrams(self: Rc<Self>) {
         let mut buffer = vec![0; DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.datagrams.recv_from(&mut buffer).await {
@@ -207,26 +207,26 @@
             match decode::<VmDatagram>(&buffer[..length]) {
                 Ok(datagram) => {
                     self.wire.received(datagram.kind(), length as u64 + DATAGRAM_HEAD_BYTES);
-                    self.take_datagram(VmId::from(*from.ip()), datagram);
+                    self.handle_datagram(VmId::from(*from.ip()), datagram);
                 }
                 Err(error) => debug!(target: "contact", %from, "no datagram of ours: {error}"),
             }
         }
     }
 
-    fn take_datagram(&self, from: VmId, datagram: VmDatagram) {
+    fn handle_datagram(&self, from: VmId, datagram: VmDatagram) {
         match datagram {
             VmDatagram::Renew(note) => self.answer_renewal(from, note),
-            VmDatagram::Grant(grant) => self.take_grant(from, grant),
-            VmDatagram::Leads { term } => self.take_leadership(from, term),
+            VmDatagram::Grant(grant) => self.apply_grant(from, grant),
+            VmDatagram::Leads { term } => self.note_leader(from, term),
             VmDatagram::Dark { term, upstreams } => {
                 if term >= self.view.borrow().term {
-                    self.take_dark(upstreams);
+                    self.apply_unresponsive(upstreams);
                 }
             }
             VmDatagram::Rollouts { term, table } => {
                 if term >= self.view.borrow().term {
-                    self.take_rollouts(table);
+                    self.apply_rollouts(table);
                 }
             }
             VmDatagram::Quarantine { term, table } => {
@@ -234,13 +234,13 @@
                     self.apply_quarantine(table);
                 }
             }
-            VmDatagram::AskNews(ask) => self.answer_ask(from, ask),
-            VmDatagram::PeerNews(note) => self.take_peer_news(from, note),
+            VmDatagram::AskNews(ask) => self.answer_update_request(from, ask),
+            VmDatagram::PeerNews(note) => self.apply_peer_update(from, note),
             VmDatagram::Elsewhere { leader, keepers, vms } => {
                 let now_ms = self.now_ms();
                 let mut view = self.view.borrow_mut();
                 view.vms = view.vms.max(vms as usize);
-                if view.heard_ms + LEADER_TIMEOUT_MS > now_ms {
+                if view.last_contact_ms + LEADER_TIMEOUT_MS > now_ms {
                     return;
                 }
                 if view.keepers.is_empty() {
--- a/lib/src/transport/vm_control.rs
+++ b/lib/src/transport/vm_control.rs
@@ -101,11 +101,11 @@
         }
         let (sender, receiver) = oneshot::channel();
         let number = self.draw() ^ now_ms;
-        self.asked_puts.borrow_mut().insert(number, sender);
+        self.pending_puts.borrow_mut().insert(number, sender);
         let message = VmMessage::Put { number, document: document.clone(), version };
         self.links.send(leader, &message);
         let answer = tokio::time::timeout(ANSWER_TIME / 2, receiver).await;
-        self.asked_puts.borrow_mut().remove(&number);
+        self.pending_puts.borrow_mut().remove(&number);
         matches!(answer, Ok(Ok(true)))
     }
 }
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -90,7 +90,7 @@
             return;
         }
         self.outliers.borrow_mut().note_gone(seen.upstream);
-        self.figures.borrow_mut().ended_under += 1;
+        self.counters.borrow_mut().ended_under += 1;
         self.report_crash(seen);
         info!(
             target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -52,7 +52,7 @@
         Ok(caller) => caller,
         Err(fault) => {
             let text = format!("not a proper request: {fault:?}");
-            node.figures.borrow_mut().note_end(RequestEnd::Denied);
+            node.counters.borrow_mut().note_end(RequestEnd::Denied);
             return close_after(own_answer(StatusCode::BAD_REQUEST, text));
         }
     };
@@ -215,7 +215,7 @@
                 continue;
             };
             if count.sent > 0 {
-                self.node.figures.borrow_mut().repeats += 1;
+                self.node.counters.borrow_mut().repeats += 1;
             }
             self.record.note(RunKnowledge::Unknown);
             let outcome = match self.send(&target, deadline_ms).await {
@@ -320,7 +320,7 @@
     }
 
     fn note_end(&self, end: RequestEnd) {
-        self.node.figures.borrow_mut().note_end(end);
+        self.node.counters.borrow_mut().note_end(end);
     }
 
     fn deny(&self, denial: &Denial) -> Response<AnswerBody> {
--- a/lib/src/transport/vm_front.rs
+++ b/lib/src/transport/vm_front.rs
@@ -123,7 +123,7 @@
     /// Serves the VM's metrics at `port` and `path`. If that fails it is logged, and the VM runs without.
     pub fn start_metrics(self: &Rc<Self>, port: u16, path: String) {
         let address = SocketAddr::from((self.settings.borrow().ip, port));
-        *self.figures_path.borrow_mut() = path;
+        *self.metrics_path.borrow_mut() = path;
         if let Err(error) = serve_listener(self, address, super::vm_metrics::serve_metrics) {
             warn!(target: "front", %address, "cannot serve metrics: {error}");
         }
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -22,7 +22,7 @@
 
 /// What a leader sends of the roster: nothing to a VM that knows one, until it has led long
 /// enough to have heard every VM.
-fn roster_news(keeper: &KeeperDriver, have: RosterRevision, now_ms: u64) -> RosterUpdate {
+fn roster_update(keeper: &KeeperDriver, have: RosterRevision, now_ms: u64) -> RosterUpdate {
     match keeper.led_ms(now_ms) >= SETTLE_MS || have.term == 0 {
         true => keeper.roster.news(keeper.term(), have),
         false => RosterUpdate::default(),
@@ -32,14 +32,14 @@
 impl VmNode {
     pub(super) fn answer_renewal(&self, from: VmId, note: RenewalNote) {
         let now_ms = self.now_ms();
-        self.hear_of_list(from, note.list, now_ms);
+        self.note_list_held(from, note.list, now_ms);
         let answer = match self.keeper.borrow_mut().as_mut() {
-            Some(keeper) if keeper.may_vouch(now_ms) => {
+            Some(keeper) if keeper.is_confirmed_leader(now_ms) => {
                 keeper.roster.note(note.row, note.keeper, note.loads.clone(), now_ms);
                 VmDatagram::Grant(self.grant(keeper, from, note, now_ms))
             }
-            Some(keeper) => self.point_as_keeper(keeper, from),
-            None => self.point_elsewhere(now_ms),
+            Some(keeper) => self.redirect_as_keeper(keeper, from),
+            None => self.redirect(now_ms),
         };
         self.send_datagram(from, &answer);
     }
@@ -56,8 +56,8 @@
         let (holders, holders_heard) =
             self.exchange_holders(term, &note.holders, note.holders_heard, now_ms);
         let failing = self.take_health_reports(term, &note.health_reports, now_ms);
-        self.take_doubts(term, from, &note.doubts);
-        self.take_rollout_notes(term, from, note.life, note.rollouts);
+        self.record_suspicions(term, from, &note.doubts);
+        self.record_rollout_reports(term, from, note.life, note.rollouts);
         self.receive_crashes(term, &note.crashes, &record.quarantine, now_ms);
         let upstreams = self.upstreams.borrow();
         GrantNote {
@@ -67,7 +67,7 @@
             list: upstreams.revision,
             list_age_ms: sent_age_ms(upstreams.confirmed_ms, now_ms),
             keepers: keeper.members().iter().map(|id| id.0).collect(),
-            roster: roster_news(keeper, note.roster, now_ms),
+            roster: roster_update(keeper, note.roster, now_ms),
             loads: self.shared_loads.borrow_mut().update(
                 || keeper.roster.loads(),
                 loads_shared_ms(keeper.roster.len()),
@@ -79,7 +79,7 @@
             holders_heard,
             failing,
             zones: record.zones.news(note.zone_orders),
-            dark: self.dark_news(note.dark),
+            dark: self.unresponsive_update(note.dark),
             rollouts: record.rollouts.news(note.rollout_changes),
             quarantine: record.quarantine.news(note.quarantine_changes),
             crashes_heard: note.crashes.last(),
@@ -87,7 +87,7 @@
     }
 
     /// What a keeper answers that doesn't surely lead; it remembers who asked.
-    fn point_as_keeper(&self, keeper: &KeeperDriver, from: VmId) -> VmDatagram {
+    fn redirect_as_keeper(&self, keeper: &KeeperDriver, from: VmId) -> VmDatagram {
         let mut seekers = self.seekers.borrow_mut();
         seekers.insert(from);
         VmDatagram::Elsewhere {
@@ -98,9 +98,9 @@
     }
 
     /// What a VM without a keeper answers.
-    fn point_elsewhere(&self, now_ms: u64) -> VmDatagram {
+    fn redirect(&self, now_ms: u64) -> VmDatagram {
         let view = self.view.borrow();
-        let fresh = view.heard_ms + LEADER_TIMEOUT_MS > now_ms;
+        let fresh = view.last_contact_ms + LEADER_TIMEOUT_MS > now_ms;
         VmDatagram::Elsewhere {
             leader: view.leader.filter(|_| fresh),
             keepers: view.keepers.clone(),
@@ -110,10 +110,10 @@
 
     /// A VM holds this state of the list; a leader that holds a lower one takes it over, so that its
     /// own next one is above it.
-    fn hear_of_list(&self, from: VmId, mark: ListRevision, now_ms: u64) {
+    fn note_list_held(&self, from: VmId, mark: ListRevision, now_ms: u64) {
         self.upstreams.borrow_mut().note_revision(mark);
         if self.leads(now_ms) && mark > self.upstreams.borrow().revision {
-            self.want_list(from, now_ms);
+            self.request_list(from, now_ms);
         }
     }
 
@@ -149,17 +149,22 @@
         heard: HolderPosition,
         now_ms: u64,
     ) -> (Vec<HolderNote>, HolderPosition) {
-        let mut desk = self.holders.borrow_mut();
-        let fresh = desk.ring.take(term, notes);
+        let mut holders = self.holders.borrow_mut();
+        let fresh = holders.log.take(term, notes);
         self.learn_holders(&fresh, now_ms);
-        desk.ring.notes_after(heard)
+        holders.log.notes_after(heard)
     }
 
     /// Takes the orders that a leader sends with a grant to a renewal sent at `sent_ms`, those of a kind
     /// only where they are others than this VM knew of; so what it knows is all there was then.
-    fn take_orders(&self, zones: Option<ZoneOrders>, rollouts: Option<RolloutTable>, sent_ms: u64) {
-        zones.into_iter().for_each(|orders| self.take_zones(orders));
-        rollouts.into_iter().for_each(|table| self.take_rollouts(table));
+    fn apply_orders(
+        &self,
+        zones: Option<ZoneOrders>,
+        rollouts: Option<RolloutTable>,
+        sent_ms: u64,
+    ) {
+        zones.into_iter().for_each(|orders| self.apply_zone_orders(orders));
+        rollouts.into_iter().for_each(|table| self.apply_rollouts(table));
         self.rollouts.borrow_mut().tracker_mut().prove(sent_ms);
     }
 
@@ -170,42 +175,42 @@
         }
     }
 
-    pub(super) fn take_grant(&self, from: VmId, mut grant: GrantNote) {
+    pub(super) fn apply_grant(&self, from: VmId, mut grant: GrantNote) {
         let now_ms = self.now_ms();
         self.learn_holders(&grant.holders, now_ms);
-        self.holders.borrow_mut().heard = grant.holders_heard;
-        self.take_list_age(grant.list, grant.sent_ms, grant.list_age_ms);
+        self.holders.borrow_mut().received = grant.holders_heard;
+        self.note_list_age(grant.list, grant.sent_ms, grant.list_age_ms);
         match grant.dark.take() {
-            Some(dark) => self.take_dark(dark),
+            Some(dark) => self.apply_unresponsive(dark),
             None => self.silence.borrow_mut().view.confirm(now_ms),
         }
-        self.take_orders(grant.zones.take(), grant.rollouts.take(), grant.sent_ms);
+        self.apply_orders(grant.zones.take(), grant.rollouts.take(), grant.sent_ms);
         grant.quarantine.take().into_iter().for_each(|table| self.apply_quarantine(table));
         self.quarantine.borrow_mut().confirm(grant.term, grant.crashes_heard);
         let (sent_ms, version, list) = (grant.sent_ms, grant.version, grant.list);
-        self.take_view(from, grant, now_ms);
+        self.update_view(from, grant, now_ms);
         self.contact.borrow_mut().note_grant(sent_ms, version);
         self.contact_changed.notify_waiters();
         self.renew_if_changed();
         if self.contact.borrow_mut().should_request_document(version, now_ms) {
-            self.ask_document(from);
+            self.request_document(from);
         }
         if list > self.upstreams.borrow().revision {
-            self.want_list(from, now_ms);
+            self.request_list(from, now_ms);
         }
-        self.answer_askers();
+        self.answer_waiting();
     }
 
     /// Takes what a grant reports of the other VMs.
-    fn take_view(&self, from: VmId, grant: GrantNote, now_ms: u64) {
+    fn update_view(&self, from: VmId, grant: GrantNote, now_ms: u64) {
         let mut view = self.view.borrow_mut();
         if view.leader != Some(from) {
             info!(target: "contact", leader = %vm_address(from), term = grant.term, "renewed");
         }
         view.leader = Some(from);
         view.term = view.term.max(grant.term);
-        view.heard_ms = now_ms;
-        view.first_heard_ms.get_or_insert(now_ms);
+        view.last_contact_ms = now_ms;
+        view.first_contact_ms.get_or_insert(now_ms);
         if !grant.keepers.is_empty() {
             view.keepers = grant.keepers;
         }
@@ -232,18 +237,18 @@
     /// Asks for the newest document at a keeper, since each holds what is committed: after a
     /// common restart all VMs ask, and 70 large documents are seconds of one leader's link, in
     /// which it can neither read the list nor be heard. One that lags is asked again elsewhere.
-    pub(super) fn ask_document(&self, leader: VmId) {
+    pub(super) fn request_document(&self, leader: VmId) {
         let attempt = {
             let mut view = self.view.borrow_mut();
             view.document_attempts = view.document_attempts.saturating_add(1);
             view.document_attempts - 1
         };
-        let source = self.news_source(attempt).unwrap_or(leader);
+        let source = self.update_source(attempt).unwrap_or(leader);
         self.links.send(source, &VmMessage::WantDocument);
     }
 
     /// A keeper that has the whole list and configuration; see [`choose_source`].
-    pub(super) fn news_source(&self, attempt: u32) -> Option<VmId> {
+    pub(super) fn update_source(&self, attempt: u32) -> Option<VmId> {
         let view = self.view.borrow();
         let asker = UpdateRequester { id: self.id, zone: self.zone };
         choose_source(&view.keepers, &view.roster.rows, asker, attempt, self.draw())
@@ -254,36 +259,37 @@
         let row = self.own_row();
         let loads = self.own_loads();
         let mut keeper = self.keeper.borrow_mut();
-        let Some(keeper) = keeper.as_mut().filter(|keeper| keeper.may_vouch(now_ms)) else {
+        let Some(keeper) = keeper.as_mut().filter(|keeper| keeper.is_confirmed_leader(now_ms))
+        else {
             return false;
         };
         keeper.roster.note(row, Some(keeper.incarnation), loads.clone(), now_ms);
         {
-            let mut desk = self.holders.borrow_mut();
-            let own = desk.outbox.take();
-            desk.ring.take(keeper.term(), &own);
+            let mut holders = self.holders.borrow_mut();
+            let own = holders.outbox.take();
+            holders.log.take(keeper.term(), &own);
         }
         let own_reports = self.health.borrow_mut().outbox.take();
         let failing = self.take_health_reports(keeper.term(), &own_reports, now_ms);
         let doubts = self.silence.borrow_mut().view.take_suspicions();
-        self.take_doubts(keeper.term(), self.id, &doubts);
-        let (life, notes) = (self.rollouts.borrow().incarnation(), self.rollout_notes());
-        self.take_rollout_notes(keeper.term(), self.id, life, notes);
+        self.record_suspicions(keeper.term(), self.id, &doubts);
+        let (life, notes) = (self.rollouts.borrow().incarnation(), self.rollout_reports());
+        self.record_rollout_reports(keeper.term(), self.id, life, notes);
         self.receive_own_crashes(keeper.term(), &keeper.record.quarantine, now_ms);
         let mut view = self.view.borrow_mut();
         view.failing = failing;
         view.leader = Some(self.id);
         view.term = keeper.term();
-        view.heard_ms = now_ms;
-        view.first_heard_ms.get_or_insert(now_ms);
+        view.last_contact_ms = now_ms;
+        view.first_contact_ms.get_or_insert(now_ms);
         view.keepers = keeper.members().iter().map(|id| id.0).collect();
-        let news = roster_news(keeper, view.roster.mark, now_ms);
+        let news = roster_update(keeper, view.roster.mark, now_ms);
         view.roster.take(news);
         view.vms = view.roster.rows.len();
         view.reports.note(&keeper.roster.loads(), &loads);
         let zones = keeper.record.zones.news(self.zones.borrow().watch.orders.taken());
         let known = self.rollouts.borrow().tracker().table().changes();
-        self.take_orders(zones, keeper.record.rollouts.news(known), now_ms);
+        self.apply_orders(zones, keeper.record.rollouts.news(known), now_ms);
         self.contact.borrow_mut().note_grant(now_ms, keeper.record.document.version);
         self.contact_changed.notify_waiters();
         true
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -163,7 +163,7 @@
     }
 
     /// Whether this keeper surely leads and has applied all that is committed.
-    pub fn may_vouch(&self, now_ms: u64) -> bool {
+    pub fn is_confirmed_leader(&self, now_ms: u64) -> bool {
         self.durable.core.has_lease(now_ms) && self.durable.core.has_applied_all()
     }
 
@@ -190,8 +190,8 @@
             return outcome;
         }
         self.step(now_ms, &mut outcome, |core, output| core.tick(now_ms, output));
-        if self.may_vouch(now_ms) {
-            self.lead_on(now_ms, &mut outcome);
+        if self.is_confirmed_leader(now_ms) {
+            self.plan_membership(now_ms, &mut outcome);
         }
         self.compact(now_ms);
         outcome
@@ -297,7 +297,7 @@
         outcome
     }
 
-    fn lead_on(&mut self, now_ms: u64, outcome: &mut KeeperOutcome) {
+    fn plan_membership(&mut self, now_ms: u64, outcome: &mut KeeperOutcome) {
         self.roster.expire(now_ms);
         let known = self.roster.keepers();
         let change =
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -82,7 +82,7 @@
 
 impl VmNode {
     /// Reads the list when that is up to this VM, and requests it from others when none sends it, for ever.
-    pub async fn keep_list(self: Rc<Self>) {
+    pub async fn run_list_reader(self: Rc<Self>) {
         let mut reader = ReaderState::default();
         let mut swept_ms = 0;
         loop {
@@ -92,11 +92,11 @@
                 self.sweep();
                 self.keep_on_disk();
             }
-            let vouches = |keeper: &KeeperDriver| keeper.may_vouch(now_ms);
+            let vouches = |keeper: &KeeperDriver| keeper.is_confirmed_leader(now_ms);
             let term = self.keeper.borrow().as_ref().filter(|k| vouches(k)).map(|k| k.term());
             let action = self.action(term.is_some(), now_ms);
             if action != ListAction::Rest || self.is_unconfirmed(now_ms) {
-                self.ask_news(now_ms);
+                self.request_updates(now_ms);
             }
             let alone = term.is_none() && action == ListAction::Read;
             if alone && !reader.alone {
@@ -120,13 +120,13 @@
     async fn read_when_due(&self, reader: &mut ReaderState) {
         let began_ms = self.now_ms();
         let reading = self.read_list(reader.alone, reader.refusals).await;
-        match reading.and_then(|reading| self.settle_reading(&reading)) {
+        match reading.and_then(|reading| self.resolve_reading(&reading)) {
             Ok(rows) => {
                 (reader.fails, reader.refusals) = (0, 0);
-                self.take_reading(rows, reader.alone, began_ms);
+                self.apply_reading(rows, reader.alone, began_ms);
                 self.note_replaced();
                 self.contact_changed.notify_waiters();
-                self.answer_askers();
+                self.answer_waiting();
                 self.set_list_due(self.leader_pause_ms(began_ms) + self.draw() % 50);
             }
             Err(ListFault::TooMany) if reader.alone => {
@@ -159,7 +159,7 @@
     /// What to do about the list. A leader reads by its own pace; it asks too when its list is old,
     /// since others may come through where it doesn't.
     fn action(&self, leads: bool, now_ms: u64) -> ListAction {
-        let first_heard_ms = self.view.borrow().first_heard_ms;
+        let first_heard_ms = self.view.borrow().first_contact_ms;
         let standing = {
             let upstreams = self.upstreams.borrow();
             ListStatus {
@@ -187,7 +187,7 @@
     }
 
     /// What a reading shows, in view of what was known; says what of it can't be read.
-    fn settle_reading(&self, reading: &ListReading) -> Result<Vec<UpstreamEntry>, ListFault> {
+    fn resolve_reading(&self, reading: &ListReading) -> Result<Vec<UpstreamEntry>, ListFault> {
         self.note_unread(reading);
         let settled = reading.resolve(&self.upstreams.borrow());
         let nothing = || ListFault::Other("none of its entries can be read".to_string());
@@ -206,7 +206,7 @@
         };
         let unread = reading.unread.iter().map(|entry| &entry.finding);
         let found = texts(&mut unread.chain(&reading.findings));
-        let mut desk = self.list_desk.borrow_mut();
+        let mut desk = self.list_state.borrow_mut();
         desk.unread = reading.unread.len() + reading.findings.len();
         let (all, odd) = (reading.unread.len(), reading.findings.len());
         let fresh = || found.iter().filter(|text| !desk.found.contains(*text));
@@ -247,10 +247,10 @@
         UpstreamKey(0)
     }
 
-    fn take_reading(&self, mut rows: Vec<UpstreamEntry>, alone: bool, began_ms: u64) {
+    fn apply_reading(&self, mut rows: Vec<UpstreamEntry>, alone: bool, began_ms: u64) {
         let now_ms = self.now_ms();
         let led = match &*self.keeper.borrow() {
-            Some(keeper) if keeper.may_vouch(now_ms) => {
+            Some(keeper) if keeper.is_confirmed_leader(now_ms) => {
                 Some((keeper.term(), keeper.record.seats.clone(), keeper.roster.loads()))
             }
             _ => None,
@@ -258,7 +258,7 @@
         let Some((term, seats, loads)) = led else {
             // Read as a leader, and no longer one that may vouch: the next leader reads anew.
             if alone {
-                self.take_reading_alone(rows, began_ms);
+                self.apply_leaderless_reading(rows, began_ms);
             }
             return;
         };
@@ -269,7 +269,9 @@
         // would leave their part of the work to the rest.
         let patient = match self.zones.borrow().watch.any_emptied() {
             true => BTreeSet::new(),
-            false => waiting_services(&self.upstreams.borrow(), &loads, |name| self.places(name)),
+            false => {
+                waiting_services(&self.upstreams.borrow(), &loads, |name| self.engine_slots(name))
+            }
         };
         // Engines of a version that is rolled out replace none yet, and need seats before all traffic
         // comes: without seats all prompts would go to the first of them.
@@ -300,14 +302,14 @@
     }
 
     /// How many requests one engine of a service runs at once; none for other services.
-    pub(super) fn places(&self, service: &str) -> Option<u32> {
+    pub(super) fn engine_slots(&self, service: &str) -> Option<u32> {
         let routes = self.routes.borrow().clone()?;
         let entry = routes.table.services.iter().find(|entry| entry.name == service)?;
         entry.engine.as_ref().map(|engine| engine.slots)
     }
 
     /// A VM that doesn't lead keeps the seats that it received.
-    fn take_reading_alone(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
+    fn apply_leaderless_reading(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
         let mut upstreams = self.upstreams.borrow_mut();
         let mut seats = RingSlotTable::default();
         if upstreams.is_held() {
--- a/lib/src/transport/vm_list_desk.rs
+++ b/lib/src/transport/vm_list_desk.rs
@@ -10,7 +10,7 @@
 
 /// Who waits for the list or for news of it, and what was done for that.
 #[derive(Default)]
-pub struct ListDesk {
+pub struct ListState {
     /// Who wants a newer state than this VM holds, and what they hold.
     pub(super) wanting: BTreeMap<VmId, ListRevision>,
     /// Questions that could not be answered yet, and when they came.
@@ -28,7 +28,7 @@
     pub(super) keeping: bool,
 }
 
-impl ListDesk {
+impl ListState {
     /// The disk has what it was given, or can't take it.
     pub fn note_kept(&mut self) {
         self.keeping = false;
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -66,9 +66,9 @@
     }
 
     /// Asks a few others what they know, unless it just did.
-    pub(super) fn ask_news(&self, now_ms: u64) {
+    pub(super) fn request_updates(&self, now_ms: u64) {
         let (round, due) = {
-            let mut desk = self.list_desk.borrow_mut();
+            let mut desk = self.list_state.borrow_mut();
             let due = desk.asked_ms + LIST_REQUEST_MS <= now_ms;
             if due {
                 let in_a_row = desk.asked_ms + 3 * LIST_REQUEST_MS > now_ms;
@@ -98,10 +98,10 @@
     }
 
     /// Answers a question at once if this VM knows more, or remembers it.
-    pub(super) fn answer_ask(&self, from: VmId, ask: NewsAsk) {
+    pub(super) fn answer_update_request(&self, from: VmId, ask: NewsAsk) {
         let now_ms = self.now_ms();
         if !self.answer_if_known(from, ask, now_ms) {
-            self.list_desk.borrow_mut().asking.insert(from, (ask, now_ms));
+            self.list_state.borrow_mut().asking.insert(from, (ask, now_ms));
         }
     }
 
@@ -127,26 +127,26 @@
     }
 
     /// Takes what another VM knows.
-    pub(super) fn take_peer_news(&self, from: VmId, note: PeerNote) {
+    pub(super) fn apply_peer_update(&self, from: VmId, note: PeerNote) {
         let now_ms = self.now_ms();
-        self.take_list_age(note.list, note.sent_ms, note.list_age_ms);
+        self.note_list_age(note.list, note.sent_ms, note.list_age_ms);
         if note.version > 0 && note.version_age_ms < u32::MAX {
             let sent_ms = note.sent_ms.saturating_sub(u64::from(note.version_age_ms));
             self.contact.borrow_mut().note_grant(sent_ms, note.version);
             if self.contact.borrow_mut().should_request_document(note.version, now_ms) {
-                self.ask_document(from);
+                self.request_document(from);
             }
         }
         if note.list > self.upstreams.borrow().revision {
-            self.want_list(from, now_ms);
+            self.request_list(from, now_ms);
         }
         self.contact_changed.notify_waiters();
-        self.answer_askers();
+        self.answer_waiting();
     }
 
     /// Another VM answered a question of `sent_ms` that it held the state `mark` then, and how long
     /// before that was surely the platform's.
-    pub(super) fn take_list_age(&self, mark: ListRevision, sent_ms: u64, age_ms: u32) {
+    pub(super) fn note_list_age(&self, mark: ListRevision, sent_ms: u64, age_ms: u32) {
         let mut upstreams = self.upstreams.borrow_mut();
         upstreams.note_revision(mark);
         if age_ms < u32::MAX {
@@ -157,7 +157,7 @@
     /// Asks for a newer state of the list, unless that was done a moment ago or a large answer is on
     /// its way. A keeper of the own zone is asked first, since many ask at once; `holder` has it surely, and
     /// is asked by a leader, which no other VM can give anything newer.
-    pub(super) fn want_list(&self, holder: VmId, now_ms: u64) {
+    pub(super) fn request_list(&self, holder: VmId, now_ms: u64) {
         let have = self.upstreams.borrow().revision;
         let held = self.upstreams.borrow().is_held();
         let again_ms = match (self.links.is_receiving_large(), held) {
@@ -167,32 +167,32 @@
         };
         let attempt = {
             let mut view = self.view.borrow_mut();
-            if view.wanted_ms + again_ms > now_ms {
+            if view.list_requested_ms + again_ms > now_ms {
                 return;
             }
-            view.wanted_ms = now_ms;
+            view.list_requested_ms = now_ms;
             view.list_attempts = view.list_attempts.saturating_add(1);
             view.list_attempts - 1
         };
         let source = match requests_from_holder(self.leads(now_ms), held, attempt) {
             true => holder,
-            false => self.news_source(attempt).unwrap_or(holder),
+            false => self.update_source(attempt).unwrap_or(holder),
         };
         self.links.send(source, &VmMessage::WantList { have });
     }
 
     /// Answers a VM that wants a newer state than it holds, now or once there is one.
-    pub(super) fn give_list(&self, to: VmId, have: ListRevision) {
+    pub(super) fn answer_list_request(&self, to: VmId, have: ListRevision) {
         let upstreams = self.upstreams.borrow();
         if upstreams.revision <= have {
-            self.list_desk.borrow_mut().wanting.insert(to, have);
+            self.list_state.borrow_mut().wanting.insert(to, have);
             return;
         }
         match upstreams.delta_since(have) {
             Some(step) => {
                 let marks = (step.from, step.to);
                 let make = || VmMessage::ListDelta(step);
-                self.links.send_shared(to, "list_step", marks, &self.step_frame, make);
+                self.links.send_shared(to, "list_step", marks, &self.delta_frame, make);
             }
             None => {
                 self.links.send_shared(to, "list", upstreams.revision, &self.list_frame, || {
@@ -203,21 +203,21 @@
     }
 
     /// Answers those who wait with what is known by now.
-    pub(super) fn answer_askers(&self) {
+    pub(super) fn answer_waiting(&self) {
         let now_ms = self.now_ms();
         let (wanting, asking) = {
-            let mut desk = self.list_desk.borrow_mut();
+            let mut desk = self.list_state.borrow_mut();
             if desk.wanting.is_empty() && desk.asking.is_empty() {
                 return;
             }
             (std::mem::take(&mut desk.wanting), std::mem::take(&mut desk.asking))
         };
-        wanting.into_iter().for_each(|(to, have)| self.give_list(to, have));
+        wanting.into_iter().for_each(|(to, have)| self.answer_list_request(to, have));
         let unanswered = asking.into_iter().filter(|(to, (ask, came_ms))| {
             came_ms + ASK_KEEP_MS > now_ms && !self.answer_if_known(*to, *ask, *came_ms)
         });
         let unanswered: Vec<_> = unanswered.collect();
-        self.list_desk.borrow_mut().asking.extend(unanswered);
+        self.list_state.borrow_mut().asking.extend(unanswered);
     }
 
     /// Sends the others a list that changed, or a new leader's first. What is large goes to the
@@ -241,7 +241,7 @@
     }
 
     /// Takes a step that another VM sent; asks that VM if it doesn't fit what is here.
-    pub(super) fn take_list_step(&self, from: VmId, step: ListDelta) {
+    pub(super) fn apply_list_delta(&self, from: VmId, step: ListDelta) {
         let have = self.upstreams.borrow().revision;
         if step.to <= have {
             return;
@@ -254,7 +254,7 @@
     }
 
     /// Takes a whole list that another VM sent, or that was kept on disk.
-    pub(super) fn take_list(&self, mark: ListRevision, rows: Vec<UpstreamEntry>) {
+    pub(super) fn apply_list(&self, mark: ListRevision, rows: Vec<UpstreamEntry>) {
         if self.upstreams.borrow_mut().take_whole(mark, rows, self.now_ms()) {
             self.note_received();
         }
@@ -263,20 +263,20 @@
     /// Another VM's state was taken: that one knows what of it could not be read.
     fn note_received(&self) {
         {
-            let mut desk = self.list_desk.borrow_mut();
+            let mut desk = self.list_state.borrow_mut();
             desk.unread = 0;
             desk.found.clear();
         }
         self.view.borrow_mut().list_attempts = 0;
         self.upstreams.borrow_mut().last_replaced.clear();
         self.contact_changed.notify_waiters();
-        self.answer_askers();
+        self.answer_waiting();
     }
 
     /// Has the disk keep the list, if it is another than before and the disk is free.
     pub(super) fn keep_on_disk(&self) {
         let upstreams = self.upstreams.borrow();
-        let mut desk = self.list_desk.borrow_mut();
+        let mut desk = self.list_state.borrow_mut();
         if desk.keeping || !upstreams.is_held() || desk.kept == upstreams.revision {
             return;
         }
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -84,7 +84,7 @@
 
 /// Answers a request for the metrics.
 pub async fn serve_metrics(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let path = node.figures_path.borrow().clone();
+    let path = node.metrics_path.borrow().clone();
     if request.uri().path() != path {
         return own_answer(StatusCode::NOT_FOUND, "");
     }
@@ -108,7 +108,7 @@
 
     /// Writes the samples of one metric.
     fn write_metric(&self, text: &mut String, name: &str) {
-        let figures = self.figures.borrow();
+        let figures = self.counters.borrow();
         match name {
             "wingshed_requests_total" => write_ends(text, &figures),
             "wingshed_body_ends_total" => write_body_ends(text, &figures),
@@ -161,11 +161,13 @@
                 let zones = self.zones.borrow();
                 zones.watch.orders.rows().iter().filter(|row| row.emptied).count() as u64
             }
-            "wingshed_leader_silent_ms" => now_ms.saturating_sub(self.view.borrow().heard_ms),
+            "wingshed_leader_silent_ms" => {
+                now_ms.saturating_sub(self.view.borrow().last_contact_ms)
+            }
             "wingshed_roster" => self.view.borrow().roster.rows.len() as u64,
             "wingshed_upstreams" => upstreams.entries.len() as u64,
             "wingshed_upstreams_replaced_total" => upstreams.replaced,
-            "wingshed_list_unread" => self.list_desk.borrow().unread as u64,
+            "wingshed_list_unread" => self.list_state.borrow().unread as u64,
             "wingshed_upstreams_aside" => {
                 let outliers = self.outliers.borrow();
                 let keys = upstreams.entries.keys();
@@ -189,7 +191,7 @@
         name: &str,
         value: impl Fn(&ServiceCapacity) -> f64,
     ) {
-        let rooms = self.rooms.borrow();
+        let rooms = self.capacities.borrow();
         let mut rows: Vec<(&String, u64)> =
             rooms.iter().map(|(service, capacity)| (service, value(capacity) as u64)).collect();
         rows.sort_unstable();
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -21,8 +21,8 @@
 use super::vm_disk::{start_disk, DiskReport};
 use super::vm_keeper::{KeeperDriver, KeeperIdentity, KeeperOutcome};
 use super::vm_links::LinkTable;
-use super::vm_list_desk::ListDesk;
-use super::vm_order_desk::OrderDesk;
+use super::vm_list_desk::ListState;
+use super::vm_order_desk::PendingOrders;
 use super::vm_pool::ConnectionPool;
 use super::vm_sockets::listen;
 use super::wire_count::WireCount;
@@ -65,18 +65,18 @@
 
 /// What a VM reports of holders, has heard of them, and sends on while it leads.
 #[derive(Default)]
-pub struct HolderDesk {
+pub struct HolderState {
     /// What it has to report.
     pub outbox: HolderOutbox,
     /// What it has heard.
-    pub heard: HolderPosition,
+    pub received: HolderPosition,
     /// What it received as the leader.
-    pub ring: HolderLog,
+    pub log: HolderLog,
 }
 
 /// How a VM's sends went, and what was reported of all VMs' while it leads.
 #[derive(Default)]
-pub struct HealthDesk {
+pub struct HealthState {
     /// What it has to report.
     pub outbox: HealthOutbox,
     /// What it received as the leader.
@@ -93,9 +93,9 @@
     /// The VMs that the leader heard lately.
     pub roster: RosterCopy,
     /// When a leader answered for the first time.
-    pub first_heard_ms: Option<u64>,
+    pub first_contact_ms: Option<u64>,
     /// When the leader last answered.
-    pub heard_ms: u64,
+    pub last_contact_ms: u64,
     /// What others have in flight.
     pub reports: LoadReports,
     /// Upstreams that fail all VMs that send to them, by the last grant.
@@ -113,7 +113,7 @@
     /// When the list of upstreams should be read again, by its reader.
     pub list_due_ms: u64,
     /// When the list was last asked for, so that it isn't asked for with each grant.
-    pub wanted_ms: u64,
+    pub list_requested_ms: u64,
     /// How often the list, and the configuration, were asked for in vain.
     pub list_attempts: u32,
     pub document_attempts: u32,
@@ -148,7 +148,7 @@
     /// Requests in flight by upstream.
     pub in_flight: RefCell<HashMap<UpstreamKey, u32>>,
     /// What was learned of the room at each service of engines.
-    pub rooms: RefCell<HashMap<String, ServiceCapacity>>,
+    pub capacities: RefCell<HashMap<String, ServiceCapacity>>,
     /// How long requests are at upstreams of each plain service.
     pub plain_holds: RefCell<HashMap<String, HoldTime>>,
     /// When an engine was last nearly full.
@@ -156,19 +156,19 @@
     /// Passive health checks.
     pub outliers: RefCell<OutlierTable>,
     /// What it has counted.
-    pub figures: RefCell<VmFigures>,
-    /// Where its figures are asked for.
-    pub figures_path: RefCell<String>,
+    pub counters: RefCell<VmFigures>,
+    /// Where its counters are asked for.
+    pub metrics_path: RefCell<String>,
     /// What this VM sent where.
     pub prefixes: RefCell<PrefixMemory>,
     /// Where parts are kept against the order: reported and heard.
-    pub holders: RefCell<HolderDesk>,
+    pub holders: RefCell<HolderState>,
     /// How sends went, here and elsewhere.
-    pub health: RefCell<HealthDesk>,
+    pub health: RefCell<HealthState>,
     /// Zones that are emptied, and cold upstreams.
     pub zones: RefCell<ZoneState>,
     /// Orders of operators that a leader elsewhere was asked to take.
-    pub orders: RefCell<OrderDesk>,
+    pub orders: RefCell<PendingOrders>,
     /// Roll-outs.
     pub rollouts: RefCell<RolloutState>,
     /// Requests that end upstreams.
@@ -188,19 +188,19 @@
     /// The list of upstreams as a frame, when VMs have asked for the whole.
     pub list_frame: RefCell<Option<(ListRevision, Bytes)>>,
     /// The last step that VMs have asked for as a frame, and from which state to which it leads.
-    pub step_frame: RefCell<Option<((ListRevision, ListRevision), Bytes)>>,
+    pub delta_frame: RefCell<Option<((ListRevision, ListRevision), Bytes)>>,
     /// Who asked for the list, or for news of it, in vain.
-    pub list_desk: RefCell<ListDesk>,
+    pub list_state: RefCell<ListState>,
     /// VMs that looked for a leader here while this VM was none, at a keeper.
     pub seekers: RefCell<BTreeSet<VmId>>,
     /// VMs that asked for a document before any was known here.
-    pub document_askers: RefCell<BTreeSet<VmId>>,
+    pub document_requesters: RefCell<BTreeSet<VmId>>,
     /// The document as a frame, likewise.
     pub document_frame: RefCell<Option<(u64, Bytes)>>,
     /// Datagrams to other VMs.
     pub datagrams: UdpSocket,
     /// Puts that a leader elsewhere was asked for.
-    pub asked_puts: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
+    pub pending_puts: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     /// Numbers for those and for random choices.
     pub draws: Cell<u64>,
     /// Requests that are being served.
@@ -242,12 +242,12 @@
             keeper: RefCell::default(),
             pool: ConnectionPool::default(),
             in_flight: RefCell::default(),
-            rooms: RefCell::default(),
+            capacities: RefCell::default(),
             plain_holds: RefCell::default(),
             overloaded_ms: Cell::new(0),
             outliers: RefCell::default(),
-            figures: RefCell::default(),
-            figures_path: RefCell::default(),
+            counters: RefCell::default(),
+            metrics_path: RefCell::default(),
             prefixes: RefCell::default(),
             holders: RefCell::default(),
             health: RefCell::default(),
@@ -262,13 +262,13 @@
             links,
             wire,
             list_frame: RefCell::default(),
-            step_frame: RefCell::default(),
-            list_desk: RefCell::default(),
+            delta_frame: RefCell::default(),
+            list_state: RefCell::default(),
             seekers: RefCell::default(),
-            document_askers: RefCell::default(),
+            document_requesters: RefCell::default(),
             document_frame: RefCell::default(),
             datagrams,
-            asked_puts: RefCell::default(),
+            pending_puts: RefCell::default(),
             draws: Cell::new(seed | 1),
             serving: Cell::new(0),
             reported_ready: Cell::new(false),
@@ -305,7 +305,7 @@
 
     /// Whether this VM surely leads.
     pub(super) fn leads(&self, now_ms: u64) -> bool {
-        self.keeper.borrow().as_ref().is_some_and(|keeper| keeper.may_vouch(now_ms))
+        self.keeper.borrow().as_ref().is_some_and(|keeper| keeper.is_confirmed_leader(now_ms))
     }
 
     /// Whether callers should be sent here.
@@ -389,13 +389,13 @@
         }
         let now_ms = self.now_ms();
         let (held, vouches) = match &*self.keeper.borrow() {
-            Some(keeper) => (keeper.record.document.clone(), keeper.may_vouch(now_ms)),
+            Some(keeper) => (keeper.record.document.clone(), keeper.is_confirmed_leader(now_ms)),
             None => return,
         };
         let before = self.routes.borrow().clone();
         self.apply_packed(held.version, &held.text);
-        for asker in std::mem::take(&mut *self.document_askers.borrow_mut()) {
-            self.give_document(asker);
+        for asker in std::mem::take(&mut *self.document_requesters.borrow_mut()) {
+            self.answer_document_request(asker);
         }
         if vouches {
             self.send_document(before.as_deref(), held);
@@ -427,14 +427,20 @@
 
     /// Takes a document that is encoded against an earlier one; asks for the whole if that isn't
     /// the one in force here.
-    fn take_document_change(&self, from: VmId, before: u64, version: u64, change: &DocumentChange) {
+    fn apply_document_change(
+        &self,
+        from: VmId,
+        before: u64,
+        version: u64,
+        change: &DocumentChange,
+    ) {
         if version <= self.contact.borrow().applied() {
             return;
         }
         let routes = self.routes.borrow().clone().filter(|routes| routes.table.version == before);
         match routes.and_then(|routes| change.apply(&routes.document)) {
             Some(document) => self.apply_document(version, &document),
-            None => self.ask_document(from),
+            None => self.request_document(from),
         }
     }
 
@@ -448,7 +454,7 @@
     }
 
     /// A message came over a link.
-    pub fn take_message(self: &Rc<Self>, from: VmId, message: VmMessage) {
+    pub fn handle_message(self: &Rc<Self>, from: VmId, message: VmMessage) {
         match message {
             VmMessage::Raft(message) => {
                 self.step_keeper(|keeper, now_ms| keeper.receive(message, now_ms));
@@ -462,7 +468,7 @@
                 });
             }
             VmMessage::PutReply { number, committed } => {
-                if let Some(asker) = self.asked_puts.borrow_mut().remove(&number) {
+                if let Some(asker) = self.pending_puts.borrow_mut().remove(&number) {
                     let _ = asker.send(committed);
                 }
             }
@@ -470,26 +476,26 @@
                 spawn_local(self.clone().answer_order(from, question, order));
             }
             VmMessage::OrderReply { question, verdict } => {
-                self.take_order_reply(question, verdict);
+                self.receive_order_reply(question, verdict);
             }
-            VmMessage::WantDocument => self.give_document(from),
+            VmMessage::WantDocument => self.answer_document_request(from),
             VmMessage::Document { version, document } => self.apply_packed(version, &document),
             VmMessage::DocumentChange { before, version, change } => {
-                self.take_document_change(from, before, version, &change);
+                self.apply_document_change(from, before, version, &change);
             }
-            VmMessage::WantList { have } => self.give_list(from, have),
-            VmMessage::ListDelta(step) => self.take_list_step(from, step),
-            VmMessage::List { mark, rows } => self.take_list(mark, rows),
+            VmMessage::WantList { have } => self.answer_list_request(from, have),
+            VmMessage::ListDelta(step) => self.apply_list_delta(from, step),
+            VmMessage::List { mark, rows } => self.apply_list(mark, rows),
         }
     }
 
     /// Gives a VM the newest document. A keeper that has just started may not know yet what is
     /// committed; it answers as soon as it does.
-    fn give_document(&self, to: VmId) {
+    fn answer_document_request(&self, to: VmId) {
         let keeper = self.keeper.borrow();
         let Some(held) = keeper.as_ref().map(|keeper| &keeper.record.document) else { return };
         if held.version == 0 {
-            self.document_askers.borrow_mut().insert(to);
+            self.document_requesters.borrow_mut().insert(to);
             return;
         }
         self.links.send_shared(to, "document", held.version, &self.document_frame, || {
@@ -535,14 +541,14 @@
         let Some(DiskReport::Opened(life, stored, kept)) = reports.recv().await else { return };
         if let Some(kept) = kept {
             info!(target: "list", upstreams = kept.rows.len(), "is used as it was kept on disk");
-            self.take_list(kept.mark, kept.rows);
+            self.apply_list(kept.mark, kept.rows);
         }
-        self.list_desk.borrow_mut().disk = Some(jobs.clone());
+        self.list_state.borrow_mut().disk = Some(jobs.clone());
         let keeper = KeeperDriver::new(identity, life, *stored, jobs, self.now_ms());
         *self.keeper.borrow_mut() = Some(keeper);
         while let Some(report) = reports.recv().await {
             match report {
-                DiskReport::ListKept => self.list_desk.borrow_mut().note_kept(),
+                DiskReport::ListKept => self.list_state.borrow_mut().note_kept(),
                 report => self.step_keeper(|keeper, now_ms| keeper.note_disk(report, now_ms)),
             }
         }
@@ -555,16 +561,16 @@
         let peer = SocketAddr::from((settings.ip, settings.peer_port));
         let listener = listen(peer)?;
         let node = self.clone();
-        let take = Rc::new(move |from, message| node.take_message(from, message));
+        let take = Rc::new(move |from, message| node.handle_message(from, message));
         spawn_local(self.links.clone().accept(listener, take));
-        spawn_local(self.clone().take_datagrams());
+        spawn_local(self.clone().receive_datagrams());
         self.start_keeper()?;
         spawn_local(self.clone().tick_keeper());
         if settings.data_folder.is_some() {
             spawn_local(self.clone().watch_silence());
         }
-        spawn_local(self.clone().keep_contact());
-        spawn_local(self.clone().keep_list());
+        spawn_local(self.clone().run_renewals());
+        spawn_local(self.clone().run_list_reader());
         info!(
             target: "node",
             name = settings.name, zone = settings.zone, first = settings.first_start,
@@ -581,7 +587,7 @@
             tokio::time::sleep(TICK).await;
             self.step_keeper(KeeperDriver::tick);
             self.announce_leadership(self.now_ms());
-            self.lead_rollouts();
+            self.propose_rollout_steps();
             self.propose_quarantine();
         }
     }
--- a/lib/src/transport/vm_notice.rs
+++ b/lib/src/transport/vm_notice.rs
@@ -22,7 +22,7 @@
         match facts.rest_ms {
             Some(rest_ms) => {
                 notices.note_backoff(target.upstream, rest_ms, self.node.clock.next_ms());
-                self.node.figures.borrow_mut().rests_asked += 1;
+                self.node.counters.borrow_mut().rests_asked += 1;
             }
             None if facts.not_run => notices.note_rejected(target.upstream, now_ms),
             None => notices.note_accepted(target.upstream, now_ms),
--- a/lib/src/transport/vm_order_desk.rs
+++ b/lib/src/transport/vm_order_desk.rs
@@ -8,6 +8,6 @@
 
 /// Whom this VM asked for what.
 #[derive(Default)]
-pub struct OrderDesk {
+pub struct PendingOrders {
     pub(super) asked: HashMap<u64, oneshot::Sender<OrderVerdict>>,
 }
--- a/lib/src/transport/vm_orders.rs
+++ b/lib/src/transport/vm_orders.rs
@@ -52,8 +52,8 @@
             Some(leader) => self.order_at(leader, order).await,
         };
         let Some(verdict) = verdict else { return OrderEnd::NotTaken };
-        self.take_zones(verdict.zones);
-        self.take_rollouts(verdict.rollouts);
+        self.apply_zone_orders(verdict.zones);
+        self.apply_rollouts(verdict.rollouts);
         verdict.end
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// The leader answers.
-    pub(super) fn take_order_reply(&self, question: u64, verdict: OrderVerdict) {
+    pub(super) fn receive_order_reply(&self, question: u64, verdict: OrderVerdict) {
         if let Some(asker) = self.orders.borrow_mut().asked.remove(&question) {
             // The operator may have given up by now.
             let _ = asker.send(verdict);
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -74,7 +74,7 @@
     pub(super) fn propose_quarantine(&self) {
         let now_ms = self.now_ms();
         let wanted = match &*self.keeper.borrow() {
-            Some(keeper) if keeper.may_vouch(now_ms) => {
+            Some(keeper) if keeper.is_confirmed_leader(now_ms) => {
                 let recorded = &keeper.record.quarantine;
                 let vms = keeper.roster.rows().len();
                 self.quarantine.borrow_mut().commands_to_propose(
@@ -114,7 +114,7 @@
     pub(super) fn publish_quarantine(&self) {
         let now_ms = self.now_ms();
         let (term, table) = match &*self.keeper.borrow() {
-            Some(keeper) if keeper.may_vouch(now_ms) => {
+            Some(keeper) if keeper.is_confirmed_leader(now_ms) => {
                 (keeper.term(), keeper.record.quarantine.clone())
             }
             _ => return,
--- a/lib/src/transport/vm_reply.rs
+++ b/lib/src/transport/vm_reply.rs
@@ -18,7 +18,7 @@
 use super::vm_guard::FlightGuard;
 use super::vm_place::SendTarget;
 use super::vm_pool::ConnectionLease;
-use super::vm_silence::Waited;
+use super::vm_silence::WaitResult;
 use super::vm_task::CallerTask;
 use crate::coordination::attempt_plan::SendOutcome;
 use crate::coordination::body_tracker::BodyTracker;
@@ -184,20 +184,20 @@
     ) -> SendResult {
         let at = (target.upstream, target.address);
         match self.node.wait_for(at, body.collect(), deadline_ms, false).await {
-            Waited::Done(Ok(body)) => {
+            WaitResult::Done(Ok(body)) => {
                 self.note_ran(target, true);
                 lease.finish(facts.closes, facts.idle_ms, self.node.now_ms()).await;
                 let (body, asks_backoff) =
                     (AnswerContent::Whole(body.to_bytes()), facts.rest_ms.is_some());
                 SendResult::Answer(Box::new(UsableAnswer { head, body, asks_backoff }))
             }
-            Waited::Done(Err(_)) => {
+            WaitResult::Done(Err(_)) => {
                 target.trial.end_inconclusive();
                 self.note_failure(target.upstream, "cut answer");
                 self.check_after_break(target);
                 SendResult::NoAnswer(SendOutcome::Broken)
             }
-            Waited::TimedOut | Waited::Dark => {
+            WaitResult::TimedOut | WaitResult::Unresponsive => {
                 target.trial.end_failure();
                 SendResult::NoAnswer(SendOutcome::TimedOut)
             }
@@ -211,7 +211,7 @@
         let took_ms = self.node.now_ms().saturating_sub(self.arrived_ms);
         let late = rule.goal_ms > 0 && took_ms > rule.goal_ms;
         {
-            let mut figures = self.node.figures.borrow_mut();
+            let mut figures = self.node.counters.borrow_mut();
             figures.note_first_byte(target.send.workspace.as_deref(), took_ms);
             figures.late += u64::from(late);
         }
--- a/lib/src/transport/vm_request_record.rs
+++ b/lib/src/transport/vm_request_record.rs
@@ -56,7 +56,7 @@
     /// Counts and logs that the caller disconnected before the whole answer was handed over.
     pub(super) fn log_left(&self) {
         self.left.set(true);
-        self.node.figures.borrow_mut().left += 1;
+        self.node.counters.borrow_mut().left += 1;
         let ran = self.ran.get().name();
         info!(target: "request", attempt = self.attempt, ran, "its caller left");
     }
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -69,7 +69,8 @@
             return Err(bad(format!("service '{}' is not known", call.service)));
         }
     }
-    let end = node.order_until(arrived_ms, || FleetOrder::Rollout(node.wish_of(&call))).await;
+    let end =
+        node.order_until(arrived_ms, || FleetOrder::Rollout(node.rollout_request(&call))).await;
     info!(
         target: "control", service = call.service, to = call.target,
         duration_ms = call.duration_ms, ?end, "a roll-out is asked for",
@@ -108,7 +109,7 @@
             .is_some_and(|routes| routes.table.services.iter().any(|s| s.name == service))
     }
 
-    fn wish_of(&self, call: &RolloutCall) -> RolloutWish {
+    fn rollout_request(&self, call: &RolloutCall) -> RolloutWish {
         let desk = self.rollouts.borrow();
         RolloutWish {
             service: call.service.clone(),
@@ -136,7 +137,7 @@
                 return Err(OrderEnd::Taken);
             }
             if !row.phase.is_end() {
-                let sure = keeper.may_vouch(now_ms);
+                let sure = keeper.is_confirmed_leader(now_ms);
                 return Err(if sure { OrderEnd::UnderWay } else { OrderEnd::NotTaken });
             }
         }
@@ -180,7 +181,7 @@
     }
 
     /// Takes the roll-outs as a leader sent them.
-    pub(super) fn take_rollouts(&self, table: RolloutTable) {
+    pub(super) fn apply_rollouts(&self, table: RolloutTable) {
         let bound = self.exposure_bound();
         let news = self.rollouts.borrow_mut().take(table, bound);
         for row in news {
@@ -192,7 +193,7 @@
     }
 
     /// What this VM reports to the leader of roll-outs that run.
-    pub(super) fn rollout_notes(&self) -> Vec<RolloutReport> {
+    pub(super) fn rollout_reports(&self) -> Vec<RolloutReport> {
         let desk = self.rollouts.borrow();
         if !desk.tracker().table().any_runs() {
             return Vec::new();
@@ -206,7 +207,7 @@
     }
 
     /// Takes what a VM reports of roll-outs, as the leader of `term`.
-    pub(super) fn take_rollout_notes(
+    pub(super) fn record_rollout_reports(
         &self,
         term: u64,
         vm: VmId,
@@ -270,7 +271,7 @@
         let seen = upstreams.of_service(service).map(|(key, entry)| (entry, seen_ms(key)));
         let may_be_tried = |entry: &UpstreamEntry| {
             let key = entry.key();
-            let reached = !outliers.is_gone(key) && !self.is_dark(key);
+            let reached = !outliers.is_gone(key) && !self.is_unresponsive(key);
             entry.takes_work() && reached && !zones.watch.is_emptied(&entry.zone)
         };
         desk.tracker().rule(service, lane, seen, may_be_tried, self.now_ms())
@@ -287,19 +288,19 @@
     }
 
     /// Looks at the evidence and proposes steps, as the leader; other keepers note what runs.
-    pub(super) fn lead_rollouts(&self) {
+    pub(super) fn propose_rollout_steps(&self) {
         let now_ms = self.now_ms();
         let proposals = {
             let keeper = self.keeper.borrow();
             let Some(keeper) = keeper.as_ref() else { return };
             let rows = keeper.record.rollouts.rows();
             let mut desk = self.rollouts.borrow_mut();
-            if !desk.look(rows, now_ms) || !keeper.may_vouch(now_ms) {
+            if !desk.look(rows, now_ms) || !keeper.is_confirmed_leader(now_ms) {
                 return;
             }
             let vms: BTreeSet<u32> = keeper.roster.rows().iter().map(|row| row.id).collect();
             let led_ms = keeper.led_ms(now_ms);
-            let standing = |row: &RolloutRow| self.target_standing(keeper, row);
+            let standing = |row: &RolloutRow| self.target_status(keeper, row);
             desk.next_steps(rows, &vms, standing, led_ms, now_ms)
         };
         for proposal in proposals {
@@ -320,14 +321,14 @@
         self.step_keeper(|keeper, now_ms| keeper.order(command, now_ms).1);
     }
 
-    fn target_standing(&self, keeper: &KeeperDriver, row: &RolloutRow) -> TargetStatus {
+    fn target_status(&self, keeper: &KeeperDriver, row: &RolloutRow) -> TargetStatus {
         let (service, target) = (row.order.service.as_str(), row.target());
         let upstreams = self.upstreams.borrow();
         let zones = self.zones.borrow();
         let now_ms = self.now_ms();
         let silence = self.silence.borrow();
         let mut standing = TargetStatus {
-            slots: self.places(service).unwrap_or(0),
+            slots: self.engine_slots(service).unwrap_or(0),
             hold_ms: self.mean_hold_ms(service),
             ..TargetStatus::default()
         };
@@ -351,7 +352,7 @@
     }
 
     fn mean_hold_ms(&self, service: &str) -> f64 {
-        match self.places(service) {
+        match self.engine_slots(service) {
             Some(_) => self.with_service_capacity(service, |room| room.hold_ms()),
             None => self.plain_holds.borrow().get(service).map_or(0.0, |hold| hold.mean_ms()),
         }
@@ -362,12 +363,12 @@
     pub(super) fn send_rollouts(&self) {
         let now_ms = self.now_ms();
         let (term, table) = match &*self.keeper.borrow() {
-            Some(keeper) if keeper.may_vouch(now_ms) => {
+            Some(keeper) if keeper.is_confirmed_leader(now_ms) => {
                 (keeper.term(), keeper.record.rollouts.clone())
             }
             _ => return,
         };
-        self.take_rollouts(table.clone());
+        self.apply_rollouts(table.clone());
         self.send_to_others(&VmDatagram::Rollouts { term, table });
     }
 }
--- a/lib/src/transport/vm_send.rs
+++ b/lib/src/transport/vm_send.rs
@@ -11,7 +11,7 @@
 use super::vm_place::SendTarget;
 use super::vm_pool::ConnectTarget;
 use super::vm_reply::SendResult;
-use super::vm_silence::Waited;
+use super::vm_silence::WaitResult;
 use super::vm_task::CallerTask;
 use crate::coordination::attempt_plan::SendOutcome;
 use crate::coordination::upstream_notice::ApproachPurpose;
@@ -58,10 +58,10 @@
             let sent = lease.sender().try_send_request(request);
             let at = (target.upstream, target.address);
             match self.node.wait_for(at, sent, deadline_ms, may_repeat).await {
-                Waited::Done(Ok(answer)) => {
+                WaitResult::Done(Ok(answer)) => {
                     return self.check_answer(target, answer, lease, guard, deadline_ms).await
                 }
-                Waited::Done(Err(mut error)) => {
+                WaitResult::Done(Err(mut error)) => {
                     if error.take_message().is_some() {
                         continue;
                     }
@@ -70,7 +70,7 @@
                     self.check_after_break(target);
                     return SendResult::NoAnswer(SendOutcome::Broken);
                 }
-                Waited::Dark => {
+                WaitResult::Unresponsive => {
                     target.trial.end_inconclusive();
                     info!(
                         target: "upstream", life = target.send.life,
@@ -78,7 +78,7 @@
                     );
                     return SendResult::NoAnswer(SendOutcome::Broken);
                 }
-                Waited::TimedOut => {
+                WaitResult::TimedOut => {
                     target.trial.end_failure();
                     self.note_failure(target.upstream, "no answer before the deadline");
                     return SendResult::NoAnswer(SendOutcome::TimedOut);
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -56,7 +56,7 @@
         let upstreams = self.node.upstreams.borrow();
         let Some(entry) = upstreams.entries.get(&upstream) else { return };
         let fleet = upstreams.accepting(&entry.service).map(|(key, _)| key);
-        self.node.figures.borrow_mut().signs += 1;
+        self.node.counters.borrow_mut().signs += 1;
         let mut outliers = self.node.outliers.borrow_mut();
         match fault {
             HealthFault::Ended => outliers.note_gone(upstream),
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -30,13 +30,13 @@
 const MOST_SENT_AT_ONCE: usize = 128;
 
 /// What came of waiting for an upstream.
-pub(super) enum Waited<T> {
+pub(super) enum WaitResult<T> {
     /// It said something, or its connection ended.
     Done(T),
     /// The time was over.
     TimedOut,
     /// It is dark.
-    Dark,
+    Unresponsive,
 }
 
 impl VmNode {
@@ -48,23 +48,23 @@
         owed: impl Future<Output = T>,
         deadline_ms: u64,
         may_leave: bool,
-    ) -> Waited<T> {
+    ) -> WaitResult<T> {
         tokio::pin!(owed);
         let mut try_at = Instant::now() + TRY_AFTER;
         loop {
             let changed = self.silence_changed.notified();
             // Anew each time, since the timer stands still while the VM is suspended.
             let left_ms = deadline_ms.saturating_sub(self.now_ms());
-            if may_leave && self.is_dark(upstream) {
-                return Waited::Dark;
+            if may_leave && self.is_unresponsive(upstream) {
+                return WaitResult::Unresponsive;
             }
             tokio::select! {
                 biased;
-                done = owed.as_mut() => return Waited::Done(done),
-                () = sleep(Duration::from_millis(left_ms)) => return Waited::TimedOut,
+                done = owed.as_mut() => return WaitResult::Done(done),
+                () = sleep(Duration::from_millis(left_ms)) => return WaitResult::TimedOut,
                 () = sleep_until(try_at) => {
                     try_at += TRY_AFTER;
-                    self.try_upstream(upstream, address);
+                    self.probe_upstream(upstream, address);
                 }
                 () = changed => {}
             }
@@ -72,7 +72,7 @@
     }
 
     /// Whether an upstream is dark, as far as this VM knows.
-    pub(super) fn is_dark(&self, upstream: UpstreamKey) -> bool {
+    pub(super) fn is_unresponsive(&self, upstream: UpstreamKey) -> bool {
         self.silence.borrow().view.is_unresponsive(upstream, self.now_ms())
     }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    fn try_upstream(self: &Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
+    fn probe_upstream(self: &Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
         if self.silence.borrow_mut().view.begin_probe(upstream, self.now_ms()) {
             let node = self.clone();
             spawn_local(async move { node.connect_only(upstream, address).await });
@@ -133,7 +133,7 @@
     }
 
     /// Takes a VM's doubts, as the leader of `term`.
-    pub(super) fn take_doubts(&self, term: u64, from: VmId, doubts: &[UpstreamKey]) {
+    pub(super) fn record_suspicions(&self, term: u64, from: VmId, doubts: &[UpstreamKey]) {
         let now_ms = self.now_ms();
         let mut desk = self.silence.borrow_mut();
         for upstream in doubts {
@@ -147,21 +147,21 @@
             tokio::time::sleep(LOOK).await;
             let now_ms = self.now_ms();
             let term = match &*self.keeper.borrow() {
-                Some(keeper) if keeper.may_vouch(now_ms) => keeper.term(),
+                Some(keeper) if keeper.is_confirmed_leader(now_ms) => keeper.term(),
                 _ => continue,
             };
             let due = self.silence.borrow_mut().table.due_probes(now_ms);
             for upstream in due {
                 let address = self.upstreams.borrow().entries.get(&upstream).map(|row| row.address);
                 if let Some(address) = address {
-                    spawn_local(self.clone().try_as_leader(upstream, address));
+                    spawn_local(self.clone().probe_as_leader(upstream, address));
                 }
             }
-            self.publish_dark(term);
+            self.publish_unresponsive(term);
         }
     }
 
-    async fn try_as_leader(self: Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
+    async fn probe_as_leader(self: Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
         let fault = self.connect_only(upstream, address).await;
         let now_ms = self.now_ms();
         let table = &mut self.silence.borrow_mut().table;
@@ -176,10 +176,10 @@
     }
 
     /// Publishes to all VMs which upstreams are dark, if others are than before.
-    fn publish_dark(&self, term: u64) {
+    fn publish_unresponsive(&self, term: u64) {
         let dark = self.silence.borrow().table.unresponsive();
         let before = std::mem::replace(&mut self.silence.borrow_mut().published, dark.clone());
-        self.take_dark(dark.clone());
+        self.apply_unresponsive(dark.clone());
         if before == dark {
             return;
         }
@@ -197,13 +197,16 @@
     }
 
     /// What a leader answers to a VM that received the dark upstreams `known`.
-    pub(super) fn dark_news(&self, known: UnresponsiveRevision) -> Option<Vec<UpstreamKey>> {
+    pub(super) fn unresponsive_update(
+        &self,
+        known: UnresponsiveRevision,
+    ) -> Option<Vec<UpstreamKey>> {
         let dark = self.silence.borrow().table.unresponsive();
         (UnresponsiveRevision::of(&dark) != known).then_some(dark)
     }
 
     /// The leader published which upstreams are dark.
-    pub(super) fn take_dark(&self, dark: Vec<UpstreamKey>) {
+    pub(super) fn apply_unresponsive(&self, dark: Vec<UpstreamKey>) {
         let now_ms = self.now_ms();
         if self.silence.borrow_mut().view.take(dark, now_ms) {
             self.silence_changed.notify_waiters();
--- a/lib/src/transport/vm_stream.rs
+++ b/lib/src/transport/vm_stream.rs
@@ -10,7 +10,7 @@
 use super::vm_place::SendTarget;
 use super::vm_relay::{AnswerBody, PieceSender};
 use super::vm_reply::{AnswerContent, SendResult, StreamedBody, UsableAnswer};
-use super::vm_silence::Waited;
+use super::vm_silence::WaitResult;
 use super::vm_task::{CallerTask, MIN_REMAINING_MS};
 use crate::coordination::attempt_plan::{AttemptCount, RunKnowledge, SendOutcome};
 use crate::coordination::body_tracker::BodyTracker;
@@ -61,7 +61,7 @@
         if ended && !answer.asks_backoff {
             self.note_outcome(target.upstream, answer.head.status.is_success());
         }
-        self.node.figures.borrow_mut().note_end(match answer.head.status.is_server_error() {
+        self.node.counters.borrow_mut().note_end(match answer.head.status.is_server_error() {
             true => RequestEnd::UpstreamFailed,
             false => RequestEnd::Answered,
         });
@@ -145,7 +145,7 @@
                 }
             }
         }
-        self.node.figures.borrow_mut().cut += 1;
+        self.node.counters.borrow_mut().cut += 1;
         info!(target: "request", attempt = self.caller.attempt, "stream cut short");
     }
 
@@ -185,7 +185,7 @@
                         (answer.head.status.is_success(), answer.body)
                     {
                         let attempt = &self.caller.attempt;
-                        self.node.figures.borrow_mut().resumed += 1;
+                        self.node.counters.borrow_mut().resumed += 1;
                         info!(target: "request", attempt, "stream resumed");
                         return Some((target, streamed));
                     }
@@ -216,17 +216,17 @@
                 frame = self.node.wait_for(at, body.frame(), deadline_ms, may_leave) => frame,
             };
             let data = match frame {
-                Waited::TimedOut => return RelayEnd::TimedOut,
-                Waited::Dark => return RelayEnd::Broken,
-                Waited::Done(Some(Err(error))) => {
+                WaitResult::TimedOut => return RelayEnd::TimedOut,
+                WaitResult::Unresponsive => return RelayEnd::Broken,
+                WaitResult::Done(Some(Err(error))) => {
                     self.log_broken_body(target, &tracker, &error);
                     return RelayEnd::Broken;
                 }
-                Waited::Done(Some(Ok(frame))) => match frame.into_data() {
+                WaitResult::Done(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => data,
                     Err(_) => continue,
                 },
-                Waited::Done(None) => break,
+                WaitResult::Done(None) => break,
             };
             if std::mem::take(&mut first) {
                 self.note_first_byte(target, "first piece");
@@ -268,7 +268,7 @@
     /// Counts where a body ended that is complete by its framing, and logs an end outside an event boundary.
     fn note_body_end(&self, target: &SendTarget, tracker: &BodyTracker) {
         let (framing, end) = (tracker.framing(), tracker.end());
-        self.node.figures.borrow_mut().note_body_end(framing, end);
+        self.node.counters.borrow_mut().note_body_end(framing, end);
         if end != BodyEnd::Boundary {
             info!(
                 target: "upstream", life = target.send.life, attempt = self.caller.attempt,
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -66,7 +66,7 @@
     }
 
     /// Takes the last orders of zones as a leader sent them.
-    pub(super) fn take_zones(&self, orders: ZoneOrders) {
+    pub(super) fn apply_zone_orders(&self, orders: ZoneOrders) {
         let changes = self.zones.borrow_mut().watch.take(orders, self.now_ms());
         for change in changes {
             match change.emptied {
@@ -91,8 +91,8 @@
         let fleet = FleetStatus {
             id: self.id,
             vms: &view.roster.rows,
-            first_contact_ms: view.first_heard_ms,
-            last_contact_ms: view.heard_ms,
+            first_contact_ms: view.first_contact_ms,
+            last_contact_ms: view.last_contact_ms,
         };
         !desk.cold.may_send(entry.key(), cold_per_s, &fleet, self.now_ms())
     }
--- a/lib/tests/testutils/keeper_bench.rs
+++ b/lib/tests/testutils/keeper_bench.rs
@@ -216,7 +216,11 @@
     /// The voters of the group, as a vouching leader knows it.
     pub fn voters(&self) -> usize {
         let drivers = self.peers.iter().filter_map(|peer| peer.driver.as_ref());
-        drivers.filter(|d| d.may_vouch(self.now_ms)).map(|d| d.voters()).max().unwrap_or(0)
+        drivers
+            .filter(|d| d.is_confirmed_leader(self.now_ms))
+            .map(|d| d.voters())
+            .max()
+            .unwrap_or(0)
     }
 
     fn strike(&mut self) {
@@ -386,7 +390,8 @@
             if now_ms % RENEW_MS < TICK_MS {
                 self.renew(at);
             }
-            let vouches = self.peers[at].driver.as_ref().is_some_and(|d| d.may_vouch(now_ms));
+            let vouches =
+                self.peers[at].driver.as_ref().is_some_and(|d| d.is_confirmed_leader(now_ms));
             if vouches && self.rng.gen_range(0..8) == 0 {
                 self.put(at);
             }
@@ -410,7 +415,7 @@
             .map(|peer| (peer.id, peer.life))
             .collect();
         let Some(driver) = self.peers[leader].driver.as_mut() else { return };
-        if driver.may_vouch(now_ms) {
+        if driver.is_confirmed_leader(now_ms) {
             for (id, life) in rows {
                 let row = RosterRow { id: id.0, zone: id.0 as u64 % 3, ready: true };
                 driver.roster.note(row, Some(life), Vec::new(), now_ms);
@@ -530,7 +535,7 @@
         let mut leaders: BTreeMap<u64, KeeperId> = BTreeMap::new();
         for peer in self.peers.iter().filter(|peer| peer.frozen_until <= self.now_ms) {
             let Some(driver) = &peer.driver else { continue };
-            if !driver.may_vouch(self.now_ms) {
+            if !driver.is_confirmed_leader(self.now_ms) {
                 continue;
             }
             let held = driver.record.document.version;
