--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -251,7 +251,7 @@
                 self.carry_out(outcome)
             }
             Some(DiskReport::Failed(text)) => Err(LoopFailure::Disk { text }),
-            Some(DiskReport::Opened(..) | DiskReport::ListKept) => Ok(()),
+            Some(DiskReport::Opened(..) | DiskReport::ListStored) => Ok(()),
             None => Err(LoopFailure::Disk { text: "the disk thread has ended".to_string() }),
         }
     }
--- a/lib/src/transport/vm_disk.rs
+++ b/lib/src/transport/vm_disk.rs
@@ -32,7 +32,7 @@
     /// The last job of the consensus failed.
     Failed(String),
     /// The list of upstreams is on disk, or can't be kept now.
-    ListKept,
+    ListStored,
 }
 
 /// Starts the thread; reports come back through `reports`.
@@ -120,7 +120,7 @@
                 if let Err(error) = write_kept(folder, &list) {
                     warn!(target: "disk", "the list cannot be kept: {error}");
                 }
-                DiskReport::ListKept
+                DiskReport::ListStored
             }
         };
         if !report(end) {
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -1,7 +1,7 @@
-//! What a leader answers to renewals, and what a VM takes from such an answer.
+//! Answers to renewals: how the leader makes a grant, and how a VM applies one.
 //!
-//! Invariant: a leader grants only while it surely leads; any other VM returns where the leader is, as
-//! far as it knows.
+//! Invariant: a leader sends grants only while it is certain to lead. Any other VM returns the leader and
+//! the keepers that it last received.
 
 use tracing::{debug, info};
 
@@ -20,8 +20,8 @@
 use crate::state::upstream_list::ListRevision;
 use crate::state::zone_order::ZoneOrders;
 
-/// What a leader sends of the roster: nothing to a VM that knows one, until it has led long
-/// enough to have heard every VM.
+/// The roster update of a grant. It is empty for a VM that already has a roster, until the leader has led
+/// long enough to have received a renewal of every VM: an earlier roster would lack VMs.
 fn roster_update(keeper: &KeeperDriver, have: RosterRevision, now_ms: u64) -> RosterUpdate {
     match keeper.led_ms(now_ms) >= SETTLE_MS || have.term == 0 {
         true => keeper.roster.news(keeper.term(), have),
@@ -44,7 +44,7 @@
         self.send_datagram(from, &answer);
     }
 
-    /// Takes a renewal, as the leader, and makes the answer.
+    /// Records the reports of a renewal, as the leader, and returns the answer.
     fn grant(
         &self,
         keeper: &KeeperDriver,
@@ -86,7 +86,8 @@
         }
     }
 
-    /// What a keeper answers that doesn't surely lead; it remembers who asked.
+    /// The answer of a keeper that isn't certain to lead. It remembers the sender, to announce itself there
+    /// once it leads.
     fn redirect_as_keeper(&self, keeper: &KeeperDriver, from: VmId) -> VmDatagram {
         let mut seekers = self.seekers.borrow_mut();
         seekers.insert(from);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// What a VM without a keeper answers.
+    /// The answer of a VM without a keeper.
     fn redirect(&self, now_ms: u64) -> VmDatagram {
         let view = self.view.borrow();
         let fresh = view.last_contact_ms + LEADER_TIMEOUT_MS > now_ms;
@@ -108,16 +109,16 @@
         }
     }
 
-    /// A VM holds this state of the list; a leader that holds a lower one takes it over, so that its
-    /// own next one is above it.
-    fn note_list_held(&self, from: VmId, mark: ListRevision, now_ms: u64) {
-        self.upstreams.borrow_mut().note_revision(mark);
-        if self.leads(now_ms) && mark > self.upstreams.borrow().revision {
+    /// Records that a VM holds this revision of the list. A leader that holds a lower one requests it, so that
+    /// its own next revision is above it.
+    fn note_list_held(&self, from: VmId, revision: ListRevision, now_ms: u64) {
+        self.upstreams.borrow_mut().note_revision(revision);
+        if self.leads(now_ms) && revision > self.upstreams.borrow().revision {
             self.request_list(from, now_ms);
         }
     }
 
-    /// Takes how a VM's sends went, as the leader, and gives those that fail everybody.
+    /// Records the outcomes of a VM's sends, as the leader, and returns the upstreams that fail for all VMs.
     fn take_health_reports(
         &self,
         term: u64,
@@ -141,7 +142,8 @@
         desk.table.flagged(now_ms)
     }
 
-    /// Takes what a VM reports of holders, as the leader, and returns what others reported.
+    /// Records a VM's notes on holders, as the leader. Returns the notes that the VM lacks, and the position
+    /// in the log up to which it has them after that.
     fn exchange_holders(
         &self,
         term: u64,
@@ -155,8 +157,8 @@
         holders.log.notes_after(heard)
     }
 
-    /// Takes the orders that a leader sends with a grant to a renewal sent at `sent_ms`, those of a kind
-    /// only where they are others than this VM knew of; so what it knows is all there was then.
+    /// Applies the orders of a grant that answers a renewal of `sent_ms`. Orders of a kind are in it only if
+    /// they differ from those that this VM reported, so after this the VM has all orders as of `sent_ms`.
     fn apply_orders(
         &self,
         zones: Option<ZoneOrders>,
@@ -201,7 +203,7 @@
         self.answer_waiting();
     }
 
-    /// Takes what a grant reports of the other VMs.
+    /// Applies what a grant reports of the other VMs.
     fn update_view(&self, from: VmId, grant: GrantNote, now_ms: u64) {
         let mut view = self.view.borrow_mut();
         if view.leader != Some(from) {
@@ -226,7 +228,7 @@
                     Some(sums) => {
                         view.reports.note_positional(upstreams.entries.keys(), &sums, &own)
                     }
-                    None => debug!(target: "contact", "loads of another list"),
+                    None => debug!(target: "contact", "the loads do not fit the list"),
                 }
             }
             // The list has changed since the renewal was sent; the next answer will fit.
@@ -234,9 +236,10 @@
         }
     }
 
-    /// Asks for the newest document at a keeper, since each holds what is committed: after a
-    /// common restart all VMs ask, and 70 large documents are seconds of one leader's link, in
-    /// which it can neither read the list nor be heard. One that lags is asked again elsewhere.
+    /// Requests the newest document from a keeper, since each keeper holds what is committed. After a restart
+    /// of the whole fleet every VM requests it, and 70 large documents would fill the leader's link for
+    /// seconds, in which it could neither read the list nor reach the VMs. If one keeper lags, a later attempt
+    /// goes to another.
     pub(super) fn request_document(&self, leader: VmId) {
         let attempt = {
             let mut view = self.view.borrow_mut();
@@ -247,14 +250,14 @@
         self.links.send(source, &VmMessage::WantDocument);
     }
 
-    /// A keeper that has the whole list and configuration; see [`choose_source`].
+    /// A keeper from which to request the list or the configuration; see [`choose_source`].
     pub(super) fn update_source(&self, attempt: u32) -> Option<VmId> {
         let view = self.view.borrow();
         let asker = UpdateRequester { id: self.id, zone: self.zone };
         choose_source(&view.keepers, &view.roster.rows, asker, attempt, self.draw())
     }
 
-    /// A leader is in contact with itself; true when this VM leads.
+    /// Renews with itself if this VM is the leader, without a datagram. Returns whether it is.
     pub(super) fn grant_to_itself(&self, now_ms: u64) -> bool {
         let row = self.own_row();
         let loads = self.own_loads();
@@ -273,8 +276,8 @@
         let failing = self.take_health_reports(keeper.term(), &own_reports, now_ms);
         let doubts = self.silence.borrow_mut().view.take_suspicions();
         self.record_suspicions(keeper.term(), self.id, &doubts);
-        let (life, notes) = (self.rollouts.borrow().incarnation(), self.rollout_reports());
-        self.record_rollout_reports(keeper.term(), self.id, life, notes);
+        let (incarnation, reports) = (self.rollouts.borrow().incarnation(), self.rollout_reports());
+        self.record_rollout_reports(keeper.term(), self.id, incarnation, reports);
         self.receive_own_crashes(keeper.term(), &keeper.record.quarantine, now_ms);
         let mut view = self.view.borrow_mut();
         view.failing = failing;
@@ -283,8 +286,8 @@
         view.last_contact_ms = now_ms;
         view.first_contact_ms.get_or_insert(now_ms);
         view.keepers = keeper.members().iter().map(|id| id.0).collect();
-        let news = roster_update(keeper, view.roster.mark, now_ms);
-        view.roster.take(news);
+        let update = roster_update(keeper, view.roster.mark, now_ms);
+        view.roster.take(update);
         view.vms = view.roster.rows.len();
         view.reports.note(&keeper.roster.loads(), &loads);
         let zones = keeper.record.zones.news(self.zones.borrow().watch.orders.taken());
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -1,8 +1,9 @@
-//! A VM's part in the consensus: drives [`RaftCore`], the disk thread and the document.
+//! One keeper, a member of the consensus group: drives [`RaftCore`] and the disk thread, and applies
+//! what is committed to the [`FleetRecord`].
 //!
-//! Invariants: a reply that claims something is on disk leaves only when it is; what a
-//! leader sends may leave at once, since only synced entries count for itself. A leader
-//! whose disk is stuck resigns. See `docs/design/platform.md`.
+//! Invariants: a reply that acknowledges something as on disk is sent only once it is. Messages of a leader
+//! may be sent at once, since it counts itself only for entries that are synced. A leader whose disk is
+//! stuck resigns. See `docs/design/platform.md`.
 
 use std::collections::BTreeMap;
 
@@ -23,70 +24,73 @@
 };
 use crate::state::packed_text::PackedText;
 
-/// A job that takes longer than this makes a leader resign, in milliseconds.
-const STUCK_MS: u64 = 600;
-/// After a failed job everything is written anew, this often, in milliseconds.
-const REWRITE_MS: u64 = 500;
-/// The log is compacted when it holds this many bytes of documents or entries.
+/// A leader whose disk job takes longer than this resigns, in milliseconds.
+const DISK_STUCK_MS: u64 = 600;
+/// The pause between a failed disk job and the attempt to rewrite everything, in milliseconds.
+const REWRITE_PAUSE_MS: u64 = 500;
+/// The log is compacted once it holds more bytes of commands than this.
 const COMPACT_BYTES: usize = 256 << 10;
+/// The log is compacted once it holds more entries than this.
 const COMPACT_ENTRIES: usize = 256;
-/// A group that stays smaller than wanted takes documents after this long, in milliseconds.
+/// A leader whose group has too few voters accepts no commands until it has led for this long, in
+/// milliseconds, since more voters may still join.
 const SMALL_GROUP_MS: u64 = 3000;
 
-/// What a keeper asks of its VM after a step.
+/// What the VM has to do after a step of its keeper.
 #[derive(Debug, Default)]
 pub struct KeeperOutcome {
-    /// To send.
+    /// Messages to send to other keepers.
     pub messages: Vec<(KeeperId, RaftMessage)>,
-    /// The document changed.
+    /// Whether the document changed.
     pub changed: bool,
-    /// A roll-out began or went a step on.
+    /// Whether a roll-out began or changed its phase.
     pub rollouts_changed: bool,
-    /// What is known against a request is something else.
+    /// Whether the quarantine table changed.
     pub quarantine_changed: bool,
 }
 
-struct PutWaiter {
+/// A proposal that waits until its entry is committed or replaced.
+struct ProposalWaiter {
     index: u64,
     term: u64,
     reply: oneshot::Sender<bool>,
 }
 
-/// One keeper.
+/// The state of one keeper.
 pub struct KeeperDriver {
     id: KeeperId,
     peer_port: u16,
-    wanted: usize,
+    required_voters: usize,
     durable: DurableCore,
-    /// The life of its disk.
+    /// The incarnation of its disk; a disk whose files were lost has another one.
     pub incarnation: Incarnation,
-    /// What is known to be committed.
+    /// The result of all committed commands.
     pub record: FleetRecord,
-    /// The VMs that a leader hears.
+    /// The VMs that renew with this keeper while it leads.
     pub roster: VmRoster,
     disk: Sender<DiskJob>,
-    waiters: Vec<PutWaiter>,
+    waiters: Vec<ProposalWaiter>,
     log_bytes: usize,
     led_since_ms: Option<u64>,
     refusals: BTreeMap<&'static str, u64>,
 }
 
-/// Who a keeper is.
+/// What a keeper is started with.
 pub struct KeeperIdentity {
-    /// Its VM.
+    /// The id of its VM.
     pub id: KeeperId,
-    /// The port on which VMs speak.
+    /// The port for messages between VMs.
     pub peer_port: u16,
-    /// Losses to be survived.
+    /// How many keepers the group must be able to lose.
     pub tolerated_losses: u32,
-    /// Whether this VM forms the group when its disk is blank.
+    /// Whether this VM forms the first group if its disk is blank.
     pub founder: bool,
-    /// Spreads the election timers.
+    /// Seeds the random part of the election timers.
     pub seed: u64,
 }
 
 impl KeeperDriver {
-    /// A keeper with what its disk held.
+    /// Creates a keeper from what its disk holds.
     pub fn new(
         identity: KeeperIdentity,
         incarnation: Incarnation,
@@ -127,7 +131,7 @@
         let mut driver = KeeperDriver {
             id: identity.id,
             peer_port: identity.peer_port,
-            wanted: required_voters(identity.tolerated_losses),
+            required_voters: required_voters(identity.tolerated_losses),
             durable,
             incarnation,
             record,
@@ -142,12 +146,12 @@
         driver
     }
 
-    /// The leader, as far as known.
+    /// The leader, if one is known.
     pub fn leader(&self) -> Option<KeeperId> {
         self.durable.core.leader()
     }
 
-    /// The term.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.durable.core.term()
     }
@@ -157,33 +161,34 @@
         self.durable.core.membership().members.keys().copied().collect()
     }
 
-    /// How many members vote.
+    /// The number of members that vote.
     pub fn voters(&self) -> usize {
         self.durable.core.membership().members.values().filter(|member| member.votes).count()
     }
 
-    /// Whether this keeper surely leads and has applied all that is committed.
+    /// Whether this keeper holds the leader's lease and has applied all that is committed. Only then is
+    /// its record certain to be the newest one.
     pub fn is_confirmed_leader(&self, now_ms: u64) -> bool {
         self.durable.core.has_lease(now_ms) && self.durable.core.has_applied_all()
     }
 
-    /// How long it has led, in milliseconds.
+    /// How long it has led, in milliseconds; 0 while it doesn't lead.
     pub fn led_ms(&self, now_ms: u64) -> u64 {
         self.led_since_ms.map_or(0, |since| now_ms.saturating_sub(since))
     }
 
-    /// Time passes.
+    /// Acts on timers that are due.
     pub fn tick(&mut self, now_ms: u64) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
-        if self.durable.failed_ms().is_some_and(|failed| now_ms >= failed + REWRITE_MS) {
+        if self.durable.failed_ms().is_some_and(|failed| now_ms >= failed + REWRITE_PAUSE_MS) {
             let job = self.durable.rewrite(now_ms);
             self.submit(job, now_ms);
         }
-        let stuck = self.durable.is_stuck(STUCK_MS, now_ms);
+        let stuck = self.durable.is_stuck(DISK_STUCK_MS, now_ms);
         if stuck || self.durable.failed_ms().is_some() {
-            // It must neither stand for election nor lead: it can't hold what it would take.
+            // It must neither stand for election nor lead: it can't store what it would accept.
             if self.durable.core.role() == RaftRole::Leader {
-                warn!(target: "keeper", stuck, "resigns, since its disk takes nothing");
+                warn!(target: "keeper", stuck, "resigns, since its disk is stuck or failed");
                 self.durable.core.resign(now_ms);
                 self.note_role(now_ms);
             }
@@ -197,18 +202,18 @@
         outcome
     }
 
-    /// A message of another keeper came.
+    /// Handles a message of another keeper.
     pub fn receive(&mut self, message: RaftMessage, now_ms: u64) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
         self.step(now_ms, &mut outcome, |core, output| core.receive(message, now_ms, output));
         outcome
     }
 
-    /// The disk thread reports the end of its job.
+    /// Handles a report of the disk thread that its job has ended.
     pub fn note_disk(&mut self, report: DiskReport, now_ms: u64) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
         if let DiskReport::Failed(error) = report {
-            warn!(target: "disk", "a write failed, all is to be written anew: {error}");
+            warn!(target: "disk", "a write failed, everything is to be rewritten: {error}");
             self.durable.note_failed(now_ms);
             return outcome;
         }
@@ -217,7 +222,7 @@
         outcome
     }
 
-    /// Proposes a document; the receiver gets whether it is committed.
+    /// Proposes a document. The receiver gets whether this version or a higher one is committed.
     pub fn put(
         &mut self,
         version: u64,
@@ -235,9 +240,8 @@
         (receiver, outcome)
     }
 
-    /// Proposes an order of a zone or a roll-out; the receiver gets whether it was taken. Each
-    /// order is proposed, also one that asks for what already holds: only its place in the log shows
-    /// whether another one goes before it.
+    /// Proposes an order for a zone or a roll-out. The receiver gets whether it was accepted. An order that
+    /// changes nothing is proposed, too: only its position in the log shows whether another one precedes it.
     pub fn order(
         &mut self,
         command: FleetCommand,
@@ -255,7 +259,7 @@
         now_ms: u64,
     ) -> oneshot::Receiver<bool> {
         let (reply, receiver) = oneshot::channel();
-        let small = self.voters() < self.wanted && self.led_ms(now_ms) < SMALL_GROUP_MS;
+        let small = self.voters() < self.required_voters && self.led_ms(now_ms) < SMALL_GROUP_MS;
         if small || self.durable.core.role() != RaftRole::Leader {
             let _ = reply.send(false);
             return receiver;
@@ -267,20 +271,20 @@
             core.flush(now_ms, output);
         });
         match place {
-            Some((index, term)) => self.waiters.push(PutWaiter { index, term, reply }),
+            Some((index, term)) => self.waiters.push(ProposalWaiter { index, term, reply }),
             None => drop(reply.send(false)),
         }
         receiver
     }
 
-    /// Records the seats, if this keeper leads; what isn't committed is recorded with the next
-    /// change.
-    pub fn record_seats(&mut self, seats: Vec<SeatRow>, now_ms: u64) -> KeeperOutcome {
+    /// Proposes the ring slots, if this keeper leads. Slots that aren't committed are proposed again with the
+    /// next change.
+    pub fn record_ring_slots(&mut self, seats: Vec<SeatRow>, now_ms: u64) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
         let payload = EntryPayload::Command(FleetCommand::Seats(seats).encode());
         self.step(now_ms, &mut outcome, |core, output| {
             if let Err(refusal) = core.propose(payload, output) {
-                info!(target: "keeper", "seats are not recorded: {refusal:?}");
+                info!(target: "keeper", "ring slots are not recorded: {refusal:?}");
             }
             core.flush(now_ms, output);
         });
@@ -300,8 +304,14 @@
     fn plan_membership(&mut self, now_ms: u64, outcome: &mut KeeperOutcome) {
         self.roster.expire(now_ms);
         let known = self.roster.keepers();
-        let change =
-            next_change(&self.durable.core, self.id, &known, self.wanted, self.peer_port, now_ms);
+        let change = next_change(
+            &self.durable.core,
+            self.id,
+            &known,
+            self.required_voters,
+            self.peer_port,
+            now_ms,
+        );
         let Some(change) = change else { return };
         let text = format!("{change:?}");
         let mut refused = None;
@@ -346,7 +356,7 @@
     fn submit(&mut self, job: Option<DiskJob>, now_ms: u64) {
         let Some(job) = job else { return };
         if self.disk.send(job).is_err() {
-            warn!(target: "disk", "the disk thread is gone");
+            warn!(target: "disk", "the disk thread has ended");
             self.durable.note_failed(now_ms);
         }
     }
@@ -403,7 +413,7 @@
     }
 }
 
-/// The first entry of the first group: its founder alone; the others join it.
+/// The first entry of the first group, in which the founder is the only member; the others join later.
 fn found_group(identity: &KeeperIdentity, incarnation: Incarnation) -> LogBatch {
     let address = std::net::Ipv4Addr::from(identity.id.0);
     let address = std::net::SocketAddr::from((address, identity.peer_port));
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -279,7 +279,7 @@
         let patient = patient.into_iter().filter(|service| !runs(service)).collect();
         seats.assign(&mut rows, &self.upstreams.borrow(), &patient, now_ms);
         if seats != before {
-            self.step_keeper(|keeper, now_ms| keeper.record_seats(seats.rows(), now_ms));
+            self.step_keeper(|keeper, now_ms| keeper.record_ring_slots(seats.rows(), now_ms));
         }
         let step =
             self.upstreams.borrow_mut().update_from_read(rows, Some(term), self.id, began_ms);
--- a/lib/src/transport/vm_list_desk.rs
+++ b/lib/src/transport/vm_list_desk.rs
@@ -30,7 +30,7 @@
 
 impl ListState {
     /// The disk has what it was given, or can't take it.
-    pub fn note_kept(&mut self) {
+    pub fn note_stored(&mut self) {
         self.keeping = false;
     }
 }
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -1,7 +1,7 @@
-//! One VM of the fleet: its tables and what drives them, on one event loop.
+//! One VM of the fleet: its tables and the tasks that work on them, on one event loop.
 //!
-//! Everything here runs on one thread, so tables are in cells and no borrow is held
-//! over an await. Only the disk has a thread of its own. See
+//! All of it runs on one thread, so tables are in cells and no borrow is held across an await. Only
+//! the disk has a thread of its own. See
 //! `docs/design/platform.md`.
 
 use std::cell::{Cell, RefCell};
@@ -52,171 +52,174 @@
 use crate::state::vm_figures::VmFigures;
 use crate::state::vm_settings::VmSettings;
 
-/// The loop's own pace; heartbeats are the shortest thing that it must keep.
+/// How often the keeper's timers are checked. Heartbeats are the shortest interval that it has to keep,
+/// so it is half of theirs.
 const TICK: Duration = Duration::from_millis(HEARTBEAT_MS / 2);
 
-/// The routes in force, and the document that they were read from.
+/// The routes in force and the document that they were parsed from.
 pub struct RoutesInForce {
-    /// The routes.
+    /// The parsed routes.
     pub table: RouteTable,
-    /// The document, byte for byte.
+    /// The document as it was committed, byte for byte.
     pub document: Vec<u8>,
 }
 
-/// What a VM reports of holders, has heard of them, and sends on while it leads.
+/// Notes on which engines hold which prompt parts: those to report, those received, and, at the leader,
+/// those to pass on.
 #[derive(Default)]
 pub struct HolderState {
-    /// What it has to report.
+    /// Notes of this VM that the leader doesn't have yet.
     pub outbox: HolderOutbox,
-    /// What it has heard.
+    /// The position in the leader's log up to which this VM has received notes.
     pub received: HolderPosition,
-    /// What it received as the leader.
+    /// Notes that all VMs reported, while this VM leads.
     pub log: HolderLog,
 }
 
-/// How a VM's sends went, and what was reported of all VMs' while it leads.
+/// The outcomes of sends: those to report and, at the leader, those that all VMs reported.
 #[derive(Default)]
 pub struct HealthState {
-    /// What it has to report.
+    /// Outcomes of this VM's sends that the leader doesn't have yet.
     pub outbox: HealthOutbox,
-    /// What it received as the leader.
+    /// Outcomes that all VMs reported, while this VM leads.
     pub table: HealthTable,
 }
 
-/// What a VM knows of the others.
+/// What a VM has received about the other VMs and the leader.
 #[derive(Default)]
 pub struct FleetView {
-    /// The leader, as far as known.
+    /// The leader, if one is known.
     pub leader: Option<VmId>,
-    /// The keepers.
+    /// The members of the consensus group.
     pub keepers: Vec<VmId>,
-    /// The VMs that the leader heard lately.
+    /// The VMs that renewed with the leader lately.
     pub roster: RosterCopy,
-    /// When a leader answered for the first time.
+    /// When a leader first answered.
     pub first_contact_ms: Option<u64>,
     /// When the leader last answered.
     pub last_contact_ms: u64,
-    /// What others have in flight.
+    /// What the other VMs have in flight.
     pub reports: LoadReports,
-    /// Upstreams that fail all VMs that send to them, by the last grant.
+    /// Upstreams that fail for all VMs that send to them, by the last grant.
     pub failing: Vec<UpstreamKey>,
-    /// What this VM reported of its own, by the time of the report.
+    /// What this VM reported of its own load, by the time of the report.
     pub own_reported: HashMap<u64, Vec<UpstreamLoad>>,
-    /// Pages of the list of upstreams, as this VM last read it.
+    /// The number of pages when this VM last read the list of upstreams.
     pub list_pages: usize,
     /// The term of the last leader that answered.
     pub term: u64,
-    /// The last term in which this VM announced that it leads.
+    /// The last term in which this VM announced itself as the leader.
     pub announced_term: u64,
-    /// How many VMs there are, by the last answer.
+    /// The number of VMs by the last answer.
     pub vms: usize,
-    /// When the list of upstreams should be read again, by its reader.
+    /// When the list of upstreams is to be read again, if this VM reads it.
     pub list_due_ms: u64,
-    /// When the list was last asked for, so that it isn't asked for with each grant.
+    /// When the list was last requested, so that not every grant leads to a request.
     pub list_requested_ms: u64,
-    /// How often the list, and the configuration, were asked for in vain.
+    /// Requests for the list since it last arrived.
     pub list_attempts: u32,
+    /// Requests for the configuration since it last arrived.
     pub document_attempts: u32,
 }
 
-/// One VM.
+/// The state of one VM.
 pub struct VmNode {
-    /// What it was given at its start, or later.
+    /// The settings; some of them may be replaced while the VM runs.
     pub settings: RefCell<VmSettings>,
-    /// The platform's wire.
+    /// Translates between the platform's formats and the fleet's own types.
     pub adapter: Box<dyn WireAdapter>,
-    /// Its clock.
+    /// The source of all times.
     pub clock: NodeClock,
     /// The VM's address as a number.
     pub id: VmId,
     /// The hash of its zone's name.
     pub zone: u64,
-    /// The routes in force.
+    /// The routes in force, once there are any.
     pub routes: RefCell<Option<Rc<RoutesInForce>>>,
-    /// How fresh that is.
+    /// When the configuration in force was last confirmed as the newest one.
     pub contact: RefCell<LeaderContact>,
-    /// Notified when the contact or the routes change.
+    /// Notified when `contact`, `routes` or the list of upstreams change.
     pub contact_changed: Notify,
-    /// The upstreams.
+    /// The list of upstreams.
     pub upstreams: RefCell<UpstreamList>,
-    /// The other VMs.
+    /// The other VMs and the leader.
     pub view: RefCell<FleetView>,
-    /// The keeper, on a VM with a disk, once its disk is open.
+    /// This VM's member of the consensus group, if it has a disk and the disk is open.
     pub keeper: RefCell<Option<KeeperDriver>>,
-    /// Connections to upstreams.
+    /// Connections to upstreams and to the platform's list.
     pub pool: ConnectionPool,
     /// Requests in flight by upstream.
     pub in_flight: RefCell<HashMap<UpstreamKey, u32>>,
-    /// What was learned of the room at each service of engines.
+    /// The capacity measured at each service of engines.
     pub capacities: RefCell<HashMap<String, ServiceCapacity>>,
-    /// How long requests are at upstreams of each plain service.
+    /// How long requests take at the upstreams of each service without engines.
     pub plain_holds: RefCell<HashMap<String, HoldTime>>,
     /// When an engine was last nearly full.
     pub overloaded_ms: Cell<u64>,
-    /// Passive health checks.
+    /// Passive health checks of upstreams.
     pub outliers: RefCell<OutlierTable>,
-    /// What it has counted.
+    /// Counters for the metrics.
     pub counters: RefCell<VmFigures>,
-    /// Where its counters are asked for.
+    /// The path at which metrics are served.
     pub metrics_path: RefCell<String>,
-    /// What this VM sent where.
+    /// Which prompt parts are cached at which engines.
     pub prefixes: RefCell<PrefixMemory>,
-    /// Where parts are kept against the order: reported and heard.
+    /// Notes on engines that hold parts outside the usual order.
     pub holders: RefCell<HolderState>,
-    /// How sends went, here and elsewhere.
+    /// Outcomes of sends, here and at other VMs.
     pub health: RefCell<HealthState>,
-    /// Zones that are emptied, and cold upstreams.
+    /// Evacuated zones and cold upstreams.
     pub zones: RefCell<ZoneState>,
-    /// Orders of operators that a leader elsewhere was asked to take.
+    /// Operators' orders that were sent to a leader on another VM and not answered yet.
     pub orders: RefCell<PendingOrders>,
     /// Roll-outs.
     pub rollouts: RefCell<RolloutState>,
-    /// Requests that end upstreams.
+    /// Requests that crash the upstreams that run them.
     pub quarantine: RefCell<QuarantineState>,
-    /// Upstreams that are silent.
+    /// Upstreams that don't answer.
     pub silence: RefCell<SilenceState>,
-    /// Notified when others are silent than before.
+    /// Notified when the set of unresponsive or suspected upstreams changes.
     pub silence_changed: Notify,
-    /// Repeats, by service.
+    /// How many requests may still be sent a second time, by service.
     pub budgets: RefCell<HashMap<String, RepeatBudget>>,
-    /// The loads that it sends while it leads.
+    /// The sums of all VMs' loads that it sends while it leads.
     pub shared_loads: RefCell<SharedLoads>,
-    /// Links to other VMs.
+    /// TCP links to other VMs.
     pub links: LinkTable,
     /// Bytes to and from other VMs, by kind of message.
     pub wire: Rc<WireCount>,
-    /// The list of upstreams as a frame, when VMs have asked for the whole.
+    /// The list of upstreams as an encoded frame, once a VM has requested the whole list.
     pub list_frame: RefCell<Option<(ListRevision, Bytes)>>,
-    /// The last step that VMs have asked for as a frame, and from which state to which it leads.
+    /// The last requested delta of the list as an encoded frame, with the two revisions that it lies between.
     pub delta_frame: RefCell<Option<((ListRevision, ListRevision), Bytes)>>,
-    /// Who asked for the list, or for news of it, in vain.
+    /// VMs that wait for a newer list, and this VM's own requests and copies of the list.
     pub list_state: RefCell<ListState>,
-    /// VMs that looked for a leader here while this VM was none, at a keeper.
+    /// VMs that sent a renewal to this keeper while it did not lead.
     pub seekers: RefCell<BTreeSet<VmId>>,
-    /// VMs that asked for a document before any was known here.
+    /// VMs that requested the document before this VM had one.
     pub document_requesters: RefCell<BTreeSet<VmId>>,
-    /// The document as a frame, likewise.
+    /// The document as an encoded frame, by its version, once a VM has requested it.
     pub document_frame: RefCell<Option<(u64, Bytes)>>,
-    /// Datagrams to other VMs.
+    /// The socket for datagrams between VMs.
     pub datagrams: UdpSocket,
-    /// Puts that a leader elsewhere was asked for.
+    /// Puts that were sent to a leader on another VM and not answered yet, by number.
     pub pending_puts: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
-    /// Numbers for those and for random choices.
+    /// The state of the random number generator.
     pub draws: Cell<u64>,
-    /// Requests that are being served.
+    /// Requests being served.
     pub serving: Cell<u32>,
     /// Whether this VM was ready by its last report.
     pub reported_ready: Cell<bool>,
-    /// Connections that are open at the listeners.
+    /// Connections that callers have open.
     pub connections: Cell<u32>,
-    /// When SIGTERM came.
+    /// When SIGTERM was received.
     pub stopping_ms: Cell<Option<u64>>,
-    /// Notified when the listeners should close what rests.
+    /// Notified when the listeners are to close idle connections.
     pub closing: Notify,
 }
 
 impl VmNode {
-    /// Binds the peer port and makes the tables.
+    /// Binds the socket for datagrams and creates a VM with empty tables.
     pub async fn bind(
         settings: VmSettings,
         adapter: Box<dyn WireAdapter>,
@@ -278,12 +281,12 @@
         }))
     }
 
-    /// Milliseconds of the steady clock.
+    /// The current time of [`NodeClock`], in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// A random number.
+    /// Returns a random number (xorshift).
     pub fn draw(&self) -> u64 {
         let mut draw = self.draws.get();
         draw ^= draw << 13;
@@ -293,7 +296,7 @@
         draw
     }
 
-    /// What the fleet may repeat.
+    /// The fleet's limit on requests that are sent a second time.
     pub fn allowance(&self) -> RepeatAllowance {
         let bounds = self.settings.borrow().bounds;
         RepeatAllowance {
@@ -303,12 +306,13 @@
         }
     }
 
-    /// Whether this VM surely leads.
+    /// Whether this VM is certain to be the leader now.
     pub(super) fn leads(&self, now_ms: u64) -> bool {
         self.keeper.borrow().as_ref().is_some_and(|keeper| keeper.is_confirmed_leader(now_ms))
     }
 
-    /// Whether callers should be sent here.
+    /// Whether this VM may get new callers: it isn't stopping, has routes, and its contact with the leader is
+    /// fresh enough.
     pub fn is_ready(&self) -> bool {
         let (bounds, now_ms) = (self.settings.borrow().bounds, self.now_ms());
         let contact = self.contact.borrow();
@@ -318,22 +322,22 @@
             && !contact.is_behind(bounds.apply_ms, now_ms)
     }
 
-    /// What others should know of this VM.
+    /// This VM's row of the roster. Remembers the readiness that it reports.
     pub fn own_row(&self) -> RosterRow {
         let ready = self.is_ready();
         self.reported_ready.set(ready);
         RosterRow { id: self.id, zone: self.zone, ready }
     }
 
-    /// Renews at once when this VM has become ready, or is so no more: callers wait
-    /// for it after a restart of everything.
+    /// Renews at once when this VM's readiness has changed: after a restart of the whole fleet, callers wait
+    /// for the first VMs that are ready.
     pub fn renew_if_changed(&self) {
         if self.is_ready() != self.reported_ready.get() {
             self.renew();
         }
     }
 
-    /// What this VM has in flight.
+    /// The requests that this VM has in flight, by upstream.
     pub fn own_loads(&self) -> Vec<UpstreamLoad> {
         let in_flight = self.in_flight.borrow();
         let loads = in_flight.iter().filter(|(_, requests)| **requests > 0);
@@ -342,7 +346,7 @@
             .collect()
     }
 
-    /// Puts a committed document in force, unless it is older than what is.
+    /// Puts a committed document in force, unless a version as new is in force already.
     pub fn apply_document(&self, version: u64, document: &[u8]) {
         if version <= self.contact.borrow().applied() {
             return;
@@ -362,7 +366,7 @@
         }
     }
 
-    /// The same for a packed document.
+    /// Unpacks a committed document and puts it in force, unless a version as new is in force already.
     fn apply_packed(&self, version: u64, document: &PackedText) {
         if version <= self.contact.borrow().applied() {
             return;
@@ -373,7 +377,7 @@
         }
     }
 
-    /// Sends what a keeper's step asks for and applies what it committed.
+    /// Sends the messages of a keeper's step and applies what the step committed.
     pub fn carry_out(&self, outcome: KeeperOutcome) {
         for (to, message) in outcome.messages {
             self.links.send(to.0, &VmMessage::Raft(message));
@@ -388,7 +392,7 @@
             return;
         }
         let now_ms = self.now_ms();
-        let (held, vouches) = match &*self.keeper.borrow() {
+        let (held, leads) = match &*self.keeper.borrow() {
             Some(keeper) => (keeper.record.document.clone(), keeper.is_confirmed_leader(now_ms)),
             None => return,
         };
@@ -397,13 +401,13 @@
         for asker in std::mem::take(&mut *self.document_requesters.borrow_mut()) {
             self.answer_document_request(asker);
         }
-        if vouches {
+        if leads {
             self.send_document(before.as_deref(), held);
         }
     }
 
-    /// Sends a new document to the VMs that are no keepers, against the one before if there was
-    /// one; keepers hear of it by the consensus itself.
+    /// Sends a new document to the VMs outside the consensus group, as a change against the one before where
+    /// that is less than half as long. Keepers receive it by the consensus itself.
     fn send_document(&self, before: Option<&RoutesInForce>, held: HeldDocument) {
         let view = self.view.borrow();
         let others = view.roster.rows.iter().map(|row| row.id);
@@ -425,8 +429,8 @@
         self.links.send_all(others, &message);
     }
 
-    /// Takes a document that is encoded against an earlier one; asks for the whole if that isn't
-    /// the one in force here.
+    /// Applies a document that is encoded as a change against an earlier one. Requests the whole document if
+    /// that earlier one isn't in force here.
     fn apply_document_change(
         &self,
         from: VmId,
@@ -444,7 +448,7 @@
         }
     }
 
-    /// Takes a step of the keeper, if there is one, and carries it out.
+    /// Runs one step of the keeper, if this VM has one, and carries out its outcome.
     pub fn step_keeper(&self, act: impl FnOnce(&mut KeeperDriver, u64) -> KeeperOutcome) {
         let now_ms = self.now_ms();
         let outcome = self.keeper.borrow_mut().as_mut().map(|keeper| act(keeper, now_ms));
@@ -453,7 +457,7 @@
         }
     }
 
-    /// A message came over a link.
+    /// Handles a message that arrived over a link.
     pub fn handle_message(self: &Rc<Self>, from: VmId, message: VmMessage) {
         match message {
             VmMessage::Raft(message) => {
@@ -489,8 +493,8 @@
         }
     }
 
-    /// Gives a VM the newest document. A keeper that has just started may not know yet what is
-    /// committed; it answers as soon as it does.
+    /// Sends the newest document to a VM that requested it. A keeper that has just started may have none
+    /// committed yet; it answers as soon as it has one.
     fn answer_document_request(&self, to: VmId) {
         let keeper = self.keeper.borrow();
         let Some(held) = keeper.as_ref().map(|keeper| &keeper.record.document) else { return };
@@ -504,7 +508,7 @@
         });
     }
 
-    /// Proposes a document here; true when it is committed.
+    /// Proposes a document at this VM's keeper. Returns true once it is committed, false if it isn't accepted.
     pub async fn put_here(&self, version: u64, document: &PackedText) -> bool {
         let now_ms = self.now_ms();
         let put =
@@ -538,24 +542,26 @@
         jobs: crossbeam::channel::Sender<super::vm_disk::DiskJob>,
         mut reports: UnboundedReceiver<DiskReport>,
     ) {
-        let Some(DiskReport::Opened(life, stored, kept)) = reports.recv().await else { return };
+        let Some(DiskReport::Opened(incarnation, stored, kept)) = reports.recv().await else {
+            return;
+        };
         if let Some(kept) = kept {
-            info!(target: "list", upstreams = kept.rows.len(), "is used as it was kept on disk");
+            info!(target: "list", upstreams = kept.rows.len(), "the list stored on disk is used");
             self.apply_list(kept.mark, kept.rows);
         }
         self.list_state.borrow_mut().disk = Some(jobs.clone());
-        let keeper = KeeperDriver::new(identity, life, *stored, jobs, self.now_ms());
+        let keeper = KeeperDriver::new(identity, incarnation, *stored, jobs, self.now_ms());
         *self.keeper.borrow_mut() = Some(keeper);
         while let Some(report) = reports.recv().await {
             match report {
-                DiskReport::ListKept => self.list_state.borrow_mut().note_kept(),
+                DiskReport::ListStored => self.list_state.borrow_mut().note_stored(),
                 report => self.step_keeper(|keeper, now_ms| keeper.note_disk(report, now_ms)),
             }
         }
         warn!(target: "disk", "the disk thread has ended");
     }
 
-    /// Starts everything that runs beside the listeners.
+    /// Starts all tasks except the listeners for callers and operators.
     pub fn start(self: &Rc<Self>) -> std::io::Result<()> {
         let settings = self.settings.borrow().clone();
         let peer = SocketAddr::from((settings.ip, settings.peer_port));
