--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -1,4 +1,4 @@
-//! How a VM stays in contact with the leader: whom it asks, how often, and what it reports. Answers are in
+//! Renewals: how a VM stays in contact with the leader, how often, and what it reports. Answers are in
 //! `vm_grant`.
 
 use std::net::SocketAddr;
@@ -15,28 +15,30 @@
 };
 use crate::protocol::vm_wire::{decode, encode, vm_address, RenewalNote, VmDatagram, VmId};
 
-/// Without an answer for this long, a VM asks all keepers that it knows.
+/// A VM without an answer of the leader for this long, in milliseconds, sends its renewals to all known
+/// keepers.
 pub(super) const LEADER_TIMEOUT_MS: u64 = 2 * RENEW_MS + 50;
-/// What a renewal reported is kept for its answer this long, in milliseconds; later answers say
-/// nothing of the present any more.
-const REPORT_KEEP_MS: u64 = 2000;
-/// The largest datagram.
-const DATAGRAM_BYTES: usize = 64 << 10;
-/// VMs outside the keepers that are asked when no keeper answers.
-const OTHERS_ASKED: usize = 2;
-/// From [`MANY_VMS`] on a VM without a leader asks only so many of those who may know it, each time
-/// others: all asking all every 50 ms is more than the keepers of 300 VMs can answer.
-const SOME_ASKED: usize = 3;
+/// What a renewal reported is kept for its answer this long, in milliseconds. The sums in a later answer are
+/// too old to use.
+const REPORT_TTL_MS: u64 = 2000;
+/// The size of the buffer for one datagram, in bytes; no datagram is larger.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
+/// How many VMs other than keepers get a renewal while the leader doesn't answer.
+const OTHER_TARGETS: usize = 2;
+/// In a fleet of [`MANY_VMS`] or more, a VM without a leader sends each renewal to this many of its
+/// possible targets, and to others each time: if every VM sent to all of them every 50 ms, the keepers of
+/// 300 VMs couldn't answer.
+const MAX_TARGETS: usize = 3;
 
 impl VmNode {
-    /// Renews, again and again.
+    /// Renews in a loop, more often while there is no contact or no configuration.
     pub async fn run_renewals(self: Rc<Self>) {
         loop {
             self.renew();
             let silent = self.view.borrow().last_contact_ms + LEADER_TIMEOUT_MS <= self.now_ms();
-            // A VM without a list or routes can't serve; the leader may have them by now.
-            let lacks = !self.upstreams.borrow().is_held() || self.routes.borrow().is_none();
-            let young = lacks && self.clock.age_ms() < NO_LIST_MS;
+            // A VM without a list or routes can't serve. The leader may have them by now.
+            let incomplete = !self.upstreams.borrow().is_held() || self.routes.borrow().is_none();
+            let young = incomplete && self.clock.age_ms() < NO_LIST_MS;
             let pause = match silent || young {
                 true => leader_search_pause_ms(self.view.borrow().vms),
                 false => self.renew_pause_ms(),
@@ -45,7 +47,8 @@
         }
     }
 
-    /// A leader that may vouch now notifies all VMs that it knows, so that they need not find it.
+    /// Announces this VM as the leader, once a term, to the VMs of its roster and to those that sent it renewals
+    /// before it led, so that they needn't search for the leader.
     pub(super) fn announce_leadership(&self, now_ms: u64) {
         let term = match &*self.keeper.borrow() {
             Some(keeper) if keeper.is_confirmed_leader(now_ms) => keeper.term(),
@@ -55,17 +58,17 @@
             return;
         }
         let datagram = VmDatagram::Leads { term };
-        let known: Vec<VmId> = {
+        let others: Vec<VmId> = {
             let mut seekers = self.seekers.borrow_mut();
             let rows = self.view.borrow().roster.rows.iter().map(|row| row.id).collect::<Vec<_>>();
             seekers.extend(rows);
             std::mem::take(&mut *seekers).into_iter().filter(|id| *id != self.id).collect()
         };
-        info!(target: "contact", term, told = known.len(), "tells that it leads");
-        self.send_datagrams(known, &datagram);
+        info!(target: "contact", term, told = others.len(), "tells that it leads");
+        self.send_datagrams(others, &datagram);
     }
 
-    /// A VM announced that it leads.
+    /// Records that another VM announced itself as the leader, and renews with it.
     fn note_leader(&self, from: VmId, term: u64) {
         let newer = {
             let mut view = self.view.borrow_mut();
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Renews once, with the leader or a VM that may know it.
+    /// Renews once, with the leader or with VMs that may return its address.
     pub fn renew(&self) {
         let now_ms = self.now_ms();
         if self.grant_to_itself(now_ms) {
@@ -98,8 +101,7 @@
         self.send_datagrams(self.request_targets(now_ms), &renewal);
     }
 
-    /// A renewal; what it reports of the own load is kept, to take it off the sum that the answer
-    /// brings.
+    /// Makes a renewal. Keeps the loads that it reports, to subtract them from the sums in the answer.
     fn renewal(&self, now_ms: u64) -> VmDatagram {
         let loads = self.own_loads();
         let keeper = self.keeper.borrow().as_ref().map(|keeper| keeper.incarnation);
@@ -136,7 +138,7 @@
             crashes,
         };
         view.own_reported.insert(now_ms, note.loads.clone());
-        view.own_reported.retain(|reported_ms, _| reported_ms + REPORT_KEEP_MS > now_ms);
+        view.own_reported.retain(|reported_ms, _| reported_ms + REPORT_TTL_MS > now_ms);
         VmDatagram::Renew(note)
     }
 
@@ -149,36 +151,36 @@
                 return vec![leader];
             }
         }
-        let mut asked: Vec<VmId> = leader.into_iter().collect();
-        asked.extend(&view.keepers);
+        let mut targets: Vec<VmId> = leader.into_iter().collect();
+        targets.extend(&view.keepers);
         if let Some(keeper) = &*self.keeper.borrow() {
-            asked.extend(keeper.members().iter().map(|id| id.0));
+            targets.extend(keeper.members().iter().map(|id| id.0));
         }
-        asked.extend(self.settings.borrow().seeds.iter().map(|ip| VmId::from(*ip)));
+        targets.extend(self.settings.borrow().seeds.iter().map(|ip| VmId::from(*ip)));
         let rows = &view.roster.rows;
         if !rows.is_empty() {
             let start = self.draw() as usize;
-            let others = (0..OTHERS_ASKED).map(|at| rows[(start + at) % rows.len()]);
-            asked.extend(others.map(|row| row.id));
+            let others = (0..OTHER_TARGETS).map(|at| rows[(start + at) % rows.len()]);
+            targets.extend(others.map(|row| row.id));
         }
-        asked.sort_unstable();
-        asked.dedup();
-        asked.retain(|id| *id != self.id);
+        targets.sort_unstable();
+        targets.dedup();
+        targets.retain(|id| *id != self.id);
         if view.vms >= MANY_VMS {
-            let start = self.draw() as usize % asked.len().max(1);
-            asked.rotate_left(start);
-            asked.truncate(SOME_ASKED);
-            // The last one known comes back first, mostly.
-            asked.extend(leader.filter(|leader| !asked.contains(leader)));
+            let start = self.draw() as usize % targets.len().max(1);
+            targets.rotate_left(start);
+            targets.truncate(MAX_TARGETS);
+            // The last known leader is mostly the first one that answers again.
+            targets.extend(leader.filter(|leader| !targets.contains(leader)));
         }
-        asked
+        targets
     }
 
     pub(super) fn send_datagram(&self, to: VmId, datagram: &VmDatagram) {
         self.send_datagrams([to], datagram);
     }
 
-    /// Sends one datagram to several VMs.
+    /// Encodes a datagram once and sends it to several VMs.
     pub(super) fn send_datagrams(&self, to: impl IntoIterator<Item = VmId>, datagram: &VmDatagram) {
         let bytes = encode(datagram);
         to.into_iter().for_each(|id| self.send_bytes(id, datagram.kind(), &bytes));
@@ -192,9 +194,9 @@
         }
     }
 
-    /// Takes datagrams, for ever.
+    /// Receives datagrams in a loop.
     pub async fn receive_datagrams(self: Rc<Self>) {
-        let mut buffer = vec![0; DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.datagrams.recv_from(&mut buffer).await {
                 Ok(received) => received,
@@ -209,7 +211,9 @@
                     self.wire.received(datagram.kind(), length as u64 + DATAGRAM_HEAD_BYTES);
                     self.handle_datagram(VmId::from(*from.ip()), datagram);
                 }
-                Err(error) => debug!(target: "contact", %from, "no datagram of ours: {error}"),
+                Err(error) => {
+                    debug!(target: "contact", %from, "a datagram cannot be decoded: {error}")
+                }
             }
         }
     }
@@ -257,20 +261,20 @@
         }
     }
 
-    /// Waits until the configuration in force is surely the newest as of `since_ms`; false when it
-    /// can't be proved in time.
-    pub async fn confirm(&self, since_ms: u64, patience: Duration) -> bool {
-        self.wait_for_proof(patience, || self.contact.borrow().confirmed_ms() >= since_ms).await
+    /// Waits until the configuration in force is confirmed as the newest one as of `since_ms`. Returns false if
+    /// that doesn't happen within `timeout`.
+    pub async fn confirm(&self, since_ms: u64, timeout: Duration) -> bool {
+        self.wait_for_proof(timeout, || self.contact.borrow().confirmed_ms() >= since_ms).await
     }
 
-    /// The same for orders of zones and roll-outs. Other VMs prove the configuration too, and prove
-    /// nothing of orders: only the leader does.
-    pub async fn confirm_orders(&self, since_ms: u64, patience: Duration) -> bool {
+    /// Waits until the orders for zones and roll-outs are confirmed as the newest ones as of `since_ms`. Only
+    /// the leader confirms orders; the configuration may also be confirmed by other VMs.
+    pub async fn confirm_orders(&self, since_ms: u64, timeout: Duration) -> bool {
         let proved = || self.rollouts.borrow().tracker().proved_ms() >= Some(since_ms);
-        self.wait_for_proof(patience, proved).await
+        self.wait_for_proof(timeout, proved).await
     }
 
-    async fn wait_for_proof(&self, patience: Duration, proved: impl Fn() -> bool) -> bool {
+    async fn wait_for_proof(&self, timeout: Duration, proved: impl Fn() -> bool) -> bool {
         let confirmed = async {
             loop {
                 let changed = self.contact_changed.notified();
@@ -281,6 +285,6 @@
             }
         };
         self.renew();
-        tokio::time::timeout(patience, confirmed).await.is_ok()
+        tokio::time::timeout(timeout, confirmed).await.is_ok()
     }
 }
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -1,7 +1,7 @@
-//! Reads the platform's list of upstreams, by the leader, or by a few in its place.
+//! Reads the platform's list of upstreams, on the leader or, without one, on a few other VMs.
 //!
-//! One VM reads, since calls cost and are limited; `list_reader` decides which. How a list
-//! comes to those who don't read is in `vm_list_news`.
+//! Only one VM reads at a time, since calls of the platform are limited; `list_reader` decides which one.
+//! How the list reaches the other VMs is in `vm_list_news`.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -27,80 +27,80 @@
 use crate::state::rollout_order::VersionKey;
 use crate::state::upstream_list::UpstreamEntry;
 
-/// The pause after a call that failed, times the failures in a row, in milliseconds.
-const FAIL_MS: u64 = 200;
-/// How often a VM closes and forgets what it needs no more, in milliseconds.
-const SWEEP_MS: u64 = 1000;
-/// How often a VM looks whether it has to read.
-const LOOK_TIME: Duration = Duration::from_millis(50);
-/// How long one call may take.
-const CALL_TIME: Duration = Duration::from_millis(1000);
+/// The pause after a failed call, in milliseconds; it is multiplied by the failures in a row, up to five.
+const FAILURE_PAUSE_MS: u64 = 200;
+/// How often a VM discards the state of upstreams that are no longer listed, in milliseconds.
+const SWEEP_INTERVAL_MS: u64 = 1000;
+/// How often a VM checks whether it has to read the list.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The largest page, in bytes.
-const PAGE_BYTES: usize = 4 << 20;
-/// The most pages that are read, so that a list that never ends can't hold the VM.
-const MOST_PAGES: usize = 1000;
+const MAX_PAGE_BYTES: usize = 4 << 20;
+/// The most pages of one reading: a list without an end would otherwise keep the VM reading forever.
+const MAX_PAGES: usize = 1000;
 
-/// Findings that are remembered from one reading to the next, so that each is logged once.
-const MOST_FOUND: usize = 256;
-/// Lives that one line names.
-const LIVES_NAMED: usize = 8;
-/// How often one page is asked for again when the platform takes no more calls.
+/// The most findings that are remembered from one reading to the next, so that each is logged once.
+const MAX_FINDINGS: usize = 256;
+/// The most upstreams that one log line names.
+const MAX_LOGGED_NAMES: usize = 8;
+/// How often one page is requested again after the platform refused a call as one too many.
 const PAGE_TRIES: u32 = 5;
 
-/// Why a page isn't there.
-enum ListFault {
-    /// The platform takes no more calls just now.
+/// Why a page or the list could not be read.
+enum ListError {
+    /// The platform refused the call as one too many.
     TooMany,
-    /// The list was received meanwhile, so the rest isn't read.
+    /// The list arrived from another VM meanwhile, so the remaining pages aren't needed.
     Received,
-    /// Anything else.
+    /// Any other failure, in words.
     Other(String),
 }
 
-impl std::fmt::Display for ListFault {
+impl std::fmt::Display for ListError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ListFault::TooMany => write!(f, "the platform takes no more calls"),
-            ListFault::Received => write!(f, "others tell it by now"),
-            ListFault::Other(text) => write!(f, "{text}"),
+            ListError::TooMany => write!(f, "the platform takes no more calls"),
+            ListError::Received => write!(f, "the list was received from another VM meanwhile"),
+            ListError::Other(text) => write!(f, "{text}"),
         }
     }
 }
 
-/// Why a reading is made, and what is remembered from one to the next.
+/// What the reader remembers from one reading to the next.
 #[derive(Default)]
 struct ReaderState {
-    /// The term in which it last read as the leader.
+    /// The term in which this VM last read as the leader.
     read_term: u64,
-    /// Whether it reads without a leader.
+    /// Whether this VM reads in place of a leader.
     alone: bool,
-    /// Refusals in a row while it does.
+    /// Refused calls in a row while it does.
     refusals: u32,
     /// Other failures in a row.
-    fails: u64,
+    failures: u64,
 }
 
 impl VmNode {
-    /// Reads the list when that is up to this VM, and requests it from others when none sends it, for ever.
+    /// Reads the list whenever this VM is its reader, and requests it from others when none arrives, in a loop.
     pub async fn run_list_reader(self: Rc<Self>) {
         let mut reader = ReaderState::default();
         let mut swept_ms = 0;
         loop {
             let now_ms = self.now_ms();
-            if now_ms >= swept_ms + SWEEP_MS {
+            if now_ms >= swept_ms + SWEEP_INTERVAL_MS {
                 swept_ms = now_ms;
                 self.sweep();
-                self.keep_on_disk();
+                self.store_on_disk();
             }
-            let vouches = |keeper: &KeeperDriver| keeper.is_confirmed_leader(now_ms);
-            let term = self.keeper.borrow().as_ref().filter(|k| vouches(k)).map(|k| k.term());
-            let action = self.action(term.is_some(), now_ms);
+            let leads = |keeper: &KeeperDriver| keeper.is_confirmed_leader(now_ms);
+            let term = self.keeper.borrow().as_ref().filter(|k| leads(k)).map(|k| k.term());
+            let action = self.current_action(term.is_some(), now_ms);
             if action != ListAction::Rest || self.is_unconfirmed(now_ms) {
                 self.request_updates(now_ms);
             }
             let alone = term.is_none() && action == ListAction::Read;
             if alone && !reader.alone {
-                self.note_stale(now_ms);
+                self.log_stale(now_ms);
                 reader.refusals = 0;
                 self.set_list_due(0);
             }
@@ -108,7 +108,7 @@
             let new_leader = term.is_some_and(|term| term != reader.read_term);
             let due = now_ms >= self.view.borrow().list_due_ms;
             if !(new_leader || due && (alone || term.is_some())) {
-                tokio::time::sleep(LOOK_TIME).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
                 continue;
             }
             reader.read_term = term.unwrap_or(reader.read_term);
@@ -116,31 +116,33 @@
         }
     }
 
-    /// Reads once, and sets when the list is due again.
+    /// Reads the list once, and sets when it is due again.
     async fn read_when_due(&self, reader: &mut ReaderState) {
         let began_ms = self.now_ms();
         let reading = self.read_list(reader.alone, reader.refusals).await;
         match reading.and_then(|reading| self.resolve_reading(&reading)) {
             Ok(rows) => {
-                (reader.fails, reader.refusals) = (0, 0);
+                (reader.failures, reader.refusals) = (0, 0);
                 self.apply_reading(rows, reader.alone, began_ms);
-                self.note_replaced();
+                self.log_replaced();
                 self.contact_changed.notify_waiters();
                 self.answer_waiting();
                 self.set_list_due(self.leader_pause_ms(began_ms) + self.draw() % 50);
             }
-            Err(ListFault::TooMany) if reader.alone => {
+            Err(ListError::TooMany) if reader.alone => {
                 reader.refusals += 1;
                 let pause_ms = self.list_cost().leaderless_pause_ms(reader.refusals);
                 self.set_list_due(pause_ms / 2 + self.draw() % pause_ms);
             }
-            Err(ListFault::Received) => self.set_list_due(self.leader_pause_ms(began_ms)),
+            Err(ListError::Received) => self.set_list_due(self.leader_pause_ms(began_ms)),
             Err(error) => {
-                if reader.fails == 0 {
+                if reader.failures == 0 {
                     warn!(target: "list", "cannot be read: {error}");
                 }
-                reader.fails += 1;
-                self.set_list_due(reader.fails.min(5) * FAIL_MS + self.draw() % FAIL_MS);
+                reader.failures += 1;
+                self.set_list_due(
+                    reader.failures.min(5) * FAILURE_PAUSE_MS + self.draw() % FAILURE_PAUSE_MS,
+                );
             }
         }
     }
@@ -156,11 +158,11 @@
         ListCost { calls_per_s, pages: self.view.borrow().list_pages.max(1) }
     }
 
-    /// What to do about the list. A leader reads by its own pace; it asks too when its list is old,
-    /// since others may come through where it doesn't.
-    fn action(&self, leads: bool, now_ms: u64) -> ListAction {
+    /// What this VM has to do for its list now. A leader reads at its own pace anyway; it also requests the list
+    /// from others when its own is old, since others may reach the platform when it doesn't.
+    fn current_action(&self, leads: bool, now_ms: u64) -> ListAction {
         let first_heard_ms = self.view.borrow().first_contact_ms;
-        let standing = {
+        let status = {
             let upstreams = self.upstreams.borrow();
             ListStatus {
                 first_heard_ms,
@@ -169,7 +171,7 @@
                 has_list: upstreams.is_held(),
             }
         };
-        match list_action(&standing, now_ms, || self.reader_rank()) {
+        match list_action(&status, now_ms, || self.reader_rank()) {
             ListAction::Read if leads => ListAction::Ask,
             action => action,
         }
@@ -180,52 +182,52 @@
         order.iter().position(|id| *id == self.id).unwrap_or(order.len())
     }
 
-    fn note_stale(&self, now_ms: u64) {
+    fn log_stale(&self, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(self.upstreams.borrow().confirmed_ms);
         let rank = self.reader_rank();
         info!(target: "list", age_ms, rank, "too old, is read without the leader");
     }
 
-    /// What a reading shows, in view of what was known; says what of it can't be read.
-    fn resolve_reading(&self, reading: &ListReading) -> Result<Vec<UpstreamEntry>, ListFault> {
-        self.note_unread(reading);
-        let settled = reading.resolve(&self.upstreams.borrow());
-        let nothing = || ListFault::Other("none of its entries can be read".to_string());
-        let settled = settled.ok_or_else(nothing)?;
-        if !settled.duplicates.is_empty() {
-            let lives = &settled.duplicates;
-            info!(target: "list", ?lives, "stand there with several births, the later ones hold");
+    /// The entries of a reading, resolved against the list held so far. Logs the entries that can't be read.
+    fn resolve_reading(&self, reading: &ListReading) -> Result<Vec<UpstreamEntry>, ListError> {
+        self.log_unread(reading);
+        let resolved = reading.resolve(&self.upstreams.borrow());
+        let nothing = || ListError::Other("none of its entries can be read".to_string());
+        let resolved = resolved.ok_or_else(nothing)?;
+        if !resolved.duplicates.is_empty() {
+            let lives = &resolved.duplicates;
+            info!(target: "list", ?lives, "several entries of one name, the one that started last is used");
         }
-        Ok(settled.rows)
+        Ok(resolved.rows)
     }
 
-    /// Logs what can't be read and was not so at the last reading, within the budget of one place.
-    fn note_unread(&self, reading: &ListReading) {
+    /// Logs findings that the last reading didn't have, at most [`LINES_PER_PLACE`] of them.
+    fn log_unread(&self, reading: &ListReading) {
         let texts = |findings: &mut dyn Iterator<Item = &Finding>| -> BTreeSet<String> {
-            findings.take(MOST_FOUND).map(Finding::to_string).collect()
+            findings.take(MAX_FINDINGS).map(Finding::to_string).collect()
         };
         let unread = reading.unread.iter().map(|entry| &entry.finding);
         let found = texts(&mut unread.chain(&reading.findings));
-        let mut desk = self.list_state.borrow_mut();
-        desk.unread = reading.unread.len() + reading.findings.len();
+        let mut state = self.list_state.borrow_mut();
+        state.unread = reading.unread.len() + reading.findings.len();
         let (all, odd) = (reading.unread.len(), reading.findings.len());
-        let fresh = || found.iter().filter(|text| !desk.found.contains(*text));
+        let fresh = || found.iter().filter(|text| !state.found.contains(*text));
         for text in fresh().take(LINES_PER_PLACE as usize) {
             info!(target: "list", finding = text, unread = all, odd, "holds what cannot be read");
         }
-        desk.found = found;
+        state.found = found;
     }
 
-    /// Logs which incarnations the last change replaced.
-    pub(super) fn note_replaced(&self) {
+    /// Logs which upstreams the last change replaced by a later incarnation.
+    pub(super) fn log_replaced(&self) {
         let lives = std::mem::take(&mut self.upstreams.borrow_mut().last_replaced);
         if !lives.is_empty() {
-            let (count, lives) = (lives.len(), &lives[..lives.len().min(LIVES_NAMED)]);
+            let (count, lives) = (lives.len(), &lives[..lives.len().min(MAX_LOGGED_NAMES)]);
             info!(target: "list", count, ?lives, "started again under their names");
         }
     }
 
-    /// Forgets what belongs to upstreams that are on the list no more.
+    /// Discards the state of upstreams that are no longer listed.
     fn sweep(&self) {
         let upstreams = self.upstreams.borrow();
         let known = |key| upstreams.entries.contains_key(&key);
@@ -255,31 +257,31 @@
             }
             _ => None,
         };
-        let Some((term, seats, loads)) = led else {
-            // Read as a leader, and no longer one that may vouch: the next leader reads anew.
+        let Some((term, ring_slots, loads)) = led else {
+            // A reading begun as the leader is dropped if this VM leads no longer: the next leader reads again.
             if alone {
                 self.apply_leaderless_reading(rows, began_ms);
             }
             return;
         };
         self.log_versions(&rows);
-        let before = RingSlotTable::of(&seats);
-        let mut seats = before.clone();
-        // While a zone is emptied the others can't wait for its seats to become vacant: those without one
-        // would leave their part of the work to the rest.
-        let patient = match self.zones.borrow().watch.any_emptied() {
+        let before = RingSlotTable::of(&ring_slots);
+        let mut ring_slots = before.clone();
+        // While a zone is evacuated, engines without a ring slot don't wait for its slots to become vacant:
+        // the others would have to do their share of the work meanwhile.
+        let waiting = match self.zones.borrow().watch.any_emptied() {
             true => BTreeSet::new(),
             false => {
                 waiting_services(&self.upstreams.borrow(), &loads, |name| self.engine_slots(name))
             }
         };
-        // Engines of a version that is rolled out replace none yet, and need seats before all traffic
-        // comes: without seats all prompts would go to the first of them.
+        // Engines of a version that is rolled out replace none yet, and need ring slots before they get all
+        // traffic: without slots all prompts would go to the first of them.
         let runs = |service: &String| self.rollouts.borrow().tracker().is_running(service);
-        let patient = patient.into_iter().filter(|service| !runs(service)).collect();
-        seats.assign(&mut rows, &self.upstreams.borrow(), &patient, now_ms);
-        if seats != before {
-            self.step_keeper(|keeper, now_ms| keeper.record_ring_slots(seats.rows(), now_ms));
+        let waiting = waiting.into_iter().filter(|service| !runs(service)).collect();
+        ring_slots.assign(&mut rows, &self.upstreams.borrow(), &waiting, now_ms);
+        if ring_slots != before {
+            self.step_keeper(|keeper, now_ms| keeper.record_ring_slots(ring_slots.rows(), now_ms));
         }
         let step =
             self.upstreams.borrow_mut().update_from_read(rows, Some(term), self.id, began_ms);
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Logs versions that no upstream of their service had in the list before.
+    /// Logs each version that no listed upstream of its service had before.
     fn log_versions(&self, rows: &[UpstreamEntry]) {
         let upstreams = self.upstreams.borrow();
         let mut seen: BTreeSet<(&str, VersionKey)> =
@@ -301,31 +303,32 @@
         }
     }
 
-    /// How many requests one engine of a service runs at once; none for other services.
+    /// How many requests one engine of a service runs at once; `None` for services without engines.
     pub(super) fn engine_slots(&self, service: &str) -> Option<u32> {
         let routes = self.routes.borrow().clone()?;
         let entry = routes.table.services.iter().find(|entry| entry.name == service)?;
         entry.engine.as_ref().map(|engine| engine.slots)
     }
 
-    /// A VM that doesn't lead keeps the seats that it received.
+    /// Applies a reading of a VM that doesn't lead. It keeps the ring slots that it received, and assigns them
+    /// only if it has none yet.
     fn apply_leaderless_reading(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
         let mut upstreams = self.upstreams.borrow_mut();
-        let mut seats = RingSlotTable::default();
+        let mut ring_slots = RingSlotTable::default();
         if upstreams.is_held() {
             for row in &mut rows {
                 row.ring_slot = upstreams.entries.get(&row.key()).and_then(|known| known.ring_slot);
             }
         } else {
-            seats.assign(&mut rows, &upstreams, &BTreeSet::new(), began_ms);
+            ring_slots.assign(&mut rows, &upstreams, &BTreeSet::new(), began_ms);
         }
         upstreams.update_from_read(rows, None, self.id, began_ms);
     }
 
-    async fn read_list(&self, alone: bool, refusals: u32) -> Result<ListReading, ListFault> {
+    async fn read_list(&self, alone: bool, refusals: u32) -> Result<ListReading, ListError> {
         let mut reading = ListReading::default();
         let mut next: Option<String> = None;
-        for number in 0..MOST_PAGES {
+        for number in 0..MAX_PAGES {
             let cost = self.list_cost();
             let pause_ms = match alone {
                 true => cost.leaderless_page_ms(number, refusals),
@@ -334,8 +337,8 @@
             if pause_ms > 0 {
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             }
-            if alone && self.action(false, self.now_ms()) == ListAction::Rest {
-                return Err(ListFault::Received);
+            if alone && self.current_action(false, self.now_ms()) == ListAction::Rest {
+                return Err(ListError::Received);
             }
             let tries = if alone { 0 } else { PAGE_TRIES };
             let page = self.read_page(next.as_deref(), tries).await?;
@@ -348,21 +351,21 @@
                 }
             }
         }
-        Err(ListFault::Other(format!("more than {MOST_PAGES} pages")))
+        Err(ListError::Other(format!("more than {MAX_PAGES} pages")))
     }
 
-    /// Reads one page; so many times again, after a pause, when the platform takes no more calls
-    /// just now, so that the pages before it aren't read in vain.
-    async fn read_page(&self, token: Option<&str>, tries: u32) -> Result<UpstreamPage, ListFault> {
+    /// Reads one page. Repeats a call that the platform refused as one too many up to `tries` times, after a
+    /// pause each, so that the pages before it needn't be read again.
+    async fn read_page(&self, token: Option<&str>, tries: u32) -> Result<UpstreamPage, ListError> {
         let call = self.adapter.list_call(token);
         let mut left = tries;
         loop {
-            let body = tokio::time::timeout(CALL_TIME, self.call_list(&call)).await;
-            match body.unwrap_or_else(|_| Err(ListFault::Other("no answer in time".to_string()))) {
-                Ok(body) => return self.adapter.read_list(&body).map_err(ListFault::Other),
-                Err(ListFault::TooMany) if left > 0 => {
+            let body = tokio::time::timeout(CALL_TIMEOUT, self.call_list(&call)).await;
+            match body.unwrap_or_else(|_| Err(ListError::Other("no answer in time".to_string()))) {
+                Ok(body) => return self.adapter.read_list(&body).map_err(ListError::Other),
+                Err(ListError::TooMany) if left > 0 => {
                     left -= 1;
-                    let pause_ms = FAIL_MS + self.draw() % FAIL_MS;
+                    let pause_ms = FAILURE_PAUSE_MS + self.draw() % FAILURE_PAUSE_MS;
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                 }
                 Err(fault) => return Err(fault),
@@ -370,8 +373,8 @@
         }
     }
 
-    async fn call_list(&self, call: &str) -> Result<Bytes, ListFault> {
-        let other = |text: String| ListFault::Other(text);
+    async fn call_list(&self, call: &str) -> Result<Bytes, ListError> {
+        let other = |text: String| ListError::Other(text);
         let address = self.settings.borrow().list.address;
         let approach = ConnectTarget {
             upstream: self.list_key(),
@@ -388,12 +391,12 @@
         let answer = lease.sender().send_request(request).await;
         let answer = answer.map_err(|error| other(error.to_string()))?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), PAGE_BYTES).collect().await;
+        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES).collect().await;
         let body = body.map_err(|error| other(error.to_string()))?.to_bytes();
         lease.finish(false, None, self.now_ms()).await;
         match status {
             StatusCode::OK => Ok(body),
-            StatusCode::TOO_MANY_REQUESTS => Err(ListFault::TooMany),
+            StatusCode::TOO_MANY_REQUESTS => Err(ListError::TooMany),
             status => Err(other(format!("status {status}"))),
         }
     }
--- a/lib/src/transport/vm_list_desk.rs
+++ b/lib/src/transport/vm_list_desk.rs
@@ -1,4 +1,4 @@
-//! What one VM holds of those who wait for the list of upstreams; see `docs/design/fleet-news.md`.
+//! The state of exchanging the list of upstreams with other VMs; see `docs/design/fleet-news.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,29 +8,32 @@
 use crate::protocol::vm_wire::{NewsAsk, VmId};
 use crate::state::upstream_list::ListRevision;
 
-/// Who waits for the list or for news of it, and what was done for that.
+/// The VMs that wait for the list or an update of it, this VM's own requests, and its copy on disk.
 #[derive(Default)]
 pub struct ListState {
-    /// Who wants a newer state than this VM holds, and what they hold.
-    pub(super) wanting: BTreeMap<VmId, ListRevision>,
-    /// Questions that could not be answered yet, and when they came.
-    pub(super) asking: BTreeMap<VmId, (NewsAsk, u64)>,
-    /// When this VM asked last, and how often in a row.
-    pub(super) asked_ms: u64,
+    /// VMs that requested a newer list than this VM holds, with the revisions that they have.
+    pub(super) list_waiters: BTreeMap<VmId, ListRevision>,
+    /// Requests for an update that could not be answered yet, with the times at which they arrived.
+    pub(super) update_waiters: BTreeMap<VmId, (NewsAsk, u64)>,
+    /// When this VM last sent requests for an update.
+    pub(super) requested_ms: u64,
+    /// How many times in a row it has sent them before.
     pub(super) round: usize,
-    /// Entries that could not be read in full, at this VM's last reading, and what was wrong.
+    /// How many entries and other parts of the list this VM could not read at its last reading.
     pub(super) unread: usize,
+    /// The texts of the findings of that reading.
     pub(super) found: BTreeSet<String>,
-    /// The thread that keeps the list on disk, at a keeper.
+    /// The queue of the disk thread, on a keeper.
     pub disk: Option<Sender<DiskJob>>,
-    /// What it was last given, and whether it is still at it.
-    pub(super) kept: ListRevision,
-    pub(super) keeping: bool,
+    /// The revision that the disk thread was last given.
+    pub(super) stored: ListRevision,
+    /// Whether the disk thread is still writing it.
+    pub(super) storing: bool,
 }
 
 impl ListState {
-    /// The disk has what it was given, or can't take it.
+    /// The disk thread has written the list that it was given, or has failed to.
     pub fn note_stored(&mut self) {
-        self.keeping = false;
+        self.storing = false;
     }
 }
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -1,9 +1,9 @@
-//! How the list of upstreams, and what is known of its age, comes from VM to VM.
+//! How the list of upstreams and its age spread from VM to VM.
 //!
-//! A leader sends steps to all. A VM that lacks a state requests it from one that holds it, and is answered at
-//! once or as soon as that VM holds it. A VM without news for too long asks a few others
-//! what they know, whether there is a leader or not: what is known anywhere outlives the leader.
-//! Invariant: an answer to a question proves only what was so when the question was sent. See
+//! The leader sends each change. A VM that lacks a revision requests it from one that holds it, and is
+//! answered at once or as soon as that VM holds it. A VM without an update for too long requests updates
+//! from a few others, with or without a leader, so that the newest state isn't lost with the leader.
+//! Invariant: an answer confirms only what held when its request was sent. See
 //! `docs/design/fleet-news.md`.
 
 use tracing::info;
@@ -16,26 +16,27 @@
 use crate::state::kept_list::KeptList;
 use crate::state::upstream_list::{ListDelta, ListRevision, UpstreamEntry};
 
-/// The list isn't asked for again within this time while one is held, in milliseconds: whole lists
-/// asked for with every answer of the leader were what filled its link at 300 VMs.
-const WANT_AGAIN_MS: u64 = 600;
-/// The same while none is held, which is when nothing can be served.
-const WANT_FIRST_MS: u64 = 300;
-/// The same while a large frame is being received, which may be the list.
-const WANT_LARGE_MS: u64 = 2000;
-/// A step of more rows isn't sent to every VM by the leader: its link and its processor carry copies to a
-/// few keepers, not to a thousand VMs.
-const MOST_PUSHED_ROWS: usize = 100;
-/// Questions are remembered this long for a later answer, in milliseconds; who asked asks again.
-const ASK_KEEP_MS: u64 = 2000;
-/// What is younger by less than this is no news, in milliseconds: two that wait for the same
-/// reading would only send each other the delay of their datagrams.
-const YOUNGER_MS: u64 = 200;
-/// A VM whose configuration was confirmed longer ago than this part of the time within which a
-/// change must be in force asks others, too.
-const UNCONFIRMED_PART: u64 = 2;
+/// The shortest time between two requests for the list while this VM holds one, in milliseconds. With a
+/// request at every grant, the whole lists fill the leader's link at 300 VMs.
+const REPEAT_MS: u64 = 600;
+/// The shortest time between two requests while this VM holds no list and can't serve, in milliseconds.
+const REPEAT_WITHOUT_LIST_MS: u64 = 300;
+/// The shortest time between two requests while a large frame, which may be the list, is being received, in
+/// milliseconds.
+const REPEAT_RECEIVING_MS: u64 = 2000;
+/// The leader sends a delta of more rows than this to the keepers only: its link and its processor can't
+/// carry copies to a thousand VMs.
+const MAX_PUSHED_ROWS: usize = 100;
+/// How long a request for an update is kept for a later answer, in milliseconds. Its sender repeats it.
+const WAITER_TTL_MS: u64 = 2000;
+/// An age counts as newer only if it is lower by more than this, in milliseconds: otherwise two VMs that wait
+/// for the same reading would keep answering each other with differences that are only network delay.
+const MIN_NEWER_MS: u64 = 200;
+/// A VM requests updates from others once its configuration was confirmed longer ago than the time within
+/// which a change must be in force, divided by this.
+const UNCONFIRMED_DIVISOR: u64 = 2;
 
-/// An age as sent, in milliseconds; what never was is older than any.
+/// The age of something in milliseconds, as it is sent; the highest number if it never happened.
 pub(super) fn sent_age_ms(since_ms: u64, now_ms: u64) -> u32 {
     match since_ms {
         0 => u32::MAX,
@@ -44,8 +45,8 @@
 }
 
 impl VmNode {
-    /// The VMs by the order in which they read without a leader. The leader itself comes last of
-    /// all: it reads anyway, or it is gone.
+    /// The VMs in the order in which they read the list without a leader. The last leader comes last: it reads
+    /// anyway, or it has ended.
     pub(super) fn readers(&self) -> Vec<VmId> {
         let view = self.view.borrow();
         let leader = view.leader;
@@ -58,29 +59,29 @@
         order
     }
 
-    /// Whether the configuration in force was confirmed so long ago that others should be asked.
+    /// Whether the configuration in force was confirmed so long ago that this VM requests updates from others.
     pub(super) fn is_unconfirmed(&self, now_ms: u64) -> bool {
         let contact = self.contact.borrow();
         let apply_ms = self.settings.borrow().bounds.apply_ms;
-        contact.applied() > 0 && contact.age_ms(now_ms) > apply_ms / UNCONFIRMED_PART
+        contact.applied() > 0 && contact.age_ms(now_ms) > apply_ms / UNCONFIRMED_DIVISOR
     }
 
-    /// Asks a few others what they know, unless it just did.
+    /// Requests updates from a few other VMs, unless it has just done so.
     pub(super) fn request_updates(&self, now_ms: u64) {
         let (round, due) = {
-            let mut desk = self.list_state.borrow_mut();
-            let due = desk.asked_ms + LIST_REQUEST_MS <= now_ms;
+            let mut state = self.list_state.borrow_mut();
+            let due = state.requested_ms + LIST_REQUEST_MS <= now_ms;
             if due {
-                let in_a_row = desk.asked_ms + 3 * LIST_REQUEST_MS > now_ms;
-                desk.round = if in_a_row { desk.round + 1 } else { 0 };
-                desk.asked_ms = now_ms;
+                let in_a_row = state.requested_ms + 3 * LIST_REQUEST_MS > now_ms;
+                state.round = if in_a_row { state.round + 1 } else { 0 };
+                state.requested_ms = now_ms;
             }
-            (desk.round, due)
+            (state.round, due)
         };
         if !due {
             return;
         }
-        let ask = {
+        let request = {
             let upstreams = self.upstreams.borrow();
             NewsAsk {
                 sent_ms: now_ms,
@@ -93,40 +94,40 @@
         if order.len() <= 1 {
             order.extend(self.settings.borrow().seeds.iter().map(|ip| VmId::from(*ip)));
         }
-        let asked = request_targets(&order, self.id, round, self.draw() as usize);
-        self.send_datagrams(asked, &VmDatagram::AskNews(ask));
+        let targets = request_targets(&order, self.id, round, self.draw() as usize);
+        self.send_datagrams(targets, &VmDatagram::AskNews(request));
     }
 
-    /// Answers a question at once if this VM knows more, or remembers it.
-    pub(super) fn answer_update_request(&self, from: VmId, ask: NewsAsk) {
+    /// Answers a request for an update at once if this VM has newer state; otherwise keeps the request.
+    pub(super) fn answer_update_request(&self, from: VmId, request: NewsAsk) {
         let now_ms = self.now_ms();
-        if !self.answer_if_known(from, ask, now_ms) {
-            self.list_state.borrow_mut().asking.insert(from, (ask, now_ms));
+        if !self.answer_if_newer(from, request, now_ms) {
+            self.list_state.borrow_mut().update_waiters.insert(from, (request, now_ms));
         }
     }
 
-    fn answer_if_known(&self, to: VmId, ask: NewsAsk, came_ms: u64) -> bool {
+    fn answer_if_newer(&self, to: VmId, request: NewsAsk, received_ms: u64) -> bool {
         let note = {
             let (upstreams, contact) = (self.upstreams.borrow(), self.contact.borrow());
             PeerNote {
-                sent_ms: ask.sent_ms,
+                sent_ms: request.sent_ms,
                 list: upstreams.revision,
-                list_age_ms: sent_age_ms(upstreams.confirmed_ms, came_ms),
+                list_age_ms: sent_age_ms(upstreams.confirmed_ms, received_ms),
                 version: contact.applied(),
-                version_age_ms: sent_age_ms(contact.confirmed_ms(), came_ms),
+                version_age_ms: sent_age_ms(contact.confirmed_ms(), received_ms),
             }
         };
-        let younger = |own: u32, other: u32| u64::from(own) + YOUNGER_MS < u64::from(other);
-        let knows = note.list > ask.list
-            || note.list == ask.list && younger(note.list_age_ms, ask.list_age_ms)
-            || younger(note.version_age_ms, ask.version_age_ms);
-        if knows {
+        let younger = |own: u32, other: u32| u64::from(own) + MIN_NEWER_MS < u64::from(other);
+        let newer = note.list > request.list
+            || note.list == request.list && younger(note.list_age_ms, request.list_age_ms)
+            || younger(note.version_age_ms, request.version_age_ms);
+        if newer {
             self.send_datagram(to, &VmDatagram::PeerNews(note));
         }
-        knows
+        newer
     }
 
-    /// Takes what another VM knows.
+    /// Applies an update that another VM sent, and requests from it what is newer there.
     pub(super) fn apply_peer_update(&self, from: VmId, note: PeerNote) {
         let now_ms = self.now_ms();
         self.note_list_age(note.list, note.sent_ms, note.list_age_ms);
@@ -144,26 +145,26 @@
         self.answer_waiting();
     }
 
-    /// Another VM answered a question of `sent_ms` that it held the state `mark` then, and how long
-    /// before that was surely the platform's.
-    pub(super) fn note_list_age(&self, mark: ListRevision, sent_ms: u64, age_ms: u32) {
+    /// Records an answer to a request of `sent_ms`: the other VM held `revision` then, which was confirmed as the
+    /// platform's own list `age_ms` before.
+    pub(super) fn note_list_age(&self, revision: ListRevision, sent_ms: u64, age_ms: u32) {
         let mut upstreams = self.upstreams.borrow_mut();
-        upstreams.note_revision(mark);
+        upstreams.note_revision(revision);
         if age_ms < u32::MAX {
-            upstreams.confirm(mark, sent_ms.saturating_sub(u64::from(age_ms)));
+            upstreams.confirm(revision, sent_ms.saturating_sub(u64::from(age_ms)));
         }
     }
 
-    /// Asks for a newer state of the list, unless that was done a moment ago or a large answer is on
-    /// its way. A keeper of the own zone is asked first, since many ask at once; `holder` has it surely, and
-    /// is asked by a leader, which no other VM can give anything newer.
+    /// Requests a newer list, unless it has just done so or may be receiving one. Many VMs do so at once, so a
+    /// keeper of the own zone gets the request first. `holder` certainly holds a newer list; a leader sends the
+    /// request there, since no other VM can be expected to have it.
     pub(super) fn request_list(&self, holder: VmId, now_ms: u64) {
         let have = self.upstreams.borrow().revision;
         let held = self.upstreams.borrow().is_held();
         let again_ms = match (self.links.is_receiving_large(), held) {
-            (true, _) => WANT_LARGE_MS,
-            (false, true) => WANT_AGAIN_MS,
-            (false, false) => WANT_FIRST_MS,
+            (true, _) => REPEAT_RECEIVING_MS,
+            (false, true) => REPEAT_MS,
+            (false, false) => REPEAT_WITHOUT_LIST_MS,
         };
         let attempt = {
             let mut view = self.view.borrow_mut();
@@ -181,18 +182,18 @@
         self.links.send(source, &VmMessage::WantList { have });
     }
 
-    /// Answers a VM that wants a newer state than it holds, now or once there is one.
+    /// Answers a VM that requests a list newer than `have`, now or once there is one.
     pub(super) fn answer_list_request(&self, to: VmId, have: ListRevision) {
         let upstreams = self.upstreams.borrow();
         if upstreams.revision <= have {
-            self.list_state.borrow_mut().wanting.insert(to, have);
+            self.list_state.borrow_mut().list_waiters.insert(to, have);
             return;
         }
         match upstreams.delta_since(have) {
-            Some(step) => {
-                let marks = (step.from, step.to);
-                let make = || VmMessage::ListDelta(step);
-                self.links.send_shared(to, "list_step", marks, &self.delta_frame, make);
+            Some(delta) => {
+                let revisions = (delta.from, delta.to);
+                let make = || VmMessage::ListDelta(delta);
+                self.links.send_shared(to, "list_step", revisions, &self.delta_frame, make);
             }
             None => {
                 self.links.send_shared(to, "list", upstreams.revision, &self.list_frame, || {
@@ -202,70 +203,73 @@
         }
     }
 
-    /// Answers those who wait with what is known by now.
+    /// Answers the waiting VMs for which this VM has something newer by now.
     pub(super) fn answer_waiting(&self) {
         let now_ms = self.now_ms();
-        let (wanting, asking) = {
-            let mut desk = self.list_state.borrow_mut();
-            if desk.wanting.is_empty() && desk.asking.is_empty() {
+        let (list_waiters, update_waiters) = {
+            let mut state = self.list_state.borrow_mut();
+            if state.list_waiters.is_empty() && state.update_waiters.is_empty() {
                 return;
             }
-            (std::mem::take(&mut desk.wanting), std::mem::take(&mut desk.asking))
+            (std::mem::take(&mut state.list_waiters), std::mem::take(&mut state.update_waiters))
         };
-        wanting.into_iter().for_each(|(to, have)| self.answer_list_request(to, have));
-        let unanswered = asking.into_iter().filter(|(to, (ask, came_ms))| {
-            came_ms + ASK_KEEP_MS > now_ms && !self.answer_if_known(*to, *ask, *came_ms)
+        list_waiters.into_iter().for_each(|(to, have)| self.answer_list_request(to, have));
+        let unanswered = update_waiters.into_iter().filter(|(to, (request, received_ms))| {
+            received_ms + WAITER_TTL_MS > now_ms
+                && !self.answer_if_newer(*to, *request, *received_ms)
         });
         let unanswered: Vec<_> = unanswered.collect();
-        self.list_state.borrow_mut().asking.extend(unanswered);
+        self.list_state.borrow_mut().update_waiters.extend(unanswered);
     }
 
-    /// Sends the others a list that changed, or a new leader's first. What is large goes to the
-    /// keepers alone: the others hear of its mark with their next grant and ask those of their zones.
-    pub(super) fn send_list(&self, step: ListDelta) {
+    /// Sends a change of the list to the other VMs, or a new leader's first list. The first list and large
+    /// changes go to the keepers only: the other VMs get the revision with their next grant and request the list
+    /// from keepers of their zones.
+    pub(super) fn send_list(&self, delta: ListDelta) {
         let upstreams = self.upstreams.borrow().entries.len();
-        let changed = step.change.rows.len() + step.change.removed.len();
-        info!(target: "list", upstreams, changed, change = step.to.change, "changed");
+        let changed = delta.change.rows.len() + delta.change.removed.len();
+        info!(target: "list", upstreams, changed, change = delta.to.change, "changed");
         let view = self.view.borrow();
         let not_own = |id: &VmId| *id != self.id;
         let keepers = view.keepers.iter().copied().filter(not_own);
-        if step.from.change == 0 {
-            let whole = VmMessage::List { mark: step.to, rows: self.upstreams.borrow().rows() };
+        if delta.from.change == 0 {
+            let whole = VmMessage::List { mark: delta.to, rows: self.upstreams.borrow().rows() };
             self.links.send_all(keepers, &whole);
-        } else if changed > MOST_PUSHED_ROWS {
-            self.links.send_all(keepers, &VmMessage::ListDelta(step));
+        } else if changed > MAX_PUSHED_ROWS {
+            self.links.send_all(keepers, &VmMessage::ListDelta(delta));
         } else {
             let others = view.roster.rows.iter().map(|row| row.id).filter(not_own);
-            self.links.send_all(others, &VmMessage::ListDelta(step));
+            self.links.send_all(others, &VmMessage::ListDelta(delta));
         }
     }
 
-    /// Takes a step that another VM sent; asks that VM if it doesn't fit what is here.
-    pub(super) fn apply_list_delta(&self, from: VmId, step: ListDelta) {
+    /// Applies a delta that another VM sent. If it doesn't fit the list held here, requests the list there.
+    pub(super) fn apply_list_delta(&self, from: VmId, delta: ListDelta) {
         let have = self.upstreams.borrow().revision;
-        if step.to <= have {
+        if delta.to <= have {
             return;
         }
-        if self.upstreams.borrow_mut().apply_delta(step, self.now_ms()) {
+        if self.upstreams.borrow_mut().apply_delta(delta, self.now_ms()) {
             self.note_received();
         } else {
             self.links.send(from, &VmMessage::WantList { have });
         }
     }
 
-    /// Takes a whole list that another VM sent, or that was kept on disk.
-    pub(super) fn apply_list(&self, mark: ListRevision, rows: Vec<UpstreamEntry>) {
-        if self.upstreams.borrow_mut().take_whole(mark, rows, self.now_ms()) {
+    /// Applies a whole list that another VM sent, or that was stored on disk.
+    pub(super) fn apply_list(&self, revision: ListRevision, rows: Vec<UpstreamEntry>) {
+        if self.upstreams.borrow_mut().take_whole(revision, rows, self.now_ms()) {
             self.note_received();
         }
     }
 
-    /// Another VM's state was taken: that one knows what of it could not be read.
+    /// Clears what belongs to this VM's own reading, now that another VM's list is in use. The VM that read the
+    /// list reports its findings.
     fn note_received(&self) {
         {
-            let mut desk = self.list_state.borrow_mut();
-            desk.unread = 0;
-            desk.found.clear();
+            let mut state = self.list_state.borrow_mut();
+            state.unread = 0;
+            state.found.clear();
         }
         self.view.borrow_mut().list_attempts = 0;
         self.upstreams.borrow_mut().last_replaced.clear();
@@ -273,18 +277,18 @@
         self.answer_waiting();
     }
 
-    /// Has the disk keep the list, if it is another than before and the disk is free.
-    pub(super) fn keep_on_disk(&self) {
+    /// Has the disk thread store the list, if it has changed since it was last stored and the thread isn't busy.
+    pub(super) fn store_on_disk(&self) {
         let upstreams = self.upstreams.borrow();
-        let mut desk = self.list_state.borrow_mut();
-        if desk.keeping || !upstreams.is_held() || desk.kept == upstreams.revision {
+        let mut state = self.list_state.borrow_mut();
+        if state.storing || !upstreams.is_held() || state.stored == upstreams.revision {
             return;
         }
         let list = KeptList { mark: upstreams.revision, rows: upstreams.rows() };
         let sent =
-            desk.disk.as_ref().is_some_and(|disk| disk.send(DiskJob::KeepList(list)).is_ok());
+            state.disk.as_ref().is_some_and(|disk| disk.send(DiskJob::KeepList(list)).is_ok());
         if sent {
-            (desk.keeping, desk.kept) = (true, upstreams.revision);
+            (state.storing, state.stored) = (true, upstreams.revision);
         }
     }
 }
