--- a/lib/src/transport/vm_connection.rs
+++ b/lib/src/transport/vm_connection.rs
@@ -26,7 +26,7 @@
 use super::vm_answer::close_after;
 use super::vm_guard::ConnectionGuard;
 use super::vm_node::VmNode;
-use super::vm_pulse::{ConnectionPulse, WatchedBody, WatchedStream};
+use super::vm_pulse::{ConnectionActivity, WatchedBody, WatchedStream};
 use super::vm_relay::AnswerBody;
 use super::vm_request_record::ConnectionRecord;
 
@@ -51,19 +51,20 @@
     let _open = ConnectionGuard::new(&node);
     let closing = node.closing.notified();
     tokio::pin!(closing);
-    let (pulse, record) = (ConnectionPulse::default(), ConnectionRecord::default());
-    let mut idle = Some(WatchedStream::new(stream, pulse.clone()));
+    let (activity, record) = (ConnectionActivity::default(), ConnectionRecord::default());
+    let mut idle = Some(WatchedStream::new(stream, activity.clone()));
     while let Some(stream) = idle.take() {
         let idle_ms = idle_timeout_ms(&node);
         tokio::select! {
             readable = timeout(Duration::from_millis(idle_ms), stream.wait()) => if readable.is_err() { return },
             () = closing.as_mut() => return,
         }
-        let (pulse, record, serve) = (pulse.clone(), record.clone(), serve.clone());
+        let (activity, record, serve) = (activity.clone(), record.clone(), serve.clone());
         // Boxed, so that an idle connection doesn't keep the memory of this future.
-        idle = Box::pin(run_requests(&node, stream, serve, pulse, record, closing.as_mut())).await;
+        idle =
+            Box::pin(run_requests(&node, stream, serve, activity, record, closing.as_mut())).await;
     }
-    if pulse.is_broken() {
+    if activity.is_broken() {
         record.log_broken(node.now_ms());
     }
 }
@@ -79,7 +80,7 @@
     node: &Rc<VmNode>,
     stream: WatchedStream,
     serve: F,
-    pulse: ConnectionPulse,
+    activity: ConnectionActivity,
     record: ConnectionRecord,
     closing: Pin<&mut Notified<'_>>,
 ) -> Option<WatchedStream>
@@ -89,22 +90,22 @@
 {
     let limits = node.routes.borrow().as_ref().map(|routes| routes.table.limits);
     let head_bytes = limits.map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes);
-    pulse.begin_run();
+    activity.begin_serving();
     let service = {
-        let (node, pulse) = (node.clone(), pulse.clone());
+        let (node, activity) = (node.clone(), activity.clone());
         service_fn(move |mut request: Request<Incoming>| -> ServedAnswer {
-            pulse.begin_request();
+            activity.note_request();
             let may_be_open_ended =
                 request.version() == Version::HTTP_10 && request.method() != Method::HEAD;
             request.extensions_mut().insert(record.clone());
-            let (node, pulse) = (node.clone(), pulse.clone());
+            let (node, activity) = (node.clone(), activity.clone());
             let answer = serve(node.clone(), request);
             Box::pin(async move {
                 let answer = answer.await;
                 if may_be_open_ended && is_open_ended(&answer) {
-                    pulse.note_open_ended();
+                    activity.note_open_ended();
                 }
-                let answer = answer.map(|body| pulse.watch_body(body));
+                let answer = answer.map(|body| activity.watch_body(body));
                 let stopping = node.stopping_ms.get().is_some();
                 Ok(if stopping { close_after(answer) } else { answer })
             })
@@ -116,7 +117,7 @@
         .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let is_idle = tokio::select! {
-        is_idle = poll_fn(|context| poll_run(&mut connection, &pulse, context)) => is_idle,
+        is_idle = poll_fn(|context| poll_run(&mut connection, &activity, context)) => is_idle,
         () = closing => {
             Pin::new(&mut connection).graceful_shutdown();
             let _ = (&mut connection).await;
@@ -145,7 +146,7 @@
 /// that remainder would be parsed as the next request.
 fn poll_run<S>(
     connection: &mut Connection<TokioIo<WatchedStream>, S>,
-    pulse: &ConnectionPulse,
+    activity: &ConnectionActivity,
     context: &mut Context<'_>,
 ) -> Poll<bool>
 where
@@ -155,7 +156,7 @@
         if Pin::new(&mut *connection).poll(context).is_ready() {
             return Poll::Ready(false);
         }
-        if !pulse.is_at_rest() {
+        if !activity.is_idle() {
             return Poll::Pending;
         }
     }
--- a/lib/src/transport/vm_control.rs
+++ b/lib/src/transport/vm_control.rs
@@ -1,5 +1,5 @@
-//! The operator's calls: put and get of the configuration; orders of zones are in `vm_zones`, of
-//! roll-outs in `vm_rollouts`. What the platform's adapter doesn't know goes to `vm_fleet_calls`.
+//! Operators' calls that put and get the configuration. Orders for zones are in `vm_zones`, those for
+//! roll-outs in `vm_rollouts`. Calls that the platform's adapter doesn't recognize go to `vm_fleet_calls`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 use crate::protocol::wire_adapter::ControlCall;
 use crate::state::packed_text::PackedText;
 
-/// The largest document, in bytes.
-const DOCUMENT_BYTES: usize = 8 << 20;
-/// How long a put waits before it looks for the leader again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// The largest document that is read, in bytes.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
+/// The pause before a put looks for the leader again.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Serves one call of an operator.
+/// Serves one call at the operators' address.
 pub async fn serve_operator(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     match node.adapter.control_call(request.method(), request.uri()) {
         ControlCall::Put => put_document(&node, request).await,
@@ -40,7 +40,7 @@
 }
 
 async fn put_document(node: &Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let body = match Limited::new(request.into_body(), DOCUMENT_BYTES).collect().await {
+    let body = match Limited::new(request.into_body(), MAX_DOCUMENT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => return own_answer(StatusCode::BAD_REQUEST, error.to_string()),
     };
@@ -56,7 +56,7 @@
     match committed {
         Ok(()) => own_answer(StatusCode::OK, "{}"),
         Err(_) => {
-            info!(target: "control", version, "a document is not known to be committed in time");
+            info!(target: "control", version, "a document was not confirmed as committed in time");
             refusal(StatusCode::SERVICE_UNAVAILABLE, "not known to be committed", 300)
         }
     }
@@ -77,14 +77,14 @@
     /// Returns once a document of this version, or of a higher one, is committed.
     async fn replicate(self: &Rc<Self>, version: u64, document: PackedText) {
         loop {
-            // What is in force was committed before it was sent.
+            // A document is in force only after it was committed.
             if self.contact.borrow().applied() >= version {
                 return;
             }
             if self.put_at_leader(version, &document).await {
                 return;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -108,7 +108,7 @@
         }
         for delay in RECHECK_DELAYS {
             tokio::time::sleep(delay).await;
-            match self.pool.take(self.trial(upstream, address)).await {
+            match self.pool.take(self.probe_target(upstream, address)).await {
                 Ok(lease) => lease.finish(false, None, self.now_ms()).await,
                 Err(fault) => return fault == ConnectFault::ConnectionRefused,
             }
--- a/lib/src/transport/vm_disk.rs
+++ b/lib/src/transport/vm_disk.rs
@@ -1,9 +1,9 @@
-//! The thread that writes a keeper's files: a sync may stall for seconds and must stop
+//! The thread that writes a keeper's files. A sync may stall for seconds, which must delay
 //! neither streams nor heartbeats.
 //!
 //! Jobs are carried out in order and each is answered once. After a failure the store
-//! is unusable until an [`DiskJob::Install`] has written everything anew. A list that can't be kept
-//! is no such failure: it only makes a start slower.
+//! is unusable until a [`DiskJob::Install`] has rewritten everything. A list that can't be stored
+//! doesn't count as a failure: without it only the next start is slower.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -17,35 +17,38 @@
 use crate::state::kept_list::{read_kept, write_kept, KeptList};
 use crate::state::log_store::{LogStore, StoreError, StoredState};
 
-/// The pause before a folder that can't be opened is tried again.
-const OPEN_RETRY: Duration = Duration::from_millis(500);
-/// The thread does nothing but encode and write.
+/// The pause between two attempts to open the folder, or to move a damaged one aside.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The stack of the thread, in bytes; it only encodes and writes, which needs little.
 const STACK_BYTES: usize = 256 << 10;
 
-/// What the thread answers.
+/// A report of the thread.
 #[derive(Debug)]
 pub enum DiskReport {
-    /// The folder is open; the list of upstreams, if one was kept.
+    /// The folder is open: the disk's incarnation, the state, and the list of upstreams if one was stored.
     Opened(Incarnation, Box<StoredState>, Option<KeptList>),
     /// The last job of the consensus is on disk.
     Done,
     /// The last job of the consensus failed.
     Failed(String),
-    /// The list of upstreams is on disk, or can't be kept now.
+    /// The list of upstreams is on disk, or could not be stored.
     ListStored,
 }
 
-/// Starts the thread; reports come back through `reports`.
+/// Starts the thread and returns the queue of its jobs. Its reports are sent to `reports`; a blank disk
+/// gets the incarnation `new_incarnation`.
 pub fn start_disk(
     folder: PathBuf,
     keeper: KeeperId,
-    new_life: Incarnation,
+    new_incarnation: Incarnation,
     reports: UnboundedSender<DiskReport>,
 ) -> std::io::Result<Sender<DiskJob>> {
     let (sender, jobs) = unbounded();
     std::thread::Builder::new().name("disk".to_string()).stack_size(STACK_BYTES).spawn(
         move || {
-            let Some(store) = open_store(&folder, keeper, new_life, &reports) else { return };
+            let Some(store) = open_store(&folder, keeper, new_incarnation, &reports) else {
+                return;
+            };
             run_jobs(&folder, store, &jobs, |report| reports.send(report).is_ok());
         },
     )?;
@@ -55,30 +58,30 @@
 fn open_store(
     folder: &PathBuf,
     keeper: KeeperId,
-    new_life: Incarnation,
+    new_incarnation: Incarnation,
     reports: &UnboundedSender<DiskReport>,
 ) -> Option<LogStore> {
     loop {
-        match LogStore::open(folder, keeper, new_life) {
+        match LogStore::open(folder, keeper, new_incarnation) {
             Ok((store, state)) => {
-                let kept = read_kept(folder).unwrap_or_else(|error| {
+                let stored_list = read_kept(folder).unwrap_or_else(|error| {
                     warn!(target: "disk", "the list that was kept cannot be read: {error}");
                     None
                 });
-                let opened = DiskReport::Opened(store.incarnation, Box::new(state), kept);
+                let opened = DiskReport::Opened(store.incarnation, Box::new(state), stored_list);
                 reports.send(opened).ok()?;
                 return Some(store);
             }
             Err(StoreError::Io { what, path, source }) => {
                 warn!(target: "disk", "cannot {what} {}: {source}; trying again", path.display());
-                std::thread::sleep(OPEN_RETRY);
+                std::thread::sleep(RETRY_PAUSE);
             }
             Err(damage) => {
-                // The group has what this disk lost; a new life of the disk joins it anew.
-                error!(target: "disk", "the folder is given up and made anew: {damage}");
-                if let Err(error) = set_folder_aside(folder) {
-                    warn!(target: "disk", "cannot set the folder aside: {error}");
-                    std::thread::sleep(OPEN_RETRY);
+                // The group has what this disk lost; the disk joins again as a new incarnation.
+                error!(target: "disk", "the folder is damaged and is made anew: {damage}");
+                if let Err(error) = move_files_aside(folder) {
+                    warn!(target: "disk", "cannot move the damaged files aside: {error}");
+                    std::thread::sleep(RETRY_PAUSE);
                 }
             }
         }
@@ -86,7 +89,7 @@
 }
 
 /// Moves the damaged files into a folder beside the new ones, for inspection.
-fn set_folder_aside(folder: &PathBuf) -> std::io::Result<()> {
+fn move_files_aside(folder: &PathBuf) -> std::io::Result<()> {
     let aside = folder.join("damaged");
     let _ = std::fs::remove_dir_all(&aside);
     std::fs::create_dir(&aside)?;
@@ -99,7 +102,7 @@
     Ok(())
 }
 
-/// Carries out jobs until the queue is closed, or `report` finds its receiver gone.
+/// Carries out jobs until the queue is closed or `report` returns false.
 pub(super) fn run_jobs(
     folder: &Path,
     mut store: LogStore,
@@ -111,19 +114,19 @@
         Err(error) => DiskReport::Failed(error.to_string()),
     };
     for job in jobs {
-        let end = match job {
+        let outcome = match job {
             DiskJob::Append(batch) => to_report(store.append(&batch)),
             DiskJob::Install(snapshot, hard_state, entries) => {
                 to_report(store.install(&snapshot, hard_state, &entries))
             }
             DiskJob::KeepList(list) => {
                 if let Err(error) = write_kept(folder, &list) {
-                    warn!(target: "disk", "the list cannot be kept: {error}");
+                    warn!(target: "disk", "the list cannot be stored: {error}");
                 }
                 DiskReport::ListStored
             }
         };
-        if !report(end) {
+        if !report(outcome) {
             return;
         }
     }
--- a/lib/src/transport/vm_fleet_calls.rs
+++ b/lib/src/transport/vm_fleet_calls.rs
@@ -1,6 +1,6 @@
-//! Serves the product's own operators' interface of a VM: the paths and forms are in `fleet_calls`, the
-//! orders those of `vm_rollouts` and `vm_zones`. A question is answered only after the leader confirmed
-//! what this VM holds.
+//! Serves the product's own operators' interface: paths and formats are in `fleet_calls`, orders are
+//! handled by `vm_rollouts` and `vm_zones`. A query is answered only after the leader has confirmed the
+//! state that this VM holds.
 
 use std::rc::Rc;
 
@@ -13,14 +13,14 @@
 use super::vm_node::VmNode;
 use super::vm_orders::ANSWER_TIME;
 use super::vm_relay::AnswerBody;
-use super::vm_rollouts::{begin_rollout, not_sure};
+use super::vm_rollouts::{begin_rollout, unconfirmed_answer};
 use super::vm_zones::order_zone;
 use crate::protocol::fleet_calls::{
     read_fleet_call, read_start, write_findings, FleetCall, RolloutView, ZoneView,
 };
 use crate::protocol::vm_wire::{FleetOrder, OrderEnd};
 
-/// Serves a call that the platform's adapter doesn't know.
+/// Serves a call that the platform's adapter doesn't recognize.
 pub async fn serve_fleet_call(
     node: Rc<VmNode>,
     request: Request<Incoming>,
@@ -47,47 +47,47 @@
 async fn get(node: &Rc<VmNode>, service: &str) -> Response<AnswerBody> {
     match node.confirm_orders(node.now_ms(), ANSWER_TIME).await {
         true => row_answer(node, service),
-        false => not_sure(),
+        false => unconfirmed_answer(),
     }
 }
 
-/// Rolls back the order that was the last one when the operator asked, never a later one.
+/// Rolls back the service's last roll-out as of the operator's call, never a later one.
 async fn abort(node: &Rc<VmNode>, service: String) -> Response<AnswerBody> {
     let arrived_ms = node.now_ms();
     if !node.confirm_orders(arrived_ms, ANSWER_TIME).await {
-        return not_sure();
+        return unconfirmed_answer();
     }
     let Some(number) = node.last_rollout(&service) else { return row_answer(node, &service) };
     let order = || FleetOrder::RollBack { service: service.clone(), number };
     let end = node.order_until(arrived_ms, order).await;
-    info!(target: "control", service, number, ?end, "a roll-back is asked for");
+    info!(target: "control", service, number, ?end, "a roll-back is requested");
     match end {
         OrderEnd::Taken => row_answer(node, &service),
         OrderEnd::UnderWay => own_answer(StatusCode::CONFLICT, "it is complete"),
-        OrderEnd::NotTaken => not_sure(),
+        OrderEnd::NotTaken => unconfirmed_answer(),
     }
 }
 
 async fn list_rollouts(node: &Rc<VmNode>) -> Response<AnswerBody> {
     if !node.confirm_orders(node.now_ms(), ANSWER_TIME).await {
-        return not_sure();
+        return unconfirmed_answer();
     }
-    let desk = node.rollouts.borrow();
-    let watch = desk.tracker();
-    let rows = watch.table().rows().iter();
+    let state = node.rollouts.borrow();
+    let tracker = state.tracker();
+    let rows = tracker.table().rows().iter();
     let mut views: Vec<RolloutView> =
-        rows.map(|row| RolloutView::new(row, &watch.counts(&row.order.service))).collect();
+        rows.map(|row| RolloutView::new(row, &tracker.counts(&row.order.service))).collect();
     views.sort_by(|one, other| one.service.cmp(&other.service));
     value_answer(&views)
 }
 
 async fn list_zones(node: &Rc<VmNode>) -> Response<AnswerBody> {
     if !node.confirm_orders(node.now_ms(), ANSWER_TIME).await {
-        return not_sure();
+        return unconfirmed_answer();
     }
     let zones = node.known_zones();
-    let desk = node.zones.borrow();
-    let orders = &desk.watch.orders;
+    let state = node.zones.borrow();
+    let orders = &state.watch.orders;
     let view = |zone: String| ZoneView {
         emptied: orders.is_emptied(&zone),
         number: orders.last_number(&zone),
@@ -97,9 +97,9 @@
 }
 
 fn row_answer(node: &Rc<VmNode>, service: &str) -> Response<AnswerBody> {
-    let desk = node.rollouts.borrow();
-    match desk.tracker().table().row(service) {
-        Some(row) => value_answer(&RolloutView::new(row, &desk.tracker().counts(service))),
+    let state = node.rollouts.borrow();
+    match state.tracker().table().row(service) {
+        Some(row) => value_answer(&RolloutView::new(row, &state.tracker().counts(service))),
         None => own_answer(StatusCode::NOT_FOUND, "there was none of this service"),
     }
 }
@@ -113,7 +113,7 @@
 
 impl VmNode {
     fn last_rollout(&self, service: &str) -> Option<u64> {
-        let desk = self.rollouts.borrow();
-        desk.tracker().table().row(service).map(|row| row.order.number)
+        let state = self.rollouts.borrow();
+        state.tracker().table().row(service).map(|row| row.order.number)
     }
 }
--- a/lib/src/transport/vm_links.rs
+++ b/lib/src/transport/vm_links.rs
@@ -1,5 +1,5 @@
-//! Links between VMs: one connection a direction, kept; a full or broken link drops
-//! frames, since everything that is sent over it is said again.
+//! Links between VMs: one lasting TCP connection for each direction. A full or broken link drops frames,
+//! since all that is sent over links is sent again when it matters.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,21 +21,21 @@
     decode_frame_body, decode_frame_head, encode_frame, vm_address, VmId, VmMessage, FRAME_HEAD,
 };
 
-/// Frames that wait for one link.
-const LINK_FRAMES: usize = 64;
-/// A connection that isn't up after this long is given up.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
-/// A frame that isn't taken after this long breaks the link; a large document on a link of
-/// 10 Mbit/s takes less.
-const WRITE_TIME: Duration = Duration::from_millis(2000);
-/// A link that carried nothing for this long is closed.
-const REST_TIME: Duration = Duration::from_secs(10);
-/// The pause after a connection that could not be accepted.
+/// The most frames that wait for one link; further ones are dropped.
+const MAX_QUEUED_FRAMES: usize = 64;
+/// The timeout of connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// A link is closed if writing one frame takes longer than this. A large document takes less on a network
+/// of 10 Mbit/s.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// A link without a frame for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The pause after an accept that failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A frame of this size or more takes a noticeable time on a link of 10 Mbit/s.
+/// Frames of this size or more, in bytes, count as large: they take a noticeable time at 10 Mbit/s.
 const LARGE_FRAME_BYTES: usize = 32 << 10;
 
-/// Frames that a link has taken and not yet written. Clones share the bytes.
+/// Frames that a link has queued or is writing. Clones share the bytes.
 type UnsentFrames = Rc<RefCell<Vec<Bytes>>>;
 
 /// The sending end of one link.
@@ -45,22 +45,22 @@
 }
 
 impl PeerLink {
-    /// Takes a frame to send, unless the link is full.
-    fn take(&self, frame: Bytes) -> bool {
-        let taken = self.frames.try_send(frame.clone()).is_ok();
-        if taken {
+    /// Queues a frame and returns true, unless the link is full.
+    fn queue(&self, frame: Bytes) -> bool {
+        let queued = self.frames.try_send(frame.clone()).is_ok();
+        if queued {
             self.unsent.borrow_mut().push(frame);
         }
-        taken
+        queued
     }
 
-    /// Whether this very frame still waits for the link.
+    /// Whether this link is still to send these very bytes.
     fn is_sending(&self, frame: &Bytes) -> bool {
         self.unsent.borrow().iter().any(|waiting| waiting.as_ptr() == frame.as_ptr())
     }
 }
 
-/// The links of one VM.
+/// The links of one VM to the others.
 #[derive(Clone)]
 pub struct LinkTable {
     own: VmId,
@@ -71,7 +71,7 @@
 }
 
 impl LinkTable {
-    /// The links of VM `own`, to `port` of the others.
+    /// Creates the table for VM `own`; `port` is the peer port of all VMs.
     pub fn new(own: VmId, port: u16, wire: Rc<WireCount>) -> LinkTable {
         LinkTable { own, port, links: Rc::default(), wire, large_incoming: Rc::default() }
     }
@@ -81,7 +81,7 @@
         self.send_frame(to, message.kind(), encode_frame(self.own, message));
     }
 
-    /// Sends one message to several VMs; they share its bytes.
+    /// Sends one message to several VMs; the links share its bytes.
     pub fn send_all(&self, to: impl Iterator<Item = VmId>, message: &VmMessage) {
         let frame = encode_frame(self.own, message);
         for id in to {
@@ -89,26 +89,27 @@
         }
     }
 
-    /// Whether a large frame is being received. Its sender needn't be asked for it again.
+    /// Whether a large frame is being received, which may be an answer that this VM needn't request again.
     pub fn is_receiving_large(&self) -> bool {
         self.large_incoming.get() > 0
     }
 
-    /// Sends what `make` makes, once for each `mark`: after a common restart every VM asks for the
-    /// same large answer, and the links share its bytes. An answer that a link is still sending is
-    /// not sent again.
+    /// Sends the message of `make`, which is encoded once for each `revision` and cached in `shared`: after a
+    /// restart of the whole fleet every VM requests the same large answer, and the links share its bytes. An
+    /// answer that a link is still sending isn't sent again.
     pub fn send_shared<M: PartialEq + Copy>(
         &self,
         to: VmId,
         kind: &'static str,
-        mark: M,
+        revision: M,
         shared: &RefCell<Option<(M, Bytes)>>,
         make: impl FnOnce() -> VmMessage,
     ) {
-        let kept = shared.borrow().as_ref().filter(|(of, _)| *of == mark).map(|(_, f)| f.clone());
+        let kept =
+            shared.borrow().as_ref().filter(|(of, _)| *of == revision).map(|(_, f)| f.clone());
         let frame = kept.unwrap_or_else(|| {
             let frame = encode_frame(self.own, &make());
-            *shared.borrow_mut() = Some((mark, frame.clone()));
+            *shared.borrow_mut() = Some((revision, frame.clone()));
             frame
         });
         let under_way = self.links.borrow().get(&to).is_some_and(|link| link.is_sending(&frame));
@@ -121,36 +122,36 @@
         let bytes = frame.len() as u64;
         let mut links = self.links.borrow_mut();
         let open = links.get(&to).filter(|link| !link.frames.is_closed());
-        let taken = match open {
-            Some(link) => link.take(frame),
+        let queued = match open {
+            Some(link) => link.queue(frame),
             None => {
                 let link = self.open_link(to);
-                let taken = link.take(frame);
+                let queued = link.queue(frame);
                 links.insert(to, link);
-                taken
+                queued
             }
         };
-        match taken {
+        match queued {
             true => self.wire.sent(kind, bytes),
-            false => debug!(target: "link", to, "full, a frame is dropped"),
+            false => debug!(target: "link", to, "a link is full, a frame is dropped"),
         }
     }
 
     fn open_link(&self, to: VmId) -> PeerLink {
-        let (frames, receiver) = channel(LINK_FRAMES);
+        let (frames, receiver) = channel(MAX_QUEUED_FRAMES);
         let unsent = UnsentFrames::default();
         let address = SocketAddr::from((vm_address(to), self.port));
         spawn_local(run_link(address, receiver, unsent.clone()));
         PeerLink { frames, unsent }
     }
 
-    /// Takes links of other VMs and hands their messages to `take`.
-    pub async fn accept(self, listener: TcpListener, take: Rc<dyn Fn(VmId, VmMessage)>) {
+    /// Accepts links of other VMs and passes their messages to `handle`.
+    pub async fn accept(self, listener: TcpListener, handle: Rc<dyn Fn(VmId, VmMessage)>) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     set_stream(&stream);
-                    spawn_local(self.clone().read_link(stream, take.clone()));
+                    spawn_local(self.clone().read_link(stream, handle.clone()));
                 }
                 Err(error) => {
                     debug!(target: "link", "cannot accept: {error}");
@@ -160,7 +161,7 @@
         }
     }
 
-    async fn read_link(self, mut stream: TcpStream, take: Rc<dyn Fn(VmId, VmMessage)>) {
+    async fn read_link(self, mut stream: TcpStream, handle: Rc<dyn Fn(VmId, VmMessage)>) {
         loop {
             let mut head = [0; FRAME_HEAD];
             if stream.read_exact(&mut head).await.is_err() {
@@ -169,7 +170,7 @@
             let head = match decode_frame_head(head) {
                 Ok(head) => head,
                 Err(error) => {
-                    debug!(target: "link", "closes: {error}");
+                    debug!(target: "link", "a link is closed: {error}");
                     return;
                 }
             };
@@ -182,11 +183,11 @@
             match decode_frame_body(head, body) {
                 Ok(message) => {
                     self.wire.received(message.kind(), (FRAME_HEAD + head.length) as u64);
-                    take(head.from, message);
+                    handle(head.from, message);
                 }
                 Err(error) => {
                     let from = vm_address(head.from);
-                    debug!(target: "link", %from, "closes: {error}");
+                    debug!(target: "link", %from, "a link is closed: {error}");
                     return;
                 }
             }
@@ -194,7 +195,7 @@
     }
 }
 
-/// Counts a large frame for as long as it is being received, whether or not it comes to its end.
+/// Counts a large frame while it is being received, also one that is cut off.
 struct LargeIncoming {
     count: Option<Rc<Cell<u32>>>,
 }
@@ -220,12 +221,12 @@
 async fn run_link(address: SocketAddr, mut frames: Receiver<Bytes>, unsent: UnsentFrames) {
     let mut stream: Option<TcpStream> = None;
     loop {
-        let frame = match timeout(REST_TIME, frames.recv()).await {
+        let frame = match timeout(IDLE_TIMEOUT, frames.recv()).await {
             Ok(Some(frame)) => frame,
             Ok(None) | Err(_) => return,
         };
         if stream.is_none() {
-            stream = match timeout(CONNECT_TIME, TcpStream::connect(address)).await {
+            stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
                 Ok(Ok(fresh)) => {
                     set_stream(&fresh);
                     Some(fresh)
@@ -239,12 +240,12 @@
             };
         }
         if let Some(open) = &mut stream {
-            if !matches!(timeout(WRITE_TIME, open.write_all(&frame)).await, Ok(Ok(()))) {
-                debug!(target: "link", %address, "broken");
+            if !matches!(timeout(WRITE_TIMEOUT, open.write_all(&frame)).await, Ok(Ok(()))) {
+                debug!(target: "link", %address, "a link is broken");
                 stream = None;
             }
         }
-        // Frames are written in the order in which they were taken.
+        // Frames are written in the order in which they were queued, so this is the first one.
         unsent.borrow_mut().remove(0);
     }
 }
--- a/lib/src/transport/vm_order_desk.rs
+++ b/lib/src/transport/vm_order_desk.rs
@@ -1,4 +1,4 @@
-//! What one VM holds of orders that a leader elsewhere was asked to take; see `vm_orders`.
+//! Orders that were sent to a leader on another VM and not answered yet; see `vm_orders`.
 
 use std::collections::HashMap;
 
@@ -6,8 +6,8 @@
 
 use crate::protocol::vm_wire::OrderVerdict;
 
-/// Whom this VM asked for what.
+/// The orders in flight, by the number in their message, with the tasks that wait for the verdicts.
 #[derive(Default)]
 pub struct PendingOrders {
-    pub(super) asked: HashMap<u64, oneshot::Sender<OrderVerdict>>,
+    pub(super) pending: HashMap<u64, oneshot::Sender<OrderVerdict>>,
 }
--- a/lib/src/transport/vm_orders.rs
+++ b/lib/src/transport/vm_orders.rs
@@ -1,8 +1,8 @@
-//! Orders of operators on their way to the leader, and what it answers.
+//! Operators' orders on their way to the leader, and its verdicts.
 //!
-//! The operator's next VM is asked after a second without an answer. So the VM that was asked first
-//! tries for [`ORDER_MS`] by its own steady clock, also when it stood still meanwhile: an order that
-//! it sent later could follow the operator's next one. See `docs/design/zones.md`.
+//! After a second without an answer, an operator sends its order to another VM. So the first VM stops trying
+//! after [`ORDER_MS`] by its monotonic clock, which also counts time in which the VM was suspended: an order
+//! that it sent later could take effect after the operator's next one. See `docs/design/zones.md`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::protocol::vm_wire::{FleetOrder, OrderEnd, OrderVerdict, VmId, VmMessage};
 use crate::state::fleet_record::FleetCommand;
 
-/// An order is tried for this long: operators go on to another VM after a second without an answer,
-/// and from then on this VM must not send it any more, or it could come after a later one.
+/// For how long a VM tries to have an order accepted, in milliseconds. Operators turn to another VM after
+/// a second without an answer; an order that this VM sent after that could take effect after a later one.
 pub(super) const ORDER_MS: u64 = 850;
-/// The same as a time, for what an answer to an operator waits for.
+/// [`ORDER_MS`] as a duration: the timeout of all else that an answer to an operator waits for.
 pub(super) const ANSWER_TIME: Duration = Duration::from_millis(ORDER_MS);
-/// How long the leader is waited for before the order is sent again.
-const REPLY_TIME: Duration = Duration::from_millis(400);
-/// How long an order waits before it looks for the leader again.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// The timeout of the leader's verdict, after which the order is sent again.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The pause before an order that wasn't accepted is tried again.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 impl VmNode {
-    /// Asks the leader to take an order until it says what became of it; `order` makes it from what is
-    /// known by then. Returns [`OrderEnd::NotTaken`] when that isn't known in time.
+    /// Sends an order to the leader until the leader decides on it; `order` makes it anew for each attempt from
+    /// the current state. Returns [`OrderEnd::NotTaken`] if there is no decision in time.
     pub(super) async fn order_until(
         self: &Rc<Self>,
         arrived_ms: u64,
@@ -33,21 +33,21 @@
     ) -> OrderEnd {
         while self.now_ms() < arrived_ms + ORDER_MS {
             match self.try_order(order()).await {
-                OrderEnd::NotTaken => tokio::time::sleep(LOOK_AGAIN).await,
+                OrderEnd::NotTaken => tokio::time::sleep(RETRY_PAUSE).await,
                 end => return end,
             }
         }
         OrderEnd::NotTaken
     }
 
-    /// Asks the leader once.
+    /// Sends an order to the leader once and returns its verdict.
     async fn try_order(self: &Rc<Self>, order: FleetOrder) -> OrderEnd {
         let own = self.keeper.borrow().as_ref().and_then(|keeper| keeper.leader());
         let leader = own.map(|id| id.0).or(self.view.borrow().leader);
         let verdict = match leader {
             None => return OrderEnd::NotTaken,
             Some(leader) if leader == self.id => {
-                tokio::time::timeout(REPLY_TIME, self.order_here(order)).await.ok()
+                tokio::time::timeout(REPLY_TIMEOUT, self.order_here(order)).await.ok()
             }
             Some(leader) => self.order_at(leader, order).await,
         };
@@ -59,34 +59,34 @@
 
     async fn order_at(&self, leader: VmId, order: FleetOrder) -> Option<OrderVerdict> {
         let (sender, receiver) = oneshot::channel();
-        let question = self.draw() ^ self.now_ms();
-        self.orders.borrow_mut().asked.insert(question, sender);
-        self.links.send(leader, &VmMessage::Order { question, order });
-        let verdict = tokio::time::timeout(REPLY_TIME, receiver).await;
-        self.orders.borrow_mut().asked.remove(&question);
+        let number = self.draw() ^ self.now_ms();
+        self.orders.borrow_mut().pending.insert(number, sender);
+        self.links.send(leader, &VmMessage::Order { question: number, order });
+        let verdict = tokio::time::timeout(REPLY_TIMEOUT, receiver).await;
+        self.orders.borrow_mut().pending.remove(&number);
         verdict.ok()?.ok()
     }
 
-    /// Takes an order here, as the leader.
+    /// Proposes an order at this VM's keeper and returns the verdict.
     async fn order_here(&self, order: FleetOrder) -> OrderVerdict {
         let command = match self.command_of(order) {
             Ok(command) => command,
-            Err(end) => return self.order_verdict(end),
+            Err(end) => return self.verdict_of(end),
         };
         let now_ms = self.now_ms();
         let proposed =
             self.keeper.borrow_mut().as_mut().map(|keeper| keeper.order(command, now_ms));
-        let taken = match proposed {
+        let accepted = match proposed {
             Some((receiver, outcome)) => {
                 self.carry_out(outcome);
                 receiver.await.unwrap_or(false)
             }
             None => false,
         };
-        self.order_verdict(if taken { OrderEnd::Taken } else { OrderEnd::NotTaken })
+        self.verdict_of(if accepted { OrderEnd::Taken } else { OrderEnd::NotTaken })
     }
 
-    /// The command that an order asks for; what became of it, when there is none to propose.
+    /// The command that carries out an order, or the verdict if there is nothing to propose.
     fn command_of(&self, order: FleetOrder) -> Result<FleetCommand, OrderEnd> {
         let keeper = self.keeper.borrow();
         let Some(keeper) = keeper.as_ref() else { return Err(OrderEnd::NotTaken) };
@@ -98,14 +98,14 @@
                     false => Err(OrderEnd::NotTaken),
                 }
             }
-            FleetOrder::Rollout(wish) => self.rollout_command(keeper, wish),
+            FleetOrder::Rollout(request) => self.rollout_command(keeper, request),
             FleetOrder::RollBack { service, number } => {
                 self.roll_back_command(keeper, &service, number)
             }
         }
     }
 
-    fn order_verdict(&self, end: OrderEnd) -> OrderVerdict {
+    fn verdict_of(&self, end: OrderEnd) -> OrderVerdict {
         let keeper = self.keeper.borrow();
         match keeper.as_ref() {
             Some(keeper) => OrderVerdict {
@@ -117,17 +117,17 @@
         }
     }
 
-    /// Another VM asks this one to take an order.
-    pub(super) async fn answer_order(self: Rc<Self>, from: VmId, question: u64, order: FleetOrder) {
+    /// Decides on an order that another VM sent, and replies.
+    pub(super) async fn answer_order(self: Rc<Self>, from: VmId, number: u64, order: FleetOrder) {
         let verdict = self.order_here(order).await;
-        self.links.send(from, &VmMessage::OrderReply { question, verdict });
+        self.links.send(from, &VmMessage::OrderReply { question: number, verdict });
     }
 
-    /// The leader answers.
-    pub(super) fn receive_order_reply(&self, question: u64, verdict: OrderVerdict) {
-        if let Some(asker) = self.orders.borrow_mut().asked.remove(&question) {
+    /// Passes on the verdict on an order that this VM sent to the leader.
+    pub(super) fn receive_order_reply(&self, number: u64, verdict: OrderVerdict) {
+        if let Some(waiter) = self.orders.borrow_mut().pending.remove(&number) {
             // The operator may have given up by now.
-            let _ = asker.send(verdict);
+            let _ = waiter.send(verdict);
         }
     }
 }
--- a/lib/src/transport/vm_pulse.rs
+++ b/lib/src/transport/vm_pulse.rs
@@ -1,6 +1,6 @@
-//! What a caller's connection is at: shared by its stream, its requests and their answers.
+//! The state of a caller's connection, shared by its stream, its requests and their answers.
 //!
-//! Invariant: a connection is at rest only when a whole answer has left for its caller, no other
+//! Invariant: a connection is idle only when a whole answer has been sent to its caller, no other
 //! request is being served, and nothing waits to be written. See `docs/design/small-vms.md`.
 
 use std::cell::Cell;
@@ -19,50 +19,50 @@
 use super::vm_relay::{AnswerBody, CutShort};
 
 #[derive(Default)]
-struct PulseCells {
+struct ActivityCells {
     serving: Cell<bool>,
     answered: Cell<bool>,
     unwritten: Cell<bool>,
     broken: Cell<bool>,
-    /// The end of the connection would complete an answer that isn't complete.
+    /// Whether an answer is incomplete whose end is marked only by the end of the connection.
     open_ended: Cell<bool>,
 }
 
 /// The state of one connection.
 #[derive(Clone, Default)]
-pub struct ConnectionPulse(Rc<PulseCells>);
+pub struct ConnectionActivity(Rc<ActivityCells>);
 
-impl ConnectionPulse {
-    /// The connection is read anew: it can only rest once it has answered.
-    pub fn begin_run(&self) {
+impl ConnectionActivity {
+    /// Notes that the server starts on the connection again. It is idle only after the next answer.
+    pub fn begin_serving(&self) {
         self.0.answered.set(false);
     }
 
-    /// A request came.
-    pub fn begin_request(&self) {
+    /// Notes that a request has arrived.
+    pub fn note_request(&self) {
         self.0.serving.set(true);
     }
 
-    /// Whether nothing of an answered request is left to be done.
-    pub fn is_at_rest(&self) -> bool {
+    /// Whether the connection is idle: the last request is answered and nothing is left to write.
+    pub fn is_idle(&self) -> bool {
         self.0.answered.get() && !self.0.serving.get() && !self.0.unwritten.get()
     }
 
-    /// Whether the stream broke: the server passes over a reset of a connection that rests, and with
-    /// it the sign that an answer may not have come to its caller.
+    /// Whether the stream failed. The HTTP server ignores a reset of an idle connection, though it is a sign
+    /// that the caller may not have received its answer.
     pub fn is_broken(&self) -> bool {
         self.0.broken.get()
     }
 
-    /// The answer to the request that came last is delimited by the end of the connection: until its body has
-    /// ended, whatever ends the connection resets it.
+    /// Notes that the answer to the last request is delimited by the end of the connection. Until its body has
+    /// ended, the connection is reset when it ends, so that a partial answer doesn't look complete.
     pub fn note_open_ended(&self) {
         self.0.open_ended.set(true);
     }
 
-    /// The body of the answer to the request that came last; its end is noted.
+    /// Wraps the body of the answer to the last request, to note its end.
     pub fn watch_body(&self, body: AnswerBody) -> WatchedBody {
-        WatchedBody { body, pulse: self.clone() }
+        WatchedBody { body, activity: self.clone() }
     }
 
     fn note<T>(&self, done: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
@@ -73,17 +73,17 @@
     }
 }
 
-/// An answer's body that notes when it has been handed over.
+/// An answer's body that updates the connection's state when it ends or is dropped.
 pub struct WatchedBody {
     body: AnswerBody,
-    pulse: ConnectionPulse,
+    activity: ConnectionActivity,
 }
 
 impl Drop for WatchedBody {
     fn drop(&mut self) {
-        self.pulse.0.serving.set(false);
-        self.pulse.0.answered.set(true);
-        self.pulse.0.unwritten.set(true);
+        self.activity.0.serving.set(false);
+        self.activity.0.answered.set(true);
+        self.activity.0.unwritten.set(true);
     }
 }
 
@@ -97,7 +97,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
         let frame = Pin::new(&mut self.body).poll_frame(context);
         if matches!(frame, Poll::Ready(None)) {
-            self.pulse.0.open_ended.set(false);
+            self.activity.0.open_ended.set(false);
         }
         frame
     }
@@ -111,42 +111,43 @@
     }
 }
 
-/// A caller's stream, and what was read of it without being used.
+/// A caller's stream that updates the connection's state, with bytes that were read ahead of their use.
 pub struct WatchedStream {
     stream: TcpStream,
-    pulse: ConnectionPulse,
+    activity: ConnectionActivity,
     ahead: Bytes,
-    /// Closing the stream resets it.
+    /// Whether the socket is set to be reset when it is closed.
     resets: bool,
 }
 
 impl WatchedStream {
-    /// Watches a stream.
-    pub fn new(stream: TcpStream, pulse: ConnectionPulse) -> WatchedStream {
-        WatchedStream { stream, pulse, ahead: Bytes::new(), resets: false }
+    /// Wraps a stream whose reads and writes update `activity`.
+    pub fn new(stream: TcpStream, activity: ConnectionActivity) -> WatchedStream {
+        WatchedStream { stream, activity, ahead: Bytes::new(), resets: false }
     }
 
-    /// Gives back what was read ahead. Empty bytes may still hold the buffer that they were cut from.
+    /// Puts back bytes that were read ahead. Empty ones are replaced, since they may still keep alive the buffer
+    /// that they were cut from.
     pub fn put_back(&mut self, ahead: Bytes) {
         self.ahead = if ahead.is_empty() { Bytes::new() } else { ahead };
     }
 
-    /// The system resets the stream at whatever closes it, the end of the process included, as long as that would
-    /// complete an answer.
+    /// Sets the socket to be reset on close, also at the end of the process, as long as a plain close would mark
+    /// an incomplete answer as complete.
     fn set_reset(&mut self) {
-        let resets = self.pulse.0.open_ended.get();
+        let resets = self.activity.0.open_ended.get();
         if resets != self.resets {
             let linger = resets.then_some(Duration::ZERO);
             self.resets = SockRef::from(&self.stream).set_linger(linger).is_ok() && resets;
         }
     }
 
-    /// Returns once there is something to read, or the stream has ended.
+    /// Returns once there is something to read or the stream has ended.
     pub async fn wait(&self) {
         if self.ahead.is_empty() {
-            // A reset is reported once: later reads see the end of the stream alone.
+            // The system reports a reset only once; later reads see the end of the stream.
             let seen = self.stream.peek(&mut [0]).await;
-            let _ = self.pulse.note(Poll::Ready(seen));
+            let _ = self.activity.note(Poll::Ready(seen));
         }
     }
 }
@@ -165,7 +166,7 @@
             return Poll::Ready(Ok(()));
         }
         let done = Pin::new(&mut self.stream).poll_read(context, into);
-        self.pulse.note(done)
+        self.activity.note(done)
     }
 }
 
@@ -175,10 +176,10 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.pulse.0.unwritten.set(true);
+        self.activity.0.unwritten.set(true);
         self.set_reset();
         let done = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.pulse.note(done)
+        self.activity.note(done)
     }
 
     fn poll_write_vectored(
@@ -186,23 +187,23 @@
         context: &mut Context<'_>,
         pieces: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.pulse.0.unwritten.set(true);
+        self.activity.0.unwritten.set(true);
         self.set_reset();
         let done = Pin::new(&mut self.stream).poll_write_vectored(context, pieces);
-        self.pulse.note(done)
+        self.activity.note(done)
     }
 
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
 
-    /// The server flushes its stream only when it has written all that it holds.
+    /// The server flushes its stream only after it has written all that it has, so nothing is unwritten then.
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let done = Pin::new(&mut self.stream).poll_flush(context);
         if done.is_ready() {
-            self.pulse.0.unwritten.set(false);
+            self.activity.0.unwritten.set(false);
         }
-        self.pulse.note(done)
+        self.activity.note(done)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -1,6 +1,6 @@
-//! Roll-outs on one VM: the operator's calls, what the leader sends, what a send may go to, and the
-//! leader's steps. All that decides is in `rollout_watch` and `rollout_lead`; here it is asked and
-//! carried out. See `docs/design/rollouts.md`.
+//! Roll-outs on one VM: operators' calls, the leader's table, the upstreams that a request may go to, and
+//! the leader's steps. The decisions are in `rollout_watch` and `rollout_lead`; this file carries them out.
+//! See `docs/design/rollouts.md`.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -31,9 +31,9 @@
 use crate::state::upstream_list::UpstreamEntry;
 
 /// The largest body of an order, in bytes.
-const BODY_BYTES: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
 
-/// Serves an operator's order to begin a roll-out.
+/// Serves an operator's call that starts a roll-out, in the platform's format.
 pub async fn start_rollout(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let adapter = &node.adapter;
     let read = |body: &[u8]| adapter.read_rollout(body);
@@ -44,8 +44,9 @@
     }
 }
 
-/// Reads an order to begin a roll-out and has the leader take it; returns what began, or the refusal.
-/// `read` and `write_findings` know the form in which it was asked.
+/// Reads an order that starts a roll-out and sends it to the leader. Returns the order once the leader has
+/// accepted it, else the answer to the operator. `read` and `write_findings` translate from and to the
+/// format of the call.
 pub(super) async fn begin_rollout(
     node: &Rc<VmNode>,
     request: Request<Incoming>,
@@ -54,7 +55,7 @@
 ) -> Result<RolloutCall, Response<AnswerBody>> {
     let arrived_ms = node.now_ms();
     let bad = |text: String| own_answer(StatusCode::BAD_REQUEST, text);
-    let body = Limited::new(request.into_body(), BODY_BYTES).collect().await;
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     let body = body.map_err(|error| bad(error.to_string()))?.to_bytes();
     let call = read(&body).map_err(|findings| {
         info!(target: "control", findings = findings.len(), "refuses a roll-out");
@@ -62,7 +63,7 @@
     })?;
     if !node.has_service(&call.service) {
         if !node.confirm(arrived_ms, ANSWER_TIME).await {
-            return Err(not_sure());
+            return Err(unconfirmed_answer());
         }
         if !node.has_service(&call.service) {
             info!(target: "control", service = call.service, "refuses a roll-out, no such service");
@@ -73,31 +74,31 @@
         node.order_until(arrived_ms, || FleetOrder::Rollout(node.rollout_request(&call))).await;
     info!(
         target: "control", service = call.service, to = call.target,
-        duration_ms = call.duration_ms, ?end, "a roll-out is asked for",
+        duration_ms = call.duration_ms, ?end, "a roll-out is requested",
     );
     match end {
         OrderEnd::Taken => Ok(call),
         OrderEnd::UnderWay => {
             Err(own_answer(StatusCode::CONFLICT, "another one of it is under way"))
         }
-        OrderEnd::NotTaken => Err(not_sure()),
+        OrderEnd::NotTaken => Err(unconfirmed_answer()),
     }
 }
 
-/// Serves an operator's question how far a roll-out has come.
+/// Serves an operator's call for the state of a roll-out, in the platform's format.
 pub async fn get_rollout(node: Rc<VmNode>, service: String) -> Response<AnswerBody> {
     if !node.confirm_orders(node.now_ms(), ANSWER_TIME).await {
-        return not_sure();
+        return unconfirmed_answer();
     }
-    let desk = node.rollouts.borrow();
-    let Some(row) = desk.tracker().table().row(&service) else {
+    let state = node.rollouts.borrow();
+    let Some(row) = state.tracker().table().row(&service) else {
         return own_answer(StatusCode::NOT_FOUND, "there was none of this service");
     };
     json_answer(node.adapter.write_rollout(row))
 }
 
-/// The answer to operators while a VM can't learn what holds.
-pub(super) fn not_sure() -> Response<AnswerBody> {
+/// The answer to operators when the newest state could not be confirmed in time.
+pub(super) fn unconfirmed_answer() -> Response<AnswerBody> {
     refusal(StatusCode::SERVICE_UNAVAILABLE, "not known what holds", 300)
 }
 
@@ -110,51 +111,52 @@
     }
 
     fn rollout_request(&self, call: &RolloutCall) -> RolloutWish {
-        let desk = self.rollouts.borrow();
+        let state = self.rollouts.borrow();
         RolloutWish {
             service: call.service.clone(),
             target: call.target.clone(),
             duration_ms: call.duration_ms,
-            after: desk.tracker().table().row(&call.service).map_or(0, |row| row.order.number),
+            after: state.tracker().table().row(&call.service).map_or(0, |row| row.order.number),
         }
     }
 
-    /// The command of a roll-out that is asked for, as the leader. The same one again is taken: while
-    /// it runs, and for as long as an operator may repeat it and the VM that was asked then tries.
+    /// The command that starts a requested roll-out, as the leader. A repeat of the last order counts as accepted
+    /// while it runs, and afterwards for as long as an operator may repeat it and a VM may try to send it.
     pub(super) fn rollout_command(
         &self,
         keeper: &KeeperDriver,
-        wish: RolloutWish,
+        request: RolloutWish,
     ) -> Result<FleetCommand, OrderEnd> {
         let now_ms = self.now_ms();
         let repeat_ms = self.settings.borrow().bounds.ack_ms + ORDER_MS;
-        let row = keeper.record.rollouts.row(&wish.service);
+        let row = keeper.record.rollouts.row(&request.service);
         if let Some(row) = row {
-            let elapsed_ms = self.rollouts.borrow().elapsed_ms(&wish.service, now_ms);
+            let elapsed_ms = self.rollouts.borrow().elapsed_ms(&request.service, now_ms);
             let recent = elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms < repeat_ms);
-            let same = row.order.target == wish.target && row.order.duration_ms == wish.duration_ms;
+            let same =
+                row.order.target == request.target && row.order.duration_ms == request.duration_ms;
             if same && (!row.phase.is_end() || recent) {
                 return Err(OrderEnd::Taken);
             }
             if !row.phase.is_end() {
-                let sure = keeper.is_confirmed_leader(now_ms);
-                return Err(if sure { OrderEnd::UnderWay } else { OrderEnd::NotTaken });
+                let confirmed = keeper.is_confirmed_leader(now_ms);
+                return Err(if confirmed { OrderEnd::UnderWay } else { OrderEnd::NotTaken });
             }
         }
         let number = row.map_or(0, |row| row.order.number);
-        if wish.after != number {
+        if request.after != number {
             return Err(OrderEnd::NotTaken);
         }
         Ok(FleetCommand::Rollout(RolloutCommand::Start(RolloutOrder {
-            service: wish.service,
+            service: request.service,
             number: number + 1,
-            target: wish.target,
-            duration_ms: wish.duration_ms,
+            target: request.target,
+            duration_ms: request.duration_ms,
             vms: sharing_vms(keeper.roster.rows().len(), keeper.led_ms(now_ms)),
         })))
     }
 
-    /// The command that rolls a running roll-out back, as the leader.
+    /// The command that rolls back a running roll-out, as the leader.
     pub(super) fn roll_back_command(
         &self,
         keeper: &KeeperDriver,
@@ -180,11 +182,11 @@
         ExposureBound { share: bounds.expose_share, slack: bounds.expose_slack }
     }
 
-    /// Takes the roll-outs as a leader sent them.
+    /// Applies the roll-outs that a leader sent.
     pub(super) fn apply_rollouts(&self, table: RolloutTable) {
         let bound = self.exposure_bound();
-        let news = self.rollouts.borrow_mut().take(table, bound);
-        for row in news {
+        let changes = self.rollouts.borrow_mut().take(table, bound);
+        for row in changes {
             info!(
                 target: "rollout", service = row.service, to = row.target, number = row.number,
                 phase = ?row.phase, "is known",
@@ -192,33 +194,34 @@
         }
     }
 
-    /// What this VM reports to the leader of roll-outs that run.
+    /// This VM's reports to the leader on running roll-outs.
     pub(super) fn rollout_reports(&self) -> Vec<RolloutReport> {
-        let desk = self.rollouts.borrow();
-        if !desk.tracker().table().any_runs() {
+        let state = self.rollouts.borrow();
+        if !state.tracker().table().any_runs() {
             return Vec::new();
         }
         let upstreams = self.upstreams.borrow();
         let in_flight = self.in_flight.borrow();
-        desk.tracker().reports(|service, target| {
+        state.tracker().reports(|service, target| {
             let others = upstreams.of_service(service).filter(|(_, row)| row.version != target);
             others.map(|(key, _)| in_flight.get(&key).copied().unwrap_or(0)).sum()
         })
     }
 
-    /// Takes what a VM reports of roll-outs, as the leader of `term`.
+    /// Records a VM's reports on roll-outs, as the leader of `term`.
     pub(super) fn record_rollout_reports(
         &self,
         term: u64,
         vm: VmId,
-        life: u64,
-        notes: Vec<RolloutReport>,
+        incarnation: u64,
+        reports: Vec<RolloutReport>,
     ) {
         let now_ms = self.now_ms();
-        self.rollouts.borrow_mut().take_reports(term, vm, life, notes, now_ms);
+        self.rollouts.borrow_mut().take_reports(term, vm, incarnation, reports, now_ms);
     }
 
-    /// A request is sent to an upstream; the tag is for its end, while its service is rolled out.
+    /// Notes that a request is sent to an upstream. Returns a tag for [`VmNode::note_trial`] if its service is
+    /// being rolled out.
     pub(super) fn note_rollout_send(
         &self,
         service: &str,
@@ -226,15 +229,15 @@
         entry: &UpstreamEntry,
         attempt: &str,
     ) -> Option<TrialTag> {
-        let mut desk = self.rollouts.borrow_mut();
-        if !desk.tracker().is_running(service) {
+        let mut state = self.rollouts.borrow_mut();
+        if !state.tracker().is_running(service) {
             return None;
         }
         let route = RouteKey::of(&rule.host, &rule.prefix);
-        let tag = desk.tracker_mut().note_sent(service, route, entry.version)?;
+        let tag = state.tracker_mut().note_sent(service, route, entry.version)?;
         if tag.arm == RolloutArm::Target {
-            let counts = desk.tracker().counts(service);
-            let row = desk.tracker().table().row(service)?;
+            let counts = state.tracker().counts(service);
+            let row = state.tracker().table().row(service)?;
             info!(
                 target: "rollout", attempt, service, to = row.order.target,
                 number = row.order.number, phase = ?row.phase, why = tag.reason.text(),
@@ -245,63 +248,63 @@
         Some(tag)
     }
 
-    /// Where a request of this route goes first, `first` saying whether it was sent nowhere before.
+    /// Which version a request of this route goes to; `first` is whether this is its first attempt.
     pub(super) fn rollout_lane(&self, service: &str, rule: &RouteRule, first: bool) -> RolloutLane {
-        let desk = self.rollouts.borrow();
-        if !first || !desk.tracker().is_running(service) {
+        let state = self.rollouts.borrow();
+        if !first || !state.tracker().is_running(service) {
             return RolloutLane::Usual;
         }
-        desk.tracker().lane(service, RouteKey::of(&rule.host, &rule.prefix), self.now_ms())
+        state.tracker().lane(service, RouteKey::of(&rule.host, &rule.prefix), self.now_ms())
     }
 
-    /// Whether requests for a service that find no room may go back to its old upstreams.
+    /// Whether requests for a service may go to its old upstreams again when the new ones have no capacity.
     pub(super) fn may_fall_back(&self, service: &str) -> bool {
         self.rollouts.borrow().tracker().may_fall_back(service)
     }
 
-    /// Which upstreams of a service get nothing in this lane, on account of their versions.
+    /// Which upstreams of a service get no requests of this lane because of their versions.
     pub(super) fn version_rule(&self, service: &str, lane: RolloutLane) -> VersionRule {
-        let (upstreams, desk) = (self.upstreams.borrow(), self.rollouts.borrow());
+        let (upstreams, state) = (self.upstreams.borrow(), self.rollouts.borrow());
         let versions = upstreams.of_service(service).map(|(_, entry)| entry.version);
-        if desk.tracker().is_plain(service, versions) {
+        if state.tracker().is_plain(service, versions) {
             return VersionRule::default();
         }
         let (zones, outliers) = (self.zones.borrow(), self.outliers.borrow());
         let seen_ms = |key| upstreams.first_seen_ms.get(&key).copied().unwrap_or(0);
         let seen = upstreams.of_service(service).map(|(key, entry)| (entry, seen_ms(key)));
-        let may_be_tried = |entry: &UpstreamEntry| {
+        let may_get_trial = |entry: &UpstreamEntry| {
             let key = entry.key();
             let reached = !outliers.is_gone(key) && !self.is_unresponsive(key);
             entry.takes_work() && reached && !zones.watch.is_emptied(&entry.zone)
         };
-        desk.tracker().rule(service, lane, seen, may_be_tried, self.now_ms())
+        state.tracker().rule(service, lane, seen, may_get_trial, self.now_ms())
     }
 
-    /// A send has ended, as evidence of its version.
+    /// Records the outcome of a send as evidence for its version, and renews at once if the leader needs it soon.
     pub(super) fn note_trial(&self, tag: &TrialTag, outcome: &TrialOutcome) {
         let now_ms = self.now_ms();
         let pause_ms = overloaded_renew_ms(self.view.borrow().roster.rows.len());
-        let soon = self.rollouts.borrow_mut().note_end(tag, outcome, pause_ms, now_ms);
-        if soon {
+        let renew_soon = self.rollouts.borrow_mut().note_end(tag, outcome, pause_ms, now_ms);
+        if renew_soon {
             self.renew();
         }
     }
 
-    /// Looks at the evidence and proposes steps, as the leader; other keepers note what runs.
+    /// Proposes the steps that follow from the evidence, as the leader. Other keepers only note which roll-outs run.
     pub(super) fn propose_rollout_steps(&self) {
         let now_ms = self.now_ms();
         let proposals = {
             let keeper = self.keeper.borrow();
             let Some(keeper) = keeper.as_ref() else { return };
             let rows = keeper.record.rollouts.rows();
-            let mut desk = self.rollouts.borrow_mut();
-            if !desk.look(rows, now_ms) || !keeper.is_confirmed_leader(now_ms) {
+            let mut state = self.rollouts.borrow_mut();
+            if !state.look(rows, now_ms) || !keeper.is_confirmed_leader(now_ms) {
                 return;
             }
             let vms: BTreeSet<u32> = keeper.roster.rows().iter().map(|row| row.id).collect();
             let led_ms = keeper.led_ms(now_ms);
-            let standing = |row: &RolloutRow| self.target_status(keeper, row);
-            desk.next_steps(rows, &vms, standing, led_ms, now_ms)
+            let status = |row: &RolloutRow| self.target_status(keeper, row);
+            state.next_steps(rows, &vms, status, led_ms, now_ms)
         };
         for proposal in proposals {
             self.propose_step(proposal);
@@ -317,7 +320,7 @@
             );
         }
         let command = FleetCommand::Rollout(RolloutCommand::Step(step));
-        // Whether it is taken shows in the log; a step that isn't is proposed again.
+        // The log shows whether it is accepted; if not, the step is proposed again.
         self.step_keeper(|keeper, now_ms| keeper.order(command, now_ms).1);
     }
 
@@ -327,39 +330,39 @@
         let zones = self.zones.borrow();
         let now_ms = self.now_ms();
         let silence = self.silence.borrow();
-        let mut standing = TargetStatus {
+        let mut status = TargetStatus {
             slots: self.engine_slots(service).unwrap_or(0),
             hold_ms: self.mean_hold_ms(service),
             ..TargetStatus::default()
         };
         for (key, entry) in upstreams.accepting(service) {
-            let able = !entry.cold
+            let available = !entry.cold
                 && !zones.watch.is_emptied(&entry.zone)
                 && !silence.view.is_unresponsive(key, now_ms);
             match entry.version == target {
-                true => standing.available += usize::from(able),
-                false => standing.others += 1,
+                true => status.available += usize::from(available),
+                false => status.others += 1,
             }
         }
         let others = upstreams.of_service(service).map(|(_, entry)| entry.version);
         let others: BTreeSet<VersionKey> = others.filter(|version| *version != target).collect();
-        standing.other_versions = others.into_iter().collect();
+        status.other_versions = others.into_iter().collect();
         let of_service = |key| upstreams.entries.get(key).is_some_and(|row| row.service == service);
         let loads = keeper.roster.loads();
         let loads = loads.iter().filter(|load| of_service(&load.upstream));
-        standing.in_flight = loads.map(|load| load.requests).sum();
-        standing
+        status.in_flight = loads.map(|load| load.requests).sum();
+        status
     }
 
     fn mean_hold_ms(&self, service: &str) -> f64 {
         match self.engine_slots(service) {
-            Some(_) => self.with_service_capacity(service, |room| room.hold_ms()),
+            Some(_) => self.with_service_capacity(service, |capacity| capacity.hold_ms()),
             None => self.plain_holds.borrow().get(service).map_or(0.0, |hold| hold.mean_ms()),
         }
     }
 
-    /// Publishes at once to all VMs that a roll-out began or went a step on, as the leader. One that misses it
-    /// hears of it with its next grant.
+    /// Sends the roll-outs to all VMs as soon as one began or changed its phase, as the leader. A VM that misses
+    /// the datagram gets them with its next grant.
     pub(super) fn send_rollouts(&self) {
         let now_ms = self.now_ms();
         let (term, table) = match &*self.keeper.borrow() {
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -1,7 +1,7 @@
-//! Waiting for upstreams that may be silent: who tries to reach them, and who is notified.
+//! Upstreams that don't answer: how VMs probe them, and how the leader publishes the unresponsive ones.
 //!
-//! Invariant: a try is a connection and nothing more, so that it runs nothing anywhere; one that comes
-//! up is kept for the next request. See `docs/design/silence.md`.
+//! Invariant: a probe only connects, so that it runs nothing at the upstream; the connection is kept for
+//! the next request. See `docs/design/silence.md`.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,50 +20,50 @@
 use crate::protocol::vm_wire::{VmDatagram, VmId};
 use crate::state::ids::UpstreamKey;
 
-/// An upstream that says nothing for this long while it owes an answer is tried.
-const TRY_AFTER: Duration = Duration::from_millis(250);
-/// How often a leader looks which upstreams to try, and publishes what has changed.
-const LOOK: Duration = Duration::from_millis(50);
+/// An upstream is probed whenever it has sent nothing for this long while a request waits for it.
+const PROBE_AFTER: Duration = Duration::from_millis(250);
+/// How often a leader checks which upstreams to probe, and publishes changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// More dark upstreams than this are sent with grants only, each VM in its turn: 300 VMs sent a
-/// thousand at each change are seconds of a leader's link.
-const MOST_SENT_AT_ONCE: usize = 128;
+/// More unresponsive upstreams than this are sent only with grants, which VMs get at different times: a
+/// thousand of them, sent to 300 VMs at every change, would fill the leader's link for seconds.
+const MAX_PUBLISHED: usize = 128;
 
-/// What came of waiting for an upstream.
+/// The result of waiting for an upstream.
 pub(super) enum WaitResult<T> {
-    /// It said something, or its connection ended.
+    /// The awaited future has completed.
     Done(T),
-    /// The time was over.
+    /// The deadline has passed.
     TimedOut,
-    /// It is dark.
+    /// The upstream is unresponsive, and the caller allowed to give up on it.
     Unresponsive,
 }
 
 impl VmNode {
-    /// Waits for something that an upstream owes, and tries whether it can be reached when it says
-    /// nothing. Gives up on a dark one only if `may_leave`: else it may still be at work.
+    /// Waits for an answer `owed` by an upstream, and probes the upstream while nothing arrives. Gives up on an
+    /// unresponsive one only if `may_give_up`: otherwise it may still be running the request.
     pub(super) async fn wait_for<T>(
         self: &Rc<Self>,
         (upstream, address): (UpstreamKey, SocketAddr),
         owed: impl Future<Output = T>,
         deadline_ms: u64,
-        may_leave: bool,
+        may_give_up: bool,
     ) -> WaitResult<T> {
         tokio::pin!(owed);
-        let mut try_at = Instant::now() + TRY_AFTER;
+        let mut probe_at = Instant::now() + PROBE_AFTER;
         loop {
             let changed = self.silence_changed.notified();
-            // Anew each time, since the timer stands still while the VM is suspended.
+            // Computed in each round, since timers stand still while the VM is suspended.
             let left_ms = deadline_ms.saturating_sub(self.now_ms());
-            if may_leave && self.is_unresponsive(upstream) {
+            if may_give_up && self.is_unresponsive(upstream) {
                 return WaitResult::Unresponsive;
             }
             tokio::select! {
                 biased;
                 done = owed.as_mut() => return WaitResult::Done(done),
                 () = sleep(Duration::from_millis(left_ms)) => return WaitResult::TimedOut,
-                () = sleep_until(try_at) => {
-                    try_at += TRY_AFTER;
+                () = sleep_until(probe_at) => {
+                    probe_at += PROBE_AFTER;
                     self.probe_upstream(upstream, address);
                 }
                 () = changed => {}
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Whether an upstream is dark, as far as this VM knows.
+    /// Whether an upstream is unresponsive by what this VM last received.
     pub(super) fn is_unresponsive(&self, upstream: UpstreamKey) -> bool {
         self.silence.borrow().view.is_unresponsive(upstream, self.now_ms())
     }
 
-    /// A connection to an upstream came up, or didn't.
+    /// Records whether a connection to an upstream came up, or why it didn't.
     pub(super) fn note_connect(&self, upstream: UpstreamKey, fault: Option<ConnectFault>) {
         let now_ms = self.now_ms();
         match fault {
@@ -84,15 +84,15 @@
             Some(ConnectFault::ConnectionRefused | ConnectFault::NotAttempted) => {}
             Some(ConnectFault::NoAnswer) => {
                 {
-                    let mut desk = self.silence.borrow_mut();
-                    desk.view.suspect(upstream, now_ms);
-                    // No more renewals than a leader takes; worked out, not shown: a day of 300 VMs with a
-                    // zone lost gave 2.6 MB a second at the leader with 60 ms between them and 2.5 with this.
+                    let mut state = self.silence.borrow_mut();
+                    state.view.suspect(upstream, now_ms);
+                    // Bounds the renewals at the leader when many VMs lose a zone at once: by estimate, 300 VMs
+                    // would send it 2.6 MB a second with 60 ms between a VM's renewals, and 2.5 MB with this pause.
                     let vms = self.view.borrow().roster.rows.len();
-                    if desk.renewed_ms + overloaded_renew_ms(vms) > now_ms {
+                    if state.renewed_ms + overloaded_renew_ms(vms) > now_ms {
                         return;
                     }
-                    desk.renewed_ms = now_ms;
+                    state.renewed_ms = now_ms;
                 }
                 self.renew();
                 self.silence_changed.notify_waiters();
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Connects, and keeps the connection; why there is none otherwise.
+    /// Connects and keeps the connection in the pool. Returns why there is none otherwise.
     pub(super) async fn connect_only(
         &self,
         upstream: UpstreamKey,
         address: SocketAddr,
     ) -> Option<ConnectFault> {
-        match self.pool.connect(self.trial(upstream, address)).await {
+        match self.pool.connect(self.probe_target(upstream, address)).await {
             Ok(lease) => {
                 self.note_connect(upstream, None);
                 lease.finish(false, None, self.now_ms()).await;
@@ -126,25 +126,25 @@
         }
     }
 
-    /// To see whether an upstream can be reached, now.
-    pub(super) fn trial(&self, upstream: UpstreamKey, address: SocketAddr) -> ConnectTarget {
+    /// The target of a connection that only shows whether an upstream can be reached.
+    pub(super) fn probe_target(&self, upstream: UpstreamKey, address: SocketAddr) -> ConnectTarget {
         let (purpose, now_ms) = (ApproachPurpose::Trial, self.now_ms());
         ConnectTarget { upstream, address, purpose, now_ms }
     }
 
-    /// Takes a VM's doubts, as the leader of `term`.
-    pub(super) fn record_suspicions(&self, term: u64, from: VmId, doubts: &[UpstreamKey]) {
+    /// Records the upstreams that a VM suspects to be unresponsive, as the leader of `term`.
+    pub(super) fn record_suspicions(&self, term: u64, from: VmId, suspicions: &[UpstreamKey]) {
         let now_ms = self.now_ms();
-        let mut desk = self.silence.borrow_mut();
-        for upstream in doubts {
-            desk.table.suspect(term, *upstream, from, now_ms);
+        let mut state = self.silence.borrow_mut();
+        for upstream in suspicions {
+            state.table.suspect(term, *upstream, from, now_ms);
         }
     }
 
-    /// Tries what is doubted and publishes what is dark, for ever; a VM that doesn't lead does nothing.
+    /// Probes suspected upstreams and publishes unresponsive ones, in a loop, while this VM leads.
     pub(super) async fn watch_silence(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             let now_ms = self.now_ms();
             let term = match &*self.keeper.borrow() {
                 Some(keeper) if keeper.is_confirmed_leader(now_ms) => keeper.term(),
@@ -167,7 +167,7 @@
         let table = &mut self.silence.borrow_mut().table;
         match fault {
             Some(ConnectFault::NotAttempted) => table.note_probe_skipped(upstream, now_ms),
-            // A machine that refuses connections can be reached.
+            // A refused connection shows that the machine can be reached.
             None | Some(ConnectFault::ConnectionRefused) => {
                 table.note_probe(upstream, self.id, true, now_ms);
             }
@@ -175,40 +175,41 @@
         }
     }
 
-    /// Publishes to all VMs which upstreams are dark, if others are than before.
+    /// Publishes to all VMs which upstreams are unresponsive, if that has changed.
     fn publish_unresponsive(&self, term: u64) {
-        let dark = self.silence.borrow().table.unresponsive();
-        let before = std::mem::replace(&mut self.silence.borrow_mut().published, dark.clone());
-        self.apply_unresponsive(dark.clone());
-        if before == dark {
+        let unresponsive = self.silence.borrow().table.unresponsive();
+        let before =
+            std::mem::replace(&mut self.silence.borrow_mut().published, unresponsive.clone());
+        self.apply_unresponsive(unresponsive.clone());
+        if before == unresponsive {
             return;
         }
-        let lives = |keys: &[UpstreamKey], without: &[UpstreamKey]| -> Vec<String> {
+        let names = |keys: &[UpstreamKey], without: &[UpstreamKey]| -> Vec<String> {
             let upstreams = self.upstreams.borrow();
             let other = keys.iter().filter(|key| !without.contains(key));
             other.filter_map(|key| Some(upstreams.entries.get(key)?.name.clone())).collect()
         };
-        let (fresh, back) = (lives(&dark, &before), lives(&before, &dark));
-        info!(target: "silence", dark = dark.len(), ?fresh, ?back, "changed");
-        if dark.len() > MOST_SENT_AT_ONCE {
+        let (fresh, back) = (names(&unresponsive, &before), names(&before, &unresponsive));
+        info!(target: "silence", dark = unresponsive.len(), ?fresh, ?back, "changed");
+        if unresponsive.len() > MAX_PUBLISHED {
             return;
         }
-        self.send_to_others(&VmDatagram::Dark { term, upstreams: dark });
+        self.send_to_others(&VmDatagram::Dark { term, upstreams: unresponsive });
     }
 
-    /// What a leader answers to a VM that received the dark upstreams `known`.
+    /// The unresponsive upstreams, for a grant; `None` if `known` shows that the VM has them already.
     pub(super) fn unresponsive_update(
         &self,
         known: UnresponsiveRevision,
     ) -> Option<Vec<UpstreamKey>> {
-        let dark = self.silence.borrow().table.unresponsive();
-        (UnresponsiveRevision::of(&dark) != known).then_some(dark)
+        let unresponsive = self.silence.borrow().table.unresponsive();
+        (UnresponsiveRevision::of(&unresponsive) != known).then_some(unresponsive)
     }
 
-    /// The leader published which upstreams are dark.
-    pub(super) fn apply_unresponsive(&self, dark: Vec<UpstreamKey>) {
+    /// Applies the leader's set of unresponsive upstreams.
+    pub(super) fn apply_unresponsive(&self, unresponsive: Vec<UpstreamKey>) {
         let now_ms = self.now_ms();
-        if self.silence.borrow_mut().view.take(dark, now_ms) {
+        if self.silence.borrow_mut().view.take(unresponsive, now_ms) {
             self.silence_changed.notify_waiters();
         }
     }
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -1,5 +1,5 @@
-//! Orders of availability zones: from an operator, and from the leader's grants into this VM's choice
-//! of upstreams. See `docs/design/zones.md`.
+//! Orders that evacuate availability zones or return them: how operators give them, and how they affect
+//! this VM's choice of upstreams. See `docs/design/zones.md`.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,10 +17,10 @@
 use crate::state::upstream_list::UpstreamEntry;
 use crate::state::zone_order::{ZoneOrder, ZoneOrders};
 
-/// An order has no body; what is longer than this is not read.
-const BODY_BYTES: usize = 64;
+/// The most bytes that are read of an order's body, which should be empty.
+const MAX_BODY_BYTES: usize = 64;
 
-/// Serves an operator's order to empty a zone, or to take it back.
+/// Serves an operator's order to evacuate a zone, or to return it to service.
 pub async fn order_zone(
     node: Rc<VmNode>,
     request: Request<Incoming>,
@@ -28,12 +28,12 @@
     emptied: bool,
 ) -> Response<AnswerBody> {
     let arrived_ms = node.now_ms();
-    let body = Limited::new(request.into_body(), BODY_BYTES).collect().await;
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     if !body.is_ok_and(|body| body.to_bytes().is_empty()) {
         return own_answer(StatusCode::BAD_REQUEST, "an order of a zone has no body");
     }
-    if !node.knows_zone(&zone) {
-        info!(target: "control", zone, "refuses an order of a zone that isn't known");
+    if !node.has_zone(&zone) {
+        info!(target: "control", zone, "refuses an order for an unknown zone");
         return own_answer(StatusCode::BAD_REQUEST, format!("zone '{zone}' is not known"));
     }
     let order = || {
@@ -41,31 +41,30 @@
         FleetOrder::Zone(ZoneOrder { zone: zone.clone(), number, emptied })
     };
     if node.order_until(arrived_ms, order).await == OrderEnd::Taken {
-        info!(target: "control", zone, emptied, "an order of a zone is taken");
+        info!(target: "control", zone, emptied, "an order for a zone is accepted");
         return own_answer(StatusCode::OK, "{}");
     }
-    info!(target: "control", zone, emptied, "an order is not known to be taken in time");
+    info!(target: "control", zone, emptied, "an order was not accepted in time");
     refusal(StatusCode::SERVICE_UNAVAILABLE, "not known to be taken", 300)
 }
 
 impl VmNode {
-    fn knows_zone(&self, zone: &str) -> bool {
+    fn has_zone(&self, zone: &str) -> bool {
         self.settings.borrow().zones.iter().any(|known| known == zone)
             || self.upstreams.borrow().entries.values().any(|entry| entry.zone == zone)
     }
 
-    /// All zones that this VM knows, by name: of its settings, of upstreams, and those that ever got
-    /// an order.
+    /// The names of all zones in the settings, of upstreams, and of orders.
     pub(super) fn known_zones(&self) -> BTreeSet<String> {
         let mut zones: BTreeSet<String> = self.settings.borrow().zones.iter().cloned().collect();
         let upstreams = self.upstreams.borrow();
         zones.extend(upstreams.entries.values().map(|entry| entry.zone.clone()));
-        let desk = self.zones.borrow();
-        zones.extend(desk.watch.orders.rows().iter().map(|row| row.zone.clone()));
+        let state = self.zones.borrow();
+        zones.extend(state.watch.orders.rows().iter().map(|row| row.zone.clone()));
         zones
     }
 
-    /// Takes the last orders of zones as a leader sent them.
+    /// Applies the zones' orders that a leader sent.
     pub(super) fn apply_zone_orders(&self, orders: ZoneOrders) {
         let changes = self.zones.borrow_mut().watch.take(orders, self.now_ms());
         for change in changes {
@@ -76,12 +75,12 @@
         }
     }
 
-    /// Whether this VM sends nothing new to an upstream, though it doesn't leave: its zone is
-    /// emptied, or it is cold and this VM's share of what it bears is used up. `cold_per_s` is what
-    /// a cold upstream of its service bears; 0 where a deployment sets no bound.
+    /// Whether this VM sends nothing new to an upstream that isn't leaving: its zone is evacuated, or
+    /// it is cold and this VM has used up its share of the upstream's limit. `cold_per_s` is that limit,
+    /// in requests a second at a cold upstream of the service; 0 for none.
     pub(super) fn is_withheld(&self, entry: &UpstreamEntry, cold_per_s: f64) -> bool {
-        let desk = self.zones.borrow();
-        if desk.watch.is_emptied(&entry.zone) {
+        let state = self.zones.borrow();
+        if state.watch.is_emptied(&entry.zone) {
             return true;
         }
         if !self.is_cold(entry, cold_per_s) {
@@ -94,7 +93,7 @@
             first_contact_ms: view.first_contact_ms,
             last_contact_ms: view.last_contact_ms,
         };
-        !desk.cold.may_send(entry.key(), cold_per_s, &fleet, self.now_ms())
+        !state.cold.may_send(entry.key(), cold_per_s, &fleet, self.now_ms())
     }
 
     fn is_cold(&self, entry: &UpstreamEntry, cold_per_s: f64) -> bool {
@@ -106,7 +105,7 @@
         entry.cold || self.zones.borrow().watch.may_be_cold(&entry.zone, news_ms, lag_ms)
     }
 
-    /// A request is about to go to an upstream; counts it if that is cold.
+    /// Counts a request that is about to be sent to an upstream, if the upstream is cold.
     pub(super) fn note_send(&self, entry: &UpstreamEntry, cold_per_s: f64) {
         if self.is_cold(entry, cold_per_s) {
             let now_ms = self.now_ms();
