--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::ids::{RequestMark, UpstreamKey};
+use crate::state::ids::{RequestFingerprint, UpstreamKey};
 
 /// How long a crash is reported to new leaders, in milliseconds. This is shorter than any quarantine, so
 /// that no crash is counted again after one.
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedCrash {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Whether the request was watched on this VM when it was sent.
@@ -37,7 +37,7 @@
     /// The VM's number for this report; the first is 1.
     pub number: u64,
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Whether the request was watched on this VM when it was sent.
@@ -52,7 +52,7 @@
     /// Crashes of upstreams.
     pub ended: Vec<CrashNote>,
     /// Watched requests that completed.
-    pub well: Vec<RequestMark>,
+    pub well: Vec<RequestFingerprint>,
 }
 
 impl CrashReport {
@@ -69,14 +69,14 @@
     last_number: u64,
     confirmed: u64,
     term: u64,
-    well: BTreeSet<RequestMark>,
+    well: BTreeSet<RequestFingerprint>,
 }
 
 impl CrashOutbox {
     /// Queues a crash of an upstream.
-    pub fn note_crash(&mut self, seen: ObservedCrash, now_ms: u64) {
+    pub fn note_crash(&mut self, observed: ObservedCrash, now_ms: u64) {
         self.last_number += 1;
-        let ObservedCrash { mark, upstream, watched, ran_ms } = seen;
+        let ObservedCrash { mark, upstream, watched, ran_ms } = observed;
         let note = CrashNote { number: self.last_number, mark, upstream, watched, ran_ms };
         self.notes.push_back((now_ms, note));
         if self.notes.len() > MAX_KEPT {
@@ -86,7 +86,7 @@
 
     /// Queues the completion of a watched request. It is reported once and not repeated after a loss:
     /// the next completion of the request is queued again.
-    pub fn note_completed(&mut self, mark: RequestMark) {
+    pub fn note_completed(&mut self, mark: RequestFingerprint) {
         self.well.insert(mark);
     }
 
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::upstream_load::UpstreamLoad;
-use crate::state::fleet_record::SeatRow;
+use crate::state::fleet_record::RingSlotRow;
 use crate::state::ids::UpstreamKey;
 use crate::state::upstream_list::{UpstreamEntry, UpstreamList};
 
@@ -28,25 +28,25 @@
 const NEW_SLOT_USED_FRACTION: f64 = 0.25;
 
 /// The services whose new engines may wait for a vacant ring slot, because the engines that have
-/// one have capacity. `places` gives how many requests one engine of a service runs at once, and
+/// one have capacity. `slots` gives how many requests one engine of a service runs at once, and
 /// `loads` what all VMs have in flight. A service without requests in flight has nothing cached, so
 /// its engines don't wait.
 pub fn waiting_services(
     list: &UpstreamList,
     loads: &[UpstreamLoad],
-    places: impl Fn(&str) -> Option<u32>,
+    slots: impl Fn(&str) -> Option<u32>,
 ) -> BTreeSet<String> {
     let mut used: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
     let loads: BTreeMap<UpstreamKey, u32> =
         loads.iter().map(|load| (load.upstream, load.requests)).collect();
     for (key, row) in list.entries.iter().filter(|(_, row)| row.ring_slot.is_some() && !row.leaving)
     {
-        let (slots, requests) = used.entry(&row.service).or_default();
-        *slots += 1;
+        let (engines, requests) = used.entry(&row.service).or_default();
+        *engines += 1;
         *requests += loads.get(key).copied().unwrap_or(0);
     }
-    let waiting = |(service, (slots, requests)): &(&str, (u32, u32))| {
-        let all = f64::from(*slots) * f64::from(places(service).unwrap_or(0));
+    let waiting = |(service, (engines, requests)): &(&str, (u32, u32))| {
+        let all = f64::from(*engines) * f64::from(slots(service).unwrap_or(0));
         *requests > 0 && f64::from(*requests) < NEW_SLOT_USED_FRACTION * all
     };
     used.into_iter().filter(waiting).map(|(service, _)| service.to_string()).collect()
@@ -55,17 +55,17 @@
 /// The present or last holder of each ring slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RingSlotTable {
-    slots: BTreeMap<u64, SeatRow>,
+    slots: BTreeMap<u64, RingSlotRow>,
 }
 
 impl RingSlotTable {
     /// The table with these rows.
-    pub fn of(rows: &[SeatRow]) -> RingSlotTable {
-        RingSlotTable { slots: rows.iter().map(|row| (row.seat, row.clone())).collect() }
+    pub fn of(rows: &[RingSlotRow]) -> RingSlotTable {
+        RingSlotTable { slots: rows.iter().map(|row| (row.ring_slot, row.clone())).collect() }
     }
 
     /// The rows, for the durable record.
-    pub fn rows(&self) -> Vec<SeatRow> {
+    pub fn rows(&self) -> Vec<RingSlotRow> {
         self.slots.values().cloned().collect()
     }
 
@@ -80,7 +80,7 @@
     ) {
         let first_list = self.slots.is_empty();
         let held: BTreeMap<UpstreamKey, u64> =
-            self.slots.values().map(|row| (row.holder, row.seat)).collect();
+            self.slots.values().map(|row| (row.holder, row.ring_slot)).collect();
         for row in rows.iter_mut() {
             let before = list.entries.get(&row.key()).and_then(|known| known.ring_slot);
             // A leaving upstream keeps its ring slot, although another may have taken it by now.
@@ -104,10 +104,12 @@
         }
     }
 
+    /// Records the row's upstream as the holder of its ring slot.
     fn hold(&mut self, row: &UpstreamEntry) {
         if let Some(seat) = row.ring_slot {
             let (service, address) = (row.service.clone(), row.address);
-            self.slots.insert(seat, SeatRow { seat, service, address, holder: row.key() });
+            self.slots
+                .insert(seat, RingSlotRow { ring_slot: seat, service, address, holder: row.key() });
         }
     }
 
@@ -130,13 +132,13 @@
 
 impl VacantSlots {
     fn of<'a>(
-        slots: impl Iterator<Item = &'a SeatRow>,
+        slots: impl Iterator<Item = &'a RingSlotRow>,
         living: &BTreeSet<UpstreamKey>,
     ) -> VacantSlots {
         let mut vacant = VacantSlots { by_service: BTreeMap::new(), by_place: BTreeMap::new() };
         for row in slots.filter(|row| !living.contains(&row.holder)) {
-            vacant.by_service.entry(row.service.clone()).or_default().insert(row.seat);
-            vacant.by_place.insert((row.service.clone(), row.address), row.seat);
+            vacant.by_service.entry(row.service.clone()).or_default().insert(row.ring_slot);
+            vacant.by_place.insert((row.service.clone(), row.address), row.ring_slot);
         }
         vacant
     }
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -1,8 +1,8 @@
 //! The zones to which one VM sends no requests, and the upstreams that may be cold after a zone's return.
 //!
 //! Orders are sent with the leader's grants, and the last received ones stay in effect without a grant:
-//! a VM without contact to a leader does not report itself ready, and if it receives requests anyway, it
-//! sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
+//! a VM without contact to a leader does not report itself ready, and if it receives requests
+//! nevertheless, it sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
 
 use std::collections::BTreeMap;
 
@@ -31,11 +31,11 @@
     /// empty or take back into use.
     pub fn take(&mut self, orders: ZoneOrders, now_ms: u64) -> Vec<ZoneChange> {
         let Some(before) = self.orders.take_later(orders) else { return Vec::new() };
-        let other = |zone: &str, emptied| before.is_emptied(zone) != emptied;
+        let other = |zone: &str, emptied| before.is_evacuated(zone) != emptied;
         let rows = self.orders.rows().iter();
         let changes: Vec<ZoneChange> = rows
-            .filter(|row| other(&row.zone, row.emptied))
-            .map(|row| ZoneChange { zone: row.zone.clone(), emptied: row.emptied })
+            .filter(|row| other(&row.zone, row.evacuated))
+            .map(|row| ZoneChange { zone: row.zone.clone(), emptied: row.evacuated })
             .collect();
         for change in &changes {
             match change.emptied {
@@ -48,18 +48,18 @@
 
     /// Returns whether any zone is emptied.
     pub fn any_emptied(&self) -> bool {
-        self.orders.rows().iter().any(|row| row.emptied)
+        self.orders.rows().iter().any(|row| row.evacuated)
     }
 
     /// Returns whether a zone is emptied, so that its upstreams get no requests.
     pub fn is_emptied(&self, zone: &str) -> bool {
-        self.orders.is_emptied(zone)
+        self.orders.is_evacuated(zone)
     }
 
     /// Returns whether a zone returned so recently that its upstreams may be cold without being listed as
     /// cold. The VM's list is known to have been the platform's at `confirmed_ms`, and may have been outdated
     /// by `lag_ms` then.
     pub fn may_be_cold(&self, zone: &str, confirmed_ms: u64, lag_ms: u64) -> bool {
-        self.returned_ms.get(zone).is_some_and(|back_ms| confirmed_ms < back_ms + lag_ms)
+        self.returned_ms.get(zone).is_some_and(|returned_ms| confirmed_ms < returned_ms + lag_ms)
     }
 }
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -116,7 +116,7 @@
         router: RouterId,
         /// Its load.
         rows: Vec<LoadRow>,
-        /// Incarnations that the sender knows to be leaving.
+        /// Incarnations known to the sender to be leaving.
         marks: Vec<LeavingIncarnation>,
     },
 }
@@ -129,7 +129,7 @@
     /// The engine that holds it now.
     pub engine: UpstreamKey,
     /// The incarnation of the engine.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The number of tokens that the engine holds of the chat.
     pub tokens: u32,
 }
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -37,7 +37,7 @@
             self.renew();
             let silent = self.view.borrow().last_contact_ms + LEADER_TIMEOUT_MS <= self.now_ms();
             // A VM without a list or routes can't serve. The leader may have them by now.
-            let incomplete = !self.upstreams.borrow().is_held() || self.routes.borrow().is_none();
+            let incomplete = !self.upstreams.borrow().is_loaded() || self.routes.borrow().is_none();
             let young = incomplete && self.clock.age_ms() < NO_LIST_MS;
             let pause = match silent || young {
                 true => leader_search_pause_ms(self.view.borrow().vms),
@@ -107,7 +107,7 @@
         let keeper = self.keeper.borrow().as_ref().map(|keeper| keeper.incarnation);
         let row = self.own_row();
         let mut view = self.view.borrow_mut();
-        let (roster, list) = (view.roster.mark, self.upstreams.borrow().revision);
+        let (roster, list) = (view.roster.revision, self.upstreams.borrow().revision);
         let mut desk = self.holders.borrow_mut();
         let (holders, holders_heard) = (desk.outbox.take(), desk.received);
         let (doubts, dark) = {
@@ -126,13 +126,13 @@
             roster,
             list,
             holders,
-            holders_heard,
+            holders_received: holders_heard,
             health_reports: self.health.borrow_mut().outbox.take(),
-            zone_orders: self.zones.borrow().watch.orders.taken(),
-            doubts,
-            dark,
+            zone_orders: self.zones.borrow().watch.orders.accepted(),
+            unreachable: doubts,
+            unresponsive: dark,
             rollout_changes: self.rollouts.borrow().tracker().table().changes(),
-            life: self.rollouts.borrow().incarnation(),
+            incarnation: self.rollouts.borrow().incarnation(),
             rollouts: self.rollout_reports(),
             quarantine_changes,
             crashes,
@@ -223,7 +223,7 @@
             VmDatagram::Renew(note) => self.answer_renewal(from, note),
             VmDatagram::Grant(grant) => self.apply_grant(from, grant),
             VmDatagram::Leads { term } => self.note_leader(from, term),
-            VmDatagram::Dark { term, upstreams } => {
+            VmDatagram::Unresponsive { term, upstreams } => {
                 if term >= self.view.borrow().term {
                     self.apply_unresponsive(upstreams);
                 }
@@ -238,9 +238,9 @@
                     self.apply_quarantine(table);
                 }
             }
-            VmDatagram::AskNews(ask) => self.answer_update_request(from, ask),
-            VmDatagram::PeerNews(note) => self.apply_peer_update(from, note),
-            VmDatagram::Elsewhere { leader, keepers, vms } => {
+            VmDatagram::RequestUpdate(ask) => self.answer_update_request(from, ask),
+            VmDatagram::PeerUpdate(note) => self.apply_peer_update(from, note),
+            VmDatagram::Redirect { leader, keepers, vms } => {
                 let now_ms = self.now_ms();
                 let mut view = self.view.borrow_mut();
                 view.vms = view.vms.max(vms as usize);
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -190,8 +190,8 @@
             if left < MIN_REMAINING_MS {
                 return self.time_out(&count);
             }
-            // A run that has completed needs no further send, and without one no answer would reach the
-            // caller any more.
+            // Once the caller has disconnected nothing more is sent: a request that has run is complete, and
+            // the answer to another send would reach no caller.
             if self.record.has_left() {
                 return self.refuse(&count, "its caller left");
             }
@@ -225,7 +225,7 @@
                     // If no upstream is left for a retry, the caller gets the upstream's own error answer
                     // instead of one of this VM.
                     let repeats = failed
-                        && count.repeats_failure(rule.kind, rule.most_upstreams)
+                        && count.repeats_failure(rule.kind, rule.max_upstreams)
                         && self.may_spend_repeat(&service.name)
                         && self.choose(service, rule, demand.as_ref(), &tried).is_ok();
                     if !repeats {
@@ -237,7 +237,7 @@
             };
             count.note(outcome);
             self.record.note(count.knowledge());
-            match count.next(outcome, rule.kind, rule.most_upstreams) {
+            match count.next(outcome, rule.kind, rule.max_upstreams) {
                 NextStep::Repeat | NextStep::Elsewhere => {}
                 NextStep::Refuse => return self.refuse_not_run(&count, service, "not run"),
                 NextStep::TimeOut => return self.time_out(&count),
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -17,7 +17,9 @@
 use crate::coordination::raft::RaftCore;
 use crate::coordination::raft_message::{RaftMessage, RaftOutput, RaftRole, STARTUP_ELECTION_MS};
 use crate::coordination::vm_roster::VmRoster;
-use crate::state::fleet_record::{FleetCommand, FleetRecord, HeldDocument, RecordChange, SeatRow};
+use crate::state::fleet_record::{
+    FleetCommand, FleetRecord, RecordChange, RingSlotRow, VersionedDocument,
+};
 use crate::state::ids::{Incarnation, KeeperId};
 use crate::state::log_store::{
     EntryPayload, GroupMember, GroupMembership, LogBatch, LogEntry, StoredState,
@@ -235,7 +237,7 @@
             let _ = reply.send(true);
             return (receiver, outcome);
         }
-        let document = HeldDocument { version, text: document.clone() };
+        let document = VersionedDocument { version, text: document.clone() };
         let receiver = self.propose(FleetCommand::Document(document), &mut outcome, now_ms);
         (receiver, outcome)
     }
@@ -279,9 +281,9 @@
 
     /// Proposes the ring slots, if this keeper leads. Slots that aren't committed are proposed again with the
     /// next change.
-    pub fn record_ring_slots(&mut self, seats: Vec<SeatRow>, now_ms: u64) -> KeeperOutcome {
+    pub fn record_ring_slots(&mut self, seats: Vec<RingSlotRow>, now_ms: u64) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
-        let payload = EntryPayload::Command(FleetCommand::Seats(seats).encode());
+        let payload = EntryPayload::Command(FleetCommand::RingSlots(seats).encode());
         self.step(now_ms, &mut outcome, |core, output| {
             if let Err(refusal) = core.propose(payload, output) {
                 info!(target: "keeper", "ring slots are not recorded: {refusal:?}");
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -95,7 +95,7 @@
             let leads = |keeper: &KeeperDriver| keeper.is_confirmed_leader(now_ms);
             let term = self.keeper.borrow().as_ref().filter(|k| leads(k)).map(|k| k.term());
             let action = self.current_action(term.is_some(), now_ms);
-            if action != ListAction::Rest || self.is_unconfirmed(now_ms) {
+            if action != ListAction::Wait || self.is_unconfirmed(now_ms) {
                 self.request_updates(now_ms);
             }
             let alone = term.is_none() && action == ListAction::Read;
@@ -165,14 +165,14 @@
         let status = {
             let upstreams = self.upstreams.borrow();
             ListStatus {
-                first_heard_ms,
-                news_ms: upstreams.confirmed_ms,
+                first_contact_ms: first_heard_ms,
+                confirmed_ms: upstreams.confirmed_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
-                has_list: upstreams.is_held(),
+                has_list: upstreams.is_loaded(),
             }
         };
         match list_action(&status, now_ms, || self.reader_rank()) {
-            ListAction::Read if leads => ListAction::Ask,
+            ListAction::Read if leads => ListAction::Request,
             action => action,
         }
     }
@@ -253,7 +253,7 @@
         let now_ms = self.now_ms();
         let led = match &*self.keeper.borrow() {
             Some(keeper) if keeper.is_confirmed_leader(now_ms) => {
-                Some((keeper.term(), keeper.record.seats.clone(), keeper.roster.loads()))
+                Some((keeper.term(), keeper.record.ring_slots.clone(), keeper.roster.loads()))
             }
             _ => None,
         };
@@ -315,7 +315,7 @@
     fn apply_leaderless_reading(&self, mut rows: Vec<UpstreamEntry>, began_ms: u64) {
         let mut upstreams = self.upstreams.borrow_mut();
         let mut ring_slots = RingSlotTable::default();
-        if upstreams.is_held() {
+        if upstreams.is_loaded() {
             for row in &mut rows {
                 row.ring_slot = upstreams.entries.get(&row.key()).and_then(|known| known.ring_slot);
             }
@@ -337,7 +337,7 @@
             if pause_ms > 0 {
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             }
-            if alone && self.current_action(false, self.now_ms()) == ListAction::Rest {
+            if alone && self.current_action(false, self.now_ms()) == ListAction::Wait {
                 return Err(ListError::Received);
             }
             let tries = if alone { 0 } else { PAGE_TRIES };
--- a/lib/src/transport/vm_list_desk.rs
+++ b/lib/src/transport/vm_list_desk.rs
@@ -5,7 +5,7 @@
 use crossbeam::channel::Sender;
 
 use super::vm_disk::DiskJob;
-use crate::protocol::vm_wire::{NewsAsk, VmId};
+use crate::protocol::vm_wire::{UpdateRequest, VmId};
 use crate::state::upstream_list::ListRevision;
 
 /// The VMs that wait for the list or an update of it, this VM's own requests, and its copy on disk.
@@ -14,7 +14,7 @@
     /// VMs that requested a newer list than this VM holds, with the revisions that they have.
     pub(super) list_waiters: BTreeMap<VmId, ListRevision>,
     /// Requests for an update that could not be answered yet, with the times at which they arrived.
-    pub(super) update_waiters: BTreeMap<VmId, (NewsAsk, u64)>,
+    pub(super) update_waiters: BTreeMap<VmId, (UpdateRequest, u64)>,
     /// When this VM last sent requests for an update.
     pub(super) requested_ms: u64,
     /// How many times in a row it has sent them before.
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -12,8 +12,8 @@
 use super::vm_node::VmNode;
 use crate::coordination::list_reader::{reader_order, request_targets, LIST_REQUEST_MS};
 use crate::coordination::news_source::requests_from_holder;
-use crate::protocol::vm_wire::{NewsAsk, PeerNote, VmDatagram, VmId, VmMessage};
-use crate::state::kept_list::KeptList;
+use crate::protocol::vm_wire::{PeerState, UpdateRequest, VmDatagram, VmId, VmMessage};
+use crate::state::kept_list::StoredList;
 use crate::state::upstream_list::{ListDelta, ListRevision, UpstreamEntry};
 
 /// The shortest time between two requests for the list while this VM holds one, in milliseconds. With a
@@ -83,7 +83,7 @@
         }
         let request = {
             let upstreams = self.upstreams.borrow();
-            NewsAsk {
+            UpdateRequest {
                 sent_ms: now_ms,
                 list: upstreams.revision,
                 list_age_ms: sent_age_ms(upstreams.confirmed_ms, now_ms),
@@ -95,21 +95,21 @@
             order.extend(self.settings.borrow().seeds.iter().map(|ip| VmId::from(*ip)));
         }
         let targets = request_targets(&order, self.id, round, self.draw() as usize);
-        self.send_datagrams(targets, &VmDatagram::AskNews(request));
+        self.send_datagrams(targets, &VmDatagram::RequestUpdate(request));
     }
 
     /// Answers a request for an update at once if this VM has newer state; otherwise keeps the request.
-    pub(super) fn answer_update_request(&self, from: VmId, request: NewsAsk) {
+    pub(super) fn answer_update_request(&self, from: VmId, request: UpdateRequest) {
         let now_ms = self.now_ms();
         if !self.answer_if_newer(from, request, now_ms) {
             self.list_state.borrow_mut().update_waiters.insert(from, (request, now_ms));
         }
     }
 
-    fn answer_if_newer(&self, to: VmId, request: NewsAsk, received_ms: u64) -> bool {
+    fn answer_if_newer(&self, to: VmId, request: UpdateRequest, received_ms: u64) -> bool {
         let note = {
             let (upstreams, contact) = (self.upstreams.borrow(), self.contact.borrow());
-            PeerNote {
+            PeerState {
                 sent_ms: request.sent_ms,
                 list: upstreams.revision,
                 list_age_ms: sent_age_ms(upstreams.confirmed_ms, received_ms),
@@ -122,13 +122,13 @@
             || note.list == request.list && younger(note.list_age_ms, request.list_age_ms)
             || younger(note.version_age_ms, request.version_age_ms);
         if newer {
-            self.send_datagram(to, &VmDatagram::PeerNews(note));
+            self.send_datagram(to, &VmDatagram::PeerUpdate(note));
         }
         newer
     }
 
     /// Applies an update that another VM sent, and requests from it what is newer there.
-    pub(super) fn apply_peer_update(&self, from: VmId, note: PeerNote) {
+    pub(super) fn apply_peer_update(&self, from: VmId, note: PeerState) {
         let now_ms = self.now_ms();
         self.note_list_age(note.list, note.sent_ms, note.list_age_ms);
         if note.version > 0 && note.version_age_ms < u32::MAX {
@@ -160,7 +160,7 @@
     /// request there, since no other VM can be expected to have it.
     pub(super) fn request_list(&self, holder: VmId, now_ms: u64) {
         let have = self.upstreams.borrow().revision;
-        let held = self.upstreams.borrow().is_held();
+        let held = self.upstreams.borrow().is_loaded();
         let again_ms = match (self.links.is_receiving_large(), held) {
             (true, _) => REPEAT_RECEIVING_MS,
             (false, true) => REPEAT_MS,
@@ -197,7 +197,7 @@
             }
             None => {
                 self.links.send_shared(to, "list", upstreams.revision, &self.list_frame, || {
-                    VmMessage::List { mark: upstreams.revision, rows: upstreams.rows() }
+                    VmMessage::List { revision: upstreams.revision, rows: upstreams.rows() }
                 })
             }
         }
@@ -233,7 +233,8 @@
         let not_own = |id: &VmId| *id != self.id;
         let keepers = view.keepers.iter().copied().filter(not_own);
         if delta.from.change == 0 {
-            let whole = VmMessage::List { mark: delta.to, rows: self.upstreams.borrow().rows() };
+            let whole =
+                VmMessage::List { revision: delta.to, rows: self.upstreams.borrow().rows() };
             self.links.send_all(keepers, &whole);
         } else if changed > MAX_PUSHED_ROWS {
             self.links.send_all(keepers, &VmMessage::ListDelta(delta));
@@ -281,10 +282,10 @@
     pub(super) fn store_on_disk(&self) {
         let upstreams = self.upstreams.borrow();
         let mut state = self.list_state.borrow_mut();
-        if state.storing || !upstreams.is_held() || state.stored == upstreams.revision {
+        if state.storing || !upstreams.is_loaded() || state.stored == upstreams.revision {
             return;
         }
-        let list = KeptList { mark: upstreams.revision, rows: upstreams.rows() };
+        let list = StoredList { revision: upstreams.revision, rows: upstreams.rows() };
         let sent =
             state.disk.as_ref().is_some_and(|disk| disk.send(DiskJob::KeepList(list)).is_ok());
         if sent {
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -44,12 +44,12 @@
 use crate::protocol::vm_wire::{VmId, VmMessage};
 use crate::protocol::wire_adapter::WireAdapter;
 use crate::state::document_change::DocumentChange;
-use crate::state::fleet_record::HeldDocument;
+use crate::state::fleet_record::VersionedDocument;
 use crate::state::ids::{Incarnation, KeeperId, UpstreamKey};
 use crate::state::packed_text::PackedText;
 use crate::state::route_table::RouteTable;
 use crate::state::upstream_list::{ListRevision, UpstreamList};
-use crate::state::vm_figures::VmFigures;
+use crate::state::vm_figures::VmCounters;
 use crate::state::vm_settings::VmSettings;
 
 /// How often the keeper's timers are checked. Heartbeats are the shortest interval that it has to keep,
@@ -159,7 +159,7 @@
     /// Passive health checks of upstreams.
     pub outliers: RefCell<OutlierTable>,
     /// Counters for the metrics.
-    pub counters: RefCell<VmFigures>,
+    pub counters: RefCell<VmCounters>,
     /// The path at which metrics are served.
     pub metrics_path: RefCell<String>,
     /// Which prompt parts are cached at which engines.
@@ -408,7 +408,7 @@
 
     /// Sends a new document to the VMs outside the consensus group, as a change against the one before where
     /// that is less than half as long. Keepers receive it by the consensus itself.
-    fn send_document(&self, before: Option<&RoutesInForce>, held: HeldDocument) {
+    fn send_document(&self, before: Option<&RoutesInForce>, held: VersionedDocument) {
         let view = self.view.borrow();
         let others = view.roster.rows.iter().map(|row| row.id);
         let others = others.filter(|id| *id != self.id && !view.keepers.contains(id));
@@ -476,10 +476,10 @@
                     let _ = asker.send(committed);
                 }
             }
-            VmMessage::Order { question, order } => {
+            VmMessage::Order { number: question, order } => {
                 spawn_local(self.clone().answer_order(from, question, order));
             }
-            VmMessage::OrderReply { question, verdict } => {
+            VmMessage::OrderReply { number: question, verdict } => {
                 self.receive_order_reply(question, verdict);
             }
             VmMessage::WantDocument => self.answer_document_request(from),
@@ -489,7 +489,7 @@
             }
             VmMessage::WantList { have } => self.answer_list_request(from, have),
             VmMessage::ListDelta(step) => self.apply_list_delta(from, step),
-            VmMessage::List { mark, rows } => self.apply_list(mark, rows),
+            VmMessage::List { revision: mark, rows } => self.apply_list(mark, rows),
         }
     }
 
@@ -547,7 +547,7 @@
         };
         if let Some(kept) = kept {
             info!(target: "list", upstreams = kept.rows.len(), "the list stored on disk is used");
-            self.apply_list(kept.mark, kept.rows);
+            self.apply_list(kept.revision, kept.rows);
         }
         self.list_state.borrow_mut().disk = Some(jobs.clone());
         let keeper = KeeperDriver::new(identity, incarnation, *stored, jobs, self.now_ms());
--- a/lib/src/transport/vm_orders.rs
+++ b/lib/src/transport/vm_orders.rs
@@ -61,7 +61,7 @@
         let (sender, receiver) = oneshot::channel();
         let number = self.draw() ^ self.now_ms();
         self.orders.borrow_mut().pending.insert(number, sender);
-        self.links.send(leader, &VmMessage::Order { question: number, order });
+        self.links.send(leader, &VmMessage::Order { number, order });
         let verdict = tokio::time::timeout(REPLY_TIMEOUT, receiver).await;
         self.orders.borrow_mut().pending.remove(&number);
         verdict.ok()?.ok()
@@ -120,7 +120,7 @@
     /// Decides on an order that another VM sent, and replies.
     pub(super) async fn answer_order(self: Rc<Self>, from: VmId, number: u64, order: FleetOrder) {
         let verdict = self.order_here(order).await;
-        self.links.send(from, &VmMessage::OrderReply { question: number, verdict });
+        self.links.send(from, &VmMessage::OrderReply { number, verdict });
     }
 
     /// Passes on the verdict on an order that this VM sent to the leader.
--- a/lib/src/transport/vm_reply.rs
+++ b/lib/src/transport/vm_reply.rs
@@ -116,7 +116,7 @@
         if matches_attempt.is_none() || (head.status.is_success() && !facts.stamped) {
             return self.reject_foreign(target);
         }
-        match (head.status.is_server_error(), facts.rest_ms) {
+        match (head.status.is_server_error(), facts.backoff_ms) {
             (true, Some(_)) => target.trial.end_inconclusive(),
             (true, None) => target.trial.end_failure(),
             (false, _) => {}
@@ -128,7 +128,7 @@
         }
         let short = body.size_hint().exact().is_some_and(|length| length <= BUFFERED_BYTES);
         if rule.kind.is_stream() || !short {
-            let asks_backoff = facts.rest_ms.is_some();
+            let asks_backoff = facts.backoff_ms.is_some();
             let success = head.status.is_success();
             let framing = body_framing(&head, &body);
             let tracker = BodyTracker::new(framing, rule.kind.is_stream() && success);
@@ -156,7 +156,7 @@
         lease: ConnectionLease,
     ) -> SendResult {
         target.trial.end_inconclusive();
-        match facts.other_life {
+        match facts.other_incarnation {
             true => self.note_gone(target.upstream, "another life listens there"),
             false => self.log_refusal(target, facts, head, lease.is_reused()),
         }
@@ -188,7 +188,7 @@
                 self.note_ran(target, true);
                 lease.finish(facts.closes, facts.idle_ms, self.node.now_ms()).await;
                 let (body, asks_backoff) =
-                    (AnswerContent::Whole(body.to_bytes()), facts.rest_ms.is_some());
+                    (AnswerContent::Whole(body.to_bytes()), facts.backoff_ms.is_some());
                 SendResult::Answer(Box::new(UsableAnswer { head, body, asks_backoff }))
             }
             WaitResult::Done(Err(_)) => {
@@ -228,7 +228,7 @@
         }
         info!(
             target: "request", attempt = self.caller.attempt, took_ms, goal_ms = rule.goal_ms,
-            life = target.send.life, left_ms = target.send.left_ms,
+            life = target.send.name, left_ms = target.send.left_ms,
             own, others, fetched = target.send.fetch_from.is_some(), "late {what}",
         );
     }
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -20,7 +20,7 @@
 use crate::coordination::rollout_share::{sharing_vms, ExposureBound};
 use crate::coordination::rollout_watch::{RolloutLane, RolloutReport, TrialTag, VersionRule};
 use crate::coordination::vm_roster::overloaded_renew_ms;
-use crate::protocol::vm_wire::{FleetOrder, OrderEnd, RolloutWish, VmDatagram, VmId};
+use crate::protocol::vm_wire::{FleetOrder, OrderEnd, RolloutRequest, VmDatagram, VmId};
 use crate::protocol::wire_adapter::RolloutCall;
 use crate::state::finding::Finding;
 use crate::state::fleet_record::FleetCommand;
@@ -110,13 +110,17 @@
             .is_some_and(|routes| routes.table.services.iter().any(|s| s.name == service))
     }
 
-    fn rollout_request(&self, call: &RolloutCall) -> RolloutWish {
+    fn rollout_request(&self, call: &RolloutCall) -> RolloutRequest {
         let state = self.rollouts.borrow();
-        RolloutWish {
+        RolloutRequest {
             service: call.service.clone(),
             target: call.target.clone(),
             duration_ms: call.duration_ms,
-            after: state.tracker().table().row(&call.service).map_or(0, |row| row.order.number),
+            last_number: state
+                .tracker()
+                .table()
+                .row(&call.service)
+                .map_or(0, |row| row.order.number),
         }
     }
 
@@ -125,7 +129,7 @@
     pub(super) fn rollout_command(
         &self,
         keeper: &KeeperDriver,
-        request: RolloutWish,
+        request: RolloutRequest,
     ) -> Result<FleetCommand, OrderEnd> {
         let now_ms = self.now_ms();
         let repeat_ms = self.settings.borrow().bounds.ack_ms + ORDER_MS;
@@ -144,7 +148,7 @@
             }
         }
         let number = row.map_or(0, |row| row.order.number);
-        if request.after != number {
+        if request.last_number != number {
             return Err(OrderEnd::NotTaken);
         }
         Ok(FleetCommand::Rollout(RolloutCommand::Start(RolloutOrder {
@@ -152,7 +156,7 @@
             number: number + 1,
             target: request.target,
             duration_ms: request.duration_ms,
-            vms: sharing_vms(keeper.roster.rows().len(), keeper.led_ms(now_ms)),
+            sharing_vms: sharing_vms(keeper.roster.rows().len(), keeper.led_ms(now_ms)),
         })))
     }
 
@@ -179,7 +183,7 @@
 
     fn exposure_bound(&self) -> ExposureBound {
         let bounds = self.settings.borrow().bounds;
-        ExposureBound { share: bounds.expose_share, slack: bounds.expose_slack }
+        ExposureBound { share: bounds.exposure_share, slack: bounds.exposure_slack }
     }
 
     /// Applies the roll-outs that a leader sent.
@@ -197,7 +201,7 @@
     /// This VM's reports to the leader on running roll-outs.
     pub(super) fn rollout_reports(&self) -> Vec<RolloutReport> {
         let state = self.rollouts.borrow();
-        if !state.tracker().table().any_runs() {
+        if !state.tracker().table().any_running() {
             return Vec::new();
         }
         let upstreams = self.upstreams.borrow();
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -81,7 +81,7 @@
         let now_ms = self.now_ms();
         match fault {
             None => self.silence.borrow_mut().view.reached(upstream),
-            Some(ConnectFault::ConnectionRefused | ConnectFault::NotAttempted) => {}
+            Some(ConnectFault::ConnectionRefused | ConnectFault::Disallowed) => {}
             Some(ConnectFault::NoAnswer) => {
                 {
                     let mut state = self.silence.borrow_mut();
@@ -166,7 +166,7 @@
         let now_ms = self.now_ms();
         let table = &mut self.silence.borrow_mut().table;
         match fault {
-            Some(ConnectFault::NotAttempted) => table.note_probe_skipped(upstream, now_ms),
+            Some(ConnectFault::Disallowed) => table.note_probe_skipped(upstream, now_ms),
             // A refused connection shows that the machine can be reached.
             None | Some(ConnectFault::ConnectionRefused) => {
                 table.note_probe(upstream, self.id, true, now_ms);
@@ -194,7 +194,7 @@
         if unresponsive.len() > MAX_PUBLISHED {
             return;
         }
-        self.send_to_others(&VmDatagram::Dark { term, upstreams: unresponsive });
+        self.send_to_others(&VmDatagram::Unresponsive { term, upstreams: unresponsive });
     }
 
     /// The unresponsive upstreams, for a grant; `None` if `known` shows that the VM has them already.
