--- a/lib/src/transport/clock.rs
+++ b/lib/src/transport/clock.rs
@@ -1,13 +1,16 @@
-//! The two clocks of a node. Decisions take their time as an argument; it comes from here.
+//! The monotonic clock and the wall clock of a node. Code that decides gets the time as an argument, read
+//! here.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Monotonic time starts here, so that "never" can be 0 in tables.
+/// The first value of the monotonic clock, in milliseconds. It is above 0, so that tables can use 0 for
+/// "never".
 const START_MS: u64 = 1_000_000;
-/// The step of the clock, in milliseconds: a moment may be nearly this much later than it is read.
+/// The resolution of the clock, in milliseconds: the actual time may be later by nearly this much than the
+/// value that is read.
 pub const CLOCK_STEP_MS: u64 = 1;
 
-/// A node's clocks.
+/// A node's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeClock {
     start: Duration,
@@ -20,39 +23,39 @@
 }
 
 impl NodeClock {
-    /// Milliseconds that never fall; comparable within this process only. The time in which the VM was
-    /// suspended is counted, so that a lease, a proof or a deadline is as old after it as it is for
-    /// everybody else.
+    /// The monotonic time in milliseconds, comparable within this process only. It includes time in which the
+    /// VM was suspended, so that a lease, a proof or a deadline ages on this VM as it does on the others.
     pub fn now_ms(&self) -> u64 {
         START_MS + self.age_ms()
     }
 
-    /// The step after the present one, by the same clock: nothing that has happened yet is later. A span that
-    /// somebody else bounds from an event of a moment ago counts from it, lest it end up to a step too soon.
+    /// [`NodeClock::now_ms`] plus one step of the clock: no event that has happened yet is later. A span that
+    /// another process measures from an event of just now is counted from here, since it could otherwise end
+    /// too early by up to one step.
     pub fn next_ms(&self) -> u64 {
         self.now_ms() + CLOCK_STEP_MS
     }
 
-    /// Milliseconds since this process made the clock, likewise.
+    /// Milliseconds since this clock was created, including time in which the VM was suspended.
     pub fn age_ms(&self) -> u64 {
         since_boot().saturating_sub(self.start).as_millis() as u64
     }
 }
 
-/// The time since the VM's start, suspensions included: `CLOCK_BOOTTIME` of Linux. [`Instant`] reads
-/// `CLOCK_MONOTONIC`, which stands still meanwhile.
+/// The time since the VM booted, suspensions included: `CLOCK_BOOTTIME` of Linux. [`Instant`] reads
+/// `CLOCK_MONOTONIC`, which stands still while the VM is suspended.
 fn since_boot() -> Duration {
     let mut time = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: `time` is a timespec of this frame, which the call fills and doesn't keep.
     let read = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &mut time) };
     match read {
         0 => Duration::new(time.tv_sec as u64, time.tv_nsec as u32),
-        _ => since_first_asked(),
+        _ => since_first_call(),
     }
 }
 
-/// What a system without that clock has.
-fn since_first_asked() -> Duration {
+/// The time since the first call, for a system without `CLOCK_BOOTTIME`.
+fn since_first_call() -> Duration {
     static FIRST: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     FIRST.get_or_init(Instant::now).elapsed()
 }
--- a/lib/src/transport/datagram.rs
+++ b/lib/src/transport/datagram.rs
@@ -1,4 +1,4 @@
-//! Sealed datagrams, for what recurs each quarter second.
+//! Sealed datagrams, for messages that recur every quarter of a second.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,9 +12,11 @@
 use crate::protocol::keeper_wire::{decode, encode, Datagram};
 use crate::protocol::seal::{SealChecker, SealMaker};
 
-/// Longer messages go by HTTP, so that no datagram is split into fragments.
-pub const LONGEST_DATAGRAM: usize = 1200;
-const POLL: Duration = Duration::from_millis(100);
+/// The longest message that is sent as a datagram, in bytes. Longer ones are sent over HTTP, so that no
+/// datagram is split into fragments.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// How often the receiving thread checks whether it has to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A socket that sends and receives sealed datagrams.
 #[derive(Clone)]
@@ -32,14 +34,14 @@
         wire: Arc<WireCount>,
     ) -> io::Result<DatagramPort> {
         let socket = UdpSocket::bind(address)?;
-        socket.set_read_timeout(Some(POLL))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         Ok(DatagramPort { socket: Arc::new(socket), maker, wire })
     }
 
-    /// Sends a datagram; false when it is too long or the system refuses it.
+    /// Sends a datagram. Returns false if it is too long or the system refuses it.
     pub fn send(&self, to: SocketAddr, message: &Datagram) -> bool {
         let body = encode(message);
-        if body.len() > LONGEST_DATAGRAM {
+        if body.len() > MAX_DATAGRAM_BYTES {
             return false;
         }
         let bytes = self.maker.datagram(&body, wall_ms());
@@ -47,30 +49,30 @@
         self.socket.send_to(&bytes, to).is_ok()
     }
 
-    /// Receives until `stop`, on a thread of its own.
+    /// Starts a thread that passes each authentic datagram to `handle` until `stop` is set.
     pub fn receive(
         &self,
         checker: Arc<Mutex<SealChecker>>,
         stop: Arc<AtomicBool>,
-        take: impl Fn(SocketAddr, Datagram) + Send + 'static,
+        handle: impl Fn(SocketAddr, Datagram) + Send + 'static,
     ) -> io::Result<JoinHandle<()>> {
         let port = self.clone();
         let run = move || {
             let mut bytes = [0; 2048];
             while !stop.load(Ordering::Relaxed) {
                 let Ok((length, from)) = port.socket.recv_from(&mut bytes) else { continue };
-                port.take_bytes(&bytes[..length], from, &checker, &take);
+                port.handle_bytes(&bytes[..length], from, &checker, &handle);
             }
         };
         std::thread::Builder::new().name("datagram".to_string()).spawn(run)
     }
 
-    fn take_bytes(
+    fn handle_bytes(
         &self,
         bytes: &[u8],
         from: SocketAddr,
         checker: &Mutex<SealChecker>,
-        take: &impl Fn(SocketAddr, Datagram),
+        handle: &impl Fn(SocketAddr, Datagram),
     ) {
         let opened = {
             let mut checker = checker.lock().unwrap_or_else(|poison| poison.into_inner());
@@ -87,7 +89,7 @@
             Ok(message) => {
                 let length = bytes.len() as u64 + DATAGRAM_HEAD_BYTES;
                 self.wire.received(kind_of(&message), length);
-                take(from, message);
+                handle(from, message);
             }
             Err(error) => tracing::warn!("datagram: cannot read one from {from}: {error}."),
         }
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -108,15 +108,15 @@
         let row = self.own_row();
         let mut view = self.view.borrow_mut();
         let (roster, list) = (view.roster.revision, self.upstreams.borrow().revision);
-        let mut desk = self.holders.borrow_mut();
-        let (holders, holders_heard) = (desk.outbox.take(), desk.received);
-        let (doubts, dark) = {
+        let mut holder_state = self.holders.borrow_mut();
+        let (holders, holders_heard) = (holder_state.outbox.take(), holder_state.received);
+        let (unreachable, unresponsive) = {
             let view = &mut self.silence.borrow_mut().view;
             (view.take_suspicions(), view.revision())
         };
         let (quarantine_changes, crashes) = {
-            let mut desk = self.quarantine.borrow_mut();
-            (desk.changes(), desk.take_report(now_ms))
+            let mut state = self.quarantine.borrow_mut();
+            (state.changes(), state.take_report(now_ms))
         };
         let note = RenewalNote {
             sent_ms: now_ms,
@@ -129,8 +129,8 @@
             holders_received: holders_heard,
             health_reports: self.health.borrow_mut().outbox.take(),
             zone_orders: self.zones.borrow().watch.orders.accepted(),
-            unreachable: doubts,
-            unresponsive: dark,
+            unreachable,
+            unresponsive,
             rollout_changes: self.rollouts.borrow().tracker().table().changes(),
             incarnation: self.rollouts.borrow().incarnation(),
             rollouts: self.rollout_reports(),
@@ -238,7 +238,7 @@
                     self.apply_quarantine(table);
                 }
             }
-            VmDatagram::RequestUpdate(ask) => self.answer_update_request(from, ask),
+            VmDatagram::RequestUpdate(request) => self.answer_update_request(from, request),
             VmDatagram::PeerUpdate(note) => self.apply_peer_update(from, note),
             VmDatagram::Redirect { leader, keepers, vms } => {
                 let now_ms = self.now_ms();
--- a/lib/src/transport/vm_control.rs
+++ b/lib/src/transport/vm_control.rs
@@ -31,9 +31,7 @@
     match node.adapter.control_call(request.method(), request.uri()) {
         ControlCall::Put => put_document(&node, request).await,
         ControlCall::Get => get_document(&node).await,
-        ControlCall::Zone { zone, evacuate: emptied } => {
-            order_zone(node, request, zone, emptied).await
-        }
+        ControlCall::Zone { zone, evacuate } => order_zone(node, request, zone, evacuate).await,
         ControlCall::StartRollout => start_rollout(node, request).await,
         ControlCall::GetRollout { service } => get_rollout(node, service).await,
         ControlCall::Malformed(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
--- a/lib/src/transport/vm_disk.rs
+++ b/lib/src/transport/vm_disk.rs
@@ -78,7 +78,7 @@
             }
             Err(damage) => {
                 // The group has what this disk lost; the disk joins again as a new incarnation.
-                error!(target: "disk", "the folder is damaged and is made anew: {damage}");
+                error!(target: "disk", "the folder is damaged and is made again: {damage}");
                 if let Err(error) = move_files_aside(folder) {
                     warn!(target: "disk", "cannot move the damaged files aside: {error}");
                     std::thread::sleep(RETRY_PAUSE);
@@ -88,15 +88,15 @@
     }
 }
 
-/// Moves the damaged files into a folder beside the new ones, for inspection.
+/// Moves the damaged files into the subfolder `damaged`, for inspection.
 fn move_files_aside(folder: &PathBuf) -> std::io::Result<()> {
-    let aside = folder.join("damaged");
-    let _ = std::fs::remove_dir_all(&aside);
-    std::fs::create_dir(&aside)?;
+    let damaged = folder.join("damaged");
+    let _ = std::fs::remove_dir_all(&damaged);
+    std::fs::create_dir(&damaged)?;
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
         if let (true, Some(name)) = (path.is_file(), path.file_name()) {
-            std::fs::rename(&path, aside.join(name))?;
+            std::fs::rename(&path, damaged.join(name))?;
         }
     }
     Ok(())
--- a/lib/src/transport/vm_fleet_calls.rs
+++ b/lib/src/transport/vm_fleet_calls.rs
@@ -31,9 +31,7 @@
         FleetCall::GetRollout { service } => get(&node, &service).await,
         FleetCall::AbortRollout { service } => abort(&node, service).await,
         FleetCall::ListZones => list_zones(&node).await,
-        FleetCall::Zone { zone, evacuate: emptied } => {
-            order_zone(node, request, zone, emptied).await
-        }
+        FleetCall::Zone { zone, evacuate } => order_zone(node, request, zone, evacuate).await,
         FleetCall::Malformed(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
         FleetCall::Unknown => own_answer(StatusCode::NOT_FOUND, ""),
     }
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -134,12 +134,12 @@
         let upstreams = self.upstreams.borrow();
         let service = |key| upstreams.entries.get(&key).map_or("", |entry| entry.service.as_str());
         let fleet = |key| upstreams.accepting(service(key)).map(|(key, _)| key);
-        let mut desk = self.health.borrow_mut();
-        for key in desk.table.take(term, notes, fleet, now_ms) {
+        let mut state = self.health.borrow_mut();
+        for key in state.table.take(term, notes, fleet, now_ms) {
             let life = upstreams.entries.get(&key).map_or("", |entry| entry.name.as_str());
             info!(target: "upstream", life, "fails for all VMs");
         }
-        desk.table.flagged(now_ms)
+        state.table.flagged(now_ms)
     }
 
     /// Records a VM's notes on holders, as the leader. Returns the notes that the VM lacks, and the position
@@ -148,13 +148,13 @@
         &self,
         term: u64,
         notes: &[HolderNote],
-        heard: HolderPosition,
+        received: HolderPosition,
         now_ms: u64,
     ) -> (Vec<HolderNote>, HolderPosition) {
         let mut holders = self.holders.borrow_mut();
         let fresh = holders.log.take(term, notes);
         self.learn_holders(&fresh, now_ms);
-        holders.log.notes_after(heard)
+        holders.log.notes_after(received)
     }
 
     /// Applies the orders of a grant that answers a renewal of `sent_ms`. Orders of a kind are in it only if
@@ -183,7 +183,7 @@
         self.holders.borrow_mut().received = grant.holders_received;
         self.note_list_age(grant.list, grant.sent_ms, grant.list_age_ms);
         match grant.unresponsive.take() {
-            Some(dark) => self.apply_unresponsive(dark),
+            Some(upstreams) => self.apply_unresponsive(upstreams),
             None => self.silence.borrow_mut().view.confirm(now_ms),
         }
         self.apply_orders(grant.zones.take(), grant.rollouts.take(), grant.sent_ms);
@@ -274,8 +274,8 @@
         }
         let own_reports = self.health.borrow_mut().outbox.take();
         let failing = self.take_health_reports(keeper.term(), &own_reports, now_ms);
-        let doubts = self.silence.borrow_mut().view.take_suspicions();
-        self.record_suspicions(keeper.term(), self.id, &doubts);
+        let suspicions = self.silence.borrow_mut().view.take_suspicions();
+        self.record_suspicions(keeper.term(), self.id, &suspicions);
         let (incarnation, reports) = (self.rollouts.borrow().incarnation(), self.rollout_reports());
         self.record_rollout_reports(keeper.term(), self.id, incarnation, reports);
         self.receive_own_crashes(keeper.term(), &keeper.record.quarantine, now_ms);
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -281,9 +281,13 @@
 
     /// Proposes the ring slots, if this keeper leads. Slots that aren't committed are proposed again with the
     /// next change.
-    pub fn record_ring_slots(&mut self, seats: Vec<RingSlotRow>, now_ms: u64) -> KeeperOutcome {
+    pub fn record_ring_slots(
+        &mut self,
+        ring_slots: Vec<RingSlotRow>,
+        now_ms: u64,
+    ) -> KeeperOutcome {
         let mut outcome = KeeperOutcome::default();
-        let payload = EntryPayload::Command(FleetCommand::RingSlots(seats).encode());
+        let payload = EntryPayload::Command(FleetCommand::RingSlots(ring_slots).encode());
         self.step(now_ms, &mut outcome, |core, output| {
             if let Err(refusal) = core.propose(payload, output) {
                 info!(target: "keeper", "ring slots are not recorded: {refusal:?}");
--- a/lib/src/transport/vm_links.rs
+++ b/lib/src/transport/vm_links.rs
@@ -106,9 +106,9 @@
         shared: &RefCell<Option<(M, Bytes)>>,
         make: impl FnOnce() -> VmMessage,
     ) {
-        let kept =
+        let cached =
             shared.borrow().as_ref().filter(|(of, _)| *of == revision).map(|(_, f)| f.clone());
-        let frame = kept.unwrap_or_else(|| {
+        let frame = cached.unwrap_or_else(|| {
             let frame = encode_frame(self.own, &make());
             *shared.borrow_mut() = Some((revision, frame.clone()));
             frame
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -398,8 +398,8 @@
         };
         let before = self.routes.borrow().clone();
         self.apply_packed(held.version, &held.text);
-        for asker in std::mem::take(&mut *self.document_requesters.borrow_mut()) {
-            self.answer_document_request(asker);
+        for requester in std::mem::take(&mut *self.document_requesters.borrow_mut()) {
+            self.answer_document_request(requester);
         }
         if leads {
             self.send_document(before.as_deref(), held);
@@ -472,15 +472,15 @@
                 });
             }
             VmMessage::PutReply { number, committed } => {
-                if let Some(asker) = self.pending_puts.borrow_mut().remove(&number) {
-                    let _ = asker.send(committed);
+                if let Some(waiter) = self.pending_puts.borrow_mut().remove(&number) {
+                    let _ = waiter.send(committed);
                 }
             }
-            VmMessage::Order { number: question, order } => {
-                spawn_local(self.clone().answer_order(from, question, order));
+            VmMessage::Order { number, order } => {
+                spawn_local(self.clone().answer_order(from, number, order));
             }
-            VmMessage::OrderReply { number: question, verdict } => {
-                self.receive_order_reply(question, verdict);
+            VmMessage::OrderReply { number, verdict } => {
+                self.receive_order_reply(number, verdict);
             }
             VmMessage::WantDocument => self.answer_document_request(from),
             VmMessage::Document { version, document } => self.apply_packed(version, &document),
@@ -489,7 +489,7 @@
             }
             VmMessage::WantList { have } => self.answer_list_request(from, have),
             VmMessage::ListDelta(step) => self.apply_list_delta(from, step),
-            VmMessage::List { revision: mark, rows } => self.apply_list(mark, rows),
+            VmMessage::List { revision, rows } => self.apply_list(revision, rows),
         }
     }
 
@@ -542,12 +542,12 @@
         jobs: crossbeam::channel::Sender<super::vm_disk::DiskJob>,
         mut reports: UnboundedReceiver<DiskReport>,
     ) {
-        let Some(DiskReport::Opened(incarnation, stored, kept)) = reports.recv().await else {
+        let Some(DiskReport::Opened(incarnation, stored, list)) = reports.recv().await else {
             return;
         };
-        if let Some(kept) = kept {
-            info!(target: "list", upstreams = kept.rows.len(), "the list stored on disk is used");
-            self.apply_list(kept.revision, kept.rows);
+        if let Some(list) = list {
+            info!(target: "list", upstreams = list.rows.len(), "the list stored on disk is used");
+            self.apply_list(list.revision, list.rows);
         }
         self.list_state.borrow_mut().disk = Some(jobs.clone());
         let keeper = KeeperDriver::new(identity, incarnation, *stored, jobs, self.now_ms());
@@ -567,8 +567,8 @@
         let peer = SocketAddr::from((settings.ip, settings.peer_port));
         let listener = listen(peer)?;
         let node = self.clone();
-        let take = Rc::new(move |from, message| node.handle_message(from, message));
-        spawn_local(self.links.clone().accept(listener, take));
+        let handle = Rc::new(move |from, message| node.handle_message(from, message));
+        spawn_local(self.links.clone().accept(listener, handle));
         spawn_local(self.clone().receive_datagrams());
         self.start_keeper()?;
         spawn_local(self.clone().tick_keeper());
--- a/lib/src/transport/vm_pool.rs
+++ b/lib/src/transport/vm_pool.rs
@@ -25,7 +25,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{timeout, Instant};
 
-use super::vm_sockets::{is_silent, seems_silent, set_stream};
+use super::vm_sockets::{is_quiet, seems_quiet, set_stream};
 use crate::coordination::silence::ConnectTimeout;
 use crate::coordination::upstream_notice::{ApproachPurpose, NoticeTable};
 use crate::state::connect_count::{ConnectCause, ConnectCount};
@@ -94,7 +94,7 @@
 
     fn pop(&mut self, now_ms: u64) -> Option<TcpStream> {
         while let Some(connection) = self.idle.pop() {
-            match connection.fault(is_silent, now_ms) {
+            match connection.fault(is_quiet, now_ms) {
                 None => return Some(connection.stream),
                 fault => self.last_end = fault,
             }
@@ -104,7 +104,7 @@
 
     fn sweep(&mut self, now_ms: u64) {
         let mut ended = None;
-        self.idle.retain(|connection| match connection.fault(seems_silent, now_ms) {
+        self.idle.retain(|connection| match connection.fault(seems_quiet, now_ms) {
             None => true,
             fault => {
                 ended = fault;
--- a/lib/src/transport/vm_sockets.rs
+++ b/lib/src/transport/vm_sockets.rs
@@ -1,4 +1,4 @@
-//! Options of the sockets of a VM.
+//! The options that a VM sets on its sockets.
 
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
@@ -10,30 +10,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::debug;
 
-/// A peer that acknowledges nothing for this long is gone: longer than any time a packet
-/// waits on a lossy link, shorter than what callers wait.
-const SILENT_PEER: Duration = Duration::from_millis(2500);
-/// A resting connection is probed after this long.
+/// A connection whose peer acknowledges nothing for this long is closed. That is longer than
+/// retransmissions on a lossy link take, and shorter than callers wait.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
+/// An idle connection is probed (TCP keepalive) after this long.
 const PROBE_AFTER: Duration = Duration::from_secs(4);
-/// And then this often.
+/// The interval between two probes of an idle connection.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Connections that wait to be accepted; a full queue costs callers seconds.
+/// The most connections that wait to be accepted. A connection that finds the queue full is delayed by
+/// seconds.
 const BACKLOG: i32 = 1024;
 
-/// Sets what every connection needs.
+/// Sets the options that every connection needs.
 pub fn set_stream(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_EVERY);
     let set = stream
         .set_nodelay(true)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(SILENT_PEER)))
+        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)))
         .and_then(|()| socket.set_tcp_keepalive(&probes.with_retries(2)));
     if let Err(error) = set {
         debug!(target: "socket", "an option was not set: {error}");
     }
 }
 
-/// Listens at an address.
+/// Opens a listener at an address.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -43,16 +44,17 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Whether a stream on which nothing is due is open and silent: its end or bytes that were not requested
-/// for make it unusable.
-pub fn is_silent(stream: &TcpStream) -> bool {
+/// Whether an idle stream is open and has nothing to read. One that has ended, or has received bytes that
+/// weren't requested, can't be used for a request.
+pub fn is_quiet(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = SockRef::from(stream).peek(&mut byte);
     matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// The same as far as the event loop has heard, without a call to the system while it is silent.
-pub fn seems_silent(stream: &TcpStream) -> bool {
+/// Like [`is_quiet`], but decided from the event loop's last readiness report, without a system call while
+/// there is nothing to read. An event that the loop hasn't reported yet is missed.
+pub fn seems_quiet(stream: &TcpStream) -> bool {
     let mut context = Context::from_waker(Waker::noop());
-    stream.poll_read_ready(&mut context).is_pending() || is_silent(stream)
+    stream.poll_read_ready(&mut context).is_pending() || is_quiet(stream)
 }
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -25,7 +25,7 @@
     node: Rc<VmNode>,
     request: Request<Incoming>,
     zone: String,
-    emptied: bool,
+    evacuate: bool,
 ) -> Response<AnswerBody> {
     let arrived_ms = node.now_ms();
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
@@ -38,13 +38,13 @@
     }
     let order = || {
         let number = node.zones.borrow().watch.orders.last_number(&zone) + 1;
-        FleetOrder::Zone(ZoneOrder { zone: zone.clone(), number, evacuated: emptied })
+        FleetOrder::Zone(ZoneOrder { zone: zone.clone(), number, evacuated: evacuate })
     };
     if node.order_until(arrived_ms, order).await == OrderEnd::Taken {
-        info!(target: "control", zone, emptied, "an order for a zone is accepted");
+        info!(target: "control", zone, emptied = evacuate, "an order for a zone is accepted");
         return own_answer(StatusCode::OK, "{}");
     }
-    info!(target: "control", zone, emptied, "an order was not accepted in time");
+    info!(target: "control", zone, emptied = evacuate, "an order was not confirmed as accepted in time");
     refusal(StatusCode::SERVICE_UNAVAILABLE, "not known to be taken", 300)
 }
 
--- a/lib/src/transport/wire_count.rs
+++ b/lib/src/transport/wire_count.rs
@@ -1,31 +1,31 @@
-//! Bytes on the wire by kind of message, as the transport sends and receives them.
+//! Counts the messages and bytes that the transport sends and receives, by kind of message.
 //!
-//! Bodies and heads are counted as written; what the packets add is estimated with
-//! the two constants below, since a process does not see it.
+//! Heads and bodies are counted as written. The overhead of packets is invisible to a process and is
+//! estimated with the two constants below.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
 use crate::protocol::operator::WireRow;
 
-/// IP and UDP heads of one datagram.
+/// The size of the IP and UDP headers of one datagram.
 pub const DATAGRAM_HEAD_BYTES: u64 = 28;
-/// The packets of opening and closing one TCP connection, five of them sent by the opener.
+/// The size of the packets that open and close one TCP connection: the five that the opener sends.
 pub const CONNECTION_BYTES: u64 = 5 * 40;
 
-/// Counters by kind.
+/// Counters by kind: messages sent, bytes sent, messages received, bytes received.
 #[derive(Debug, Default)]
 pub struct WireCount {
     rows: Mutex<BTreeMap<&'static str, [u64; 4]>>,
 }
 
 impl WireCount {
-    /// A message of this kind was sent.
+    /// Counts a message of this kind as sent.
     pub fn sent(&self, kind: &'static str, bytes: u64) {
         self.add(kind, 0, bytes);
     }
 
-    /// A message of this kind was received.
+    /// Counts a message of this kind as received.
     pub fn received(&self, kind: &'static str, bytes: u64) {
         self.add(kind, 2, bytes);
     }
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -27,7 +27,7 @@
     ChatKey, FleetKey, Incarnation, RouterId, UpstreamKey, WorkspaceKey,
 };
 use wingshed_lib::state::roster::{RouterRoster, RouterSession};
-use wingshed_lib::transport::datagram::LONGEST_DATAGRAM;
+use wingshed_lib::transport::datagram::MAX_DATAGRAM_BYTES;
 
 const FLEET: FleetKey = FleetKey(1);
 const RULE: AdmissionRule = AdmissionRule { multiple: 1.25, max_requests: 3 };
@@ -494,7 +494,7 @@
             marks: vec![mark; MARKS_PER_DATAGRAM],
         };
         let bytes = encode(&Datagram::Grant(grant)).len();
-        assert!(bytes <= LONGEST_DATAGRAM, "{bytes} bytes");
+        assert!(bytes <= MAX_DATAGRAM_BYTES, "{bytes} bytes");
     }
 
     assert_eq!(seen.len(), 38);
