--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -1,5 +1,5 @@
-//! What a fleet and one of twice the size do: bytes told, looks at upstreams, rows copied, all counted
-//! without a clock.
+//! Compares a fleet with one of twice the size: bytes sent, sums computed and rows copied must not grow
+//! faster than they need to. All is counted, so that no test depends on a clock.
 
 mod testutils;
 
@@ -29,7 +29,7 @@
 
 const ZONES: u32 = 5;
 const KEEPERS: u32 = 10;
-/// Requests in flight for each VM, on ten upstreams for each VM.
+/// The mean number of requests in flight for each VM; there are ten upstreams for each VM.
 const IN_FLIGHT: f64 = 0.2;
 
 fn vm(id: u32) -> RosterRow {
@@ -79,7 +79,7 @@
     roster
 }
 
-fn load_news(
+fn load_update(
     shared: &mut SharedLoads,
     roster: &VmRoster,
     list: &UpstreamList,
@@ -93,18 +93,18 @@
     let list = list_of(10 * vms);
     let roster = busy_roster(vms, &list, IN_FLIGHT);
     let mut shared = SharedLoads::default();
-    let placed = encode(&load_news(&mut shared, &roster, &list, list.revision, 0)).len();
-    let keyed = encode(&load_news(&mut shared, &roster, &list, ListRevision::default(), 0)).len();
-    (placed, keyed)
+    let positional = encode(&load_update(&mut shared, &roster, &list, list.revision, 0)).len();
+    let keyed = encode(&load_update(&mut shared, &roster, &list, ListRevision::default(), 0)).len();
+    (positional, keyed)
 }
 
 #[test]
 fn loads_that_a_grant_tells_stay_small_where_upstreams_are_nearly_idle() {
-    let (placed, keyed) = load_bytes(1000);
-    let (placed_twice, keyed_twice) = load_bytes(2000);
+    let (positional, keyed) = load_bytes(1000);
+    let (positional_twice, keyed_twice) = load_bytes(2000);
 
-    assert!(placed <= 100, "{placed}");
-    assert!(placed_twice <= 200, "{placed_twice}");
+    assert!(positional <= 100, "{positional}");
+    assert!(positional_twice <= 200, "{positional_twice}");
     assert!(keyed <= 100 && keyed_twice <= 200, "{keyed}, {keyed_twice}");
 }
 
@@ -113,13 +113,14 @@
     let list = list_of(240);
     let roster = busy_roster(300, &list, 2.0);
 
-    let news = load_news(&mut SharedLoads::default(), &roster, &list, ListRevision::default(), 0);
+    let update =
+        load_update(&mut SharedLoads::default(), &roster, &list, ListRevision::default(), 0);
 
-    let LoadUpdate::Keyed(loads) = news else { panic!("{news:?}") };
+    let LoadUpdate::Keyed(loads) = update else { panic!("{update:?}") };
     assert_eq!(loads, roster.loads());
 }
 
-/// How often a leader sums up loads in one second of renewals.
+/// How often a leader sums up the loads in one second of renewals.
 fn sums_a_second(vms: u32) -> u64 {
     let list = list_of(100);
     let mut roster = roster_of(vms, 0);
@@ -128,7 +129,7 @@
         let renewing = (0..vms).filter(|id| now_ms % RENEW_MS == u64::from(id * 7) % RENEW_MS);
         for id in renewing {
             roster.note(vm(id), None, Vec::new(), now_ms);
-            load_news(&mut shared, &roster, &list, list.revision, now_ms);
+            load_update(&mut shared, &roster, &list, list.revision, now_ms);
         }
     }
     shared.sums()
@@ -150,21 +151,22 @@
 
     for requests in [5, 6] {
         roster.note(vm(1), None, load(requests), 0);
-        let news = load_news(&mut shared, &roster, &list, ListRevision::default(), 0);
-        let LoadUpdate::Keyed(loads) = news else { panic!("{news:?}") };
+        let update = load_update(&mut shared, &roster, &list, ListRevision::default(), 0);
+        let LoadUpdate::Keyed(loads) = update else { panic!("{update:?}") };
         assert_eq!(loads, load(requests));
     }
 }
 
-fn asker(row: &RosterRow) -> UpdateRequester {
+fn requester(row: &RosterRow) -> UpdateRequester {
     UpdateRequester { id: row.id, zone: row.zone }
 }
 
-/// Copies of a whole state that cross a zone's border when all VMs but the keepers ask for it.
+/// How many copies of a whole state are sent from one zone to another when all VMs but the keepers request it.
 fn copies_between_zones(vms: u32) -> usize {
     let rows: Vec<RosterRow> = (0..vms).map(vm).collect();
     let keepers: Vec<u32> = (0..KEEPERS).collect();
-    let source = |row: &RosterRow| choose_source(&keepers, &rows, asker(row), 0, u64::from(row.id));
+    let source =
+        |row: &RosterRow| choose_source(&keepers, &rows, requester(row), 0, u64::from(row.id));
     let asking = rows.iter().filter(|row| row.id >= KEEPERS);
     asking.filter(|row| source(row).is_some_and(|id| vm(id).zone != row.zone)).count()
 }
@@ -181,7 +183,7 @@
     let keepers: Vec<u32> = (0..KEEPERS).collect();
     let asked = |keepers: &[u32], attempt| -> BTreeSet<u32> {
         (0..100)
-            .filter_map(|draw| choose_source(keepers, &rows, asker(&own), attempt, draw))
+            .filter_map(|draw| choose_source(keepers, &rows, requester(&own), attempt, draw))
             .collect()
     };
 
@@ -197,11 +199,14 @@
     assert!(requests_from_holder(leads, held, 0));
     assert!(!requests_from_holder(follows, held, 0));
     assert!(requests_from_holder(follows, held, 1));
-    assert!(!requests_from_holder(follows, none, 1), "all ask, the leader can't answer them");
+    assert!(
+        !requests_from_holder(follows, none, 1),
+        "all VMs request the list, and the leader can't answer them all"
+    );
 }
 
-/// The rows, and the VMs gone, that one VM is told when a third of all are lost at once.
-fn told_after_a_loss(vms: u32) -> (usize, usize) {
+/// The numbers of rows and of removed VMs that one VM is sent when a third of all VMs are lost at once.
+fn rows_sent_after_a_loss(vms: u32) -> (usize, usize) {
     let mut roster = roster_of(vms, 0);
     let mut copy = RosterCopy::default();
     copy.take(roster.update_since(1, RosterRevision::default()));
@@ -209,18 +214,18 @@
     (0..vms).filter(living).for_each(|id| roster.note(vm(id), None, Vec::new(), ROW_KEEP_MS));
 
     roster.expire(ROW_KEEP_MS);
-    let news = roster.update_since(1, copy.revision);
+    let update = roster.update_since(1, copy.revision);
 
-    let told = (news.rows.len(), news.gone.len());
-    copy.take(news);
+    let sent = (update.rows.len(), update.gone.len());
+    copy.take(update);
     assert_eq!(copy.rows, roster.rows());
-    told
+    sent
 }
 
 #[test]
 fn vms_are_told_who_was_lost_and_not_all_who_are_left() {
-    assert_eq!(told_after_a_loss(1000), (0, 334));
-    assert_eq!(told_after_a_loss(2000), (0, 667));
+    assert_eq!(rows_sent_after_a_loss(1000), (0, 334));
+    assert_eq!(rows_sent_after_a_loss(2000), (0, 667));
 }
 
 #[test]
@@ -232,30 +237,30 @@
     roster.note(vm(1), None, Vec::new(), 10 * ROW_KEEP_MS);
 
     roster.expire(10 * ROW_KEEP_MS);
-    let news = roster.update_since(1, missed);
+    let update = roster.update_since(1, missed);
 
-    assert!(news.whole);
-    assert_eq!(news.rows, [vm(1)]);
+    assert!(update.whole);
+    assert_eq!(update.rows, [vm(1)]);
 }
 
-/// Rows that a step of ten rows puts elsewhere in memory.
+/// How many rows are at another address in memory after a delta of ten rows.
 fn rows_copied(upstreams: u32) -> usize {
     let mut list = list_of(upstreams);
-    let places = |list: &UpstreamList| -> BTreeSet<(UpstreamKey, usize)> {
+    let addresses = |list: &UpstreamList| -> BTreeSet<(UpstreamKey, usize)> {
         list.entries.iter().map(|(key, row)| (*key, row.name.as_ptr() as usize)).collect()
     };
-    let before = places(&list);
+    let before = addresses(&list);
     let leaving = |number| UpstreamEntry { leaving: true, ..upstream(number) };
     let change =
         ListChange { rows: (0..10).map(leaving).collect(), removed: vec![upstream(20).key()] };
     let to = ListRevision { change: list.revision.change + 1, ..list.revision };
-    let step = ListDelta { from: list.revision, to, change };
+    let delta = ListDelta { from: list.revision, to, change };
 
-    assert!(list.apply_delta(step, 1000));
+    assert!(list.apply_delta(delta, 1000));
 
     assert_eq!(list.entries.len() as u32, upstreams - 1);
     assert_eq!(list.entries.values().filter(|row| row.leaving).count(), 10);
-    places(&list).difference(&before).count()
+    addresses(&list).difference(&before).count()
 }
 
 #[test]
@@ -263,7 +268,8 @@
     assert_eq!([10_000, 20_000].map(rows_copied), [10, 10]);
 }
 
-/// Notes of new holders of one root, of requests for so many parts of it, told to all VMs at once.
+/// How many notes of new holders of one root follow from requests for as many parts of it as there are
+/// engines, when each note reaches all VMs at once.
 fn root_notes(engines: u64) -> usize {
     let all: Vec<UpstreamCandidate> = (1..=engines).map(|key| candidate(key, 0)).collect();
     let mut memory = PrefixMemory::default();
--- a/lib/tests/test_vm_links.rs
+++ b/lib/tests/test_vm_links.rs
@@ -1,4 +1,5 @@
-//! Large answers over links between VMs: each is sent once, however often it is asked for meanwhile.
+//! Links between VMs: a large answer isn't sent again while it is still being sent, however often it is
+//! requested, since after a restart of the fleet the copies would fill the link.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -17,10 +18,11 @@
 use wingshed_lib::transport::wire_count::WireCount;
 
 const LOOPBACK: VmId = 0x7f00_0001;
-/// Longer than what sockets of the loopback buffer, so that a reader that waits holds the writer up.
+/// The number of upstreams in a list that exceeds the socket buffers on loopback, so that the writer has to
+/// wait for the reader.
 const UPSTREAMS: u64 = 400_000;
-/// How long a test waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for something that must happen.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn play(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -43,23 +45,23 @@
     VmMessage::List { revision: ListRevision::default(), rows: (0..upstreams).map(row).collect() }
 }
 
-/// A VM that gives one whole list to another, whose end of the link a test reads by itself.
-struct GivingVm {
+/// A VM that sends one whole list over a link whose other end the test reads.
+struct SendingVm {
     listener: TcpListener,
     links: LinkTable,
     wire: Rc<WireCount>,
     shared: RefCell<Option<(u64, Bytes)>>,
 }
 
-impl GivingVm {
-    async fn start() -> GivingVm {
+impl SendingVm {
+    async fn start() -> SendingVm {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let wire = Rc::new(WireCount::default());
         let links = LinkTable::new(1, listener.local_addr().unwrap().port(), wire.clone());
-        GivingVm { listener, links, wire, shared: RefCell::default() }
+        SendingVm { listener, links, wire, shared: RefCell::default() }
     }
 
-    fn give(&self) {
+    fn send_list(&self) {
         let make = || whole_list(UPSTREAMS);
         self.links.send_shared(LOOPBACK, "list", 7, &self.shared, make);
     }
@@ -77,20 +79,20 @@
 #[test]
 fn a_shared_answer_that_is_still_being_sent_is_not_sent_again() {
     play(async {
-        let vm = GivingVm::start().await;
+        let vm = SendingVm::start().await;
 
-        vm.give();
+        vm.send_list();
         let (mut slow, _) = vm.listener.accept().await.unwrap();
         for _ in 0..5 {
-            vm.give();
+            vm.send_list();
             tokio::task::yield_now().await;
         }
         assert_eq!(vm.sent(), 1);
 
         let mut body = vec![0; vm.frame_bytes()];
-        tokio::time::timeout(PATIENCE, slow.read_exact(&mut body)).await.unwrap().unwrap();
+        tokio::time::timeout(TIMEOUT, slow.read_exact(&mut body)).await.unwrap().unwrap();
         while vm.sent() < 2 {
-            vm.give();
+            vm.send_list();
             tokio::task::yield_now().await;
         }
     });
@@ -99,18 +101,18 @@
 #[test]
 fn an_answer_over_a_broken_link_is_sent_again() {
     play(async {
-        let vm = GivingVm::start().await;
+        let vm = SendingVm::start().await;
 
-        vm.give();
+        vm.send_list();
         drop(vm.listener.accept().await.unwrap());
         let again = async {
             while vm.sent() < 2 {
-                vm.give();
+                vm.send_list();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
 
-        tokio::time::timeout(PATIENCE, again).await.unwrap();
+        tokio::time::timeout(TIMEOUT, again).await.unwrap();
     });
 }
 
@@ -120,10 +122,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let links = LinkTable::new(1, address.port(), Rc::default());
-        let came = Rc::new(Notify::new());
-        let told = came.clone();
-        let take = Rc::new(move |_, _| told.notify_one());
-        spawn_local(links.clone().accept(listener, take));
+        let arrived = Rc::new(Notify::new());
+        let notify = arrived.clone();
+        let handle = Rc::new(move |_, _| notify.notify_one());
+        spawn_local(links.clone().accept(listener, handle));
         let frame = encode_frame(2, &whole_list(5000));
         let receiving = |expected: bool| {
             let links = links.clone();
@@ -132,14 +134,14 @@
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             };
-            async move { tokio::time::timeout(PATIENCE, wait).await.unwrap() }
+            async move { tokio::time::timeout(TIMEOUT, wait).await.unwrap() }
         };
 
         let mut sender = TcpStream::connect(address).await.unwrap();
         sender.write_all(&frame[..100]).await.unwrap();
         receiving(true).await;
         sender.write_all(&frame[100..]).await.unwrap();
-        tokio::time::timeout(PATIENCE, came.notified()).await.unwrap();
+        tokio::time::timeout(TIMEOUT, arrived.notified()).await.unwrap();
         assert!(!links.is_receiving_large());
 
         sender.write_all(&frame[..100]).await.unwrap();
@@ -155,13 +157,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let links = LinkTable::new(1, address.port(), Rc::default());
-        let came = Rc::new(RefCell::new(Vec::new()));
-        let taken = came.clone();
-        let take = Rc::new(move |from, message: VmMessage| {
-            taken.borrow_mut().push((from, message.kind()));
+        let arrived = Rc::new(RefCell::new(Vec::new()));
+        let messages = arrived.clone();
+        let handle = Rc::new(move |from, message: VmMessage| {
+            messages.borrow_mut().push((from, message.kind()));
         });
-        spawn_local(links.clone().accept(listener, take));
-        // One that travels packed, and one that doesn't.
+        spawn_local(links.clone().accept(listener, handle));
+        // One message that is compressed on the wire, and one that isn't.
         for message in [whole_list(40), VmMessage::WantDocument] {
             let frame = encode_frame(2, &message);
             for cut in 0..frame.len() {
@@ -172,7 +174,7 @@
                     socket.set_linger(Some(Duration::ZERO)).unwrap();
                 }
                 drop(sender);
-                // What follows on a link of its own isn't read as the rest of it.
+                // The rest of the frame on another link must not be read as its end.
                 if cut % 16 == 0 {
                     let mut next = TcpStream::connect(address).await.unwrap();
                     next.write_all(&frame[cut..]).await.unwrap();
@@ -181,15 +183,15 @@
         }
         let mut whole = TcpStream::connect(address).await.unwrap();
         whole.write_all(&encode_frame(3, &VmMessage::WantDocument)).await.unwrap();
-        let told = async {
-            while !came.borrow().iter().any(|(from, _)| *from == 3) {
+        let received = async {
+            while !arrived.borrow().iter().any(|(from, _)| *from == 3) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, told).await.unwrap();
+        tokio::time::timeout(TIMEOUT, received).await.unwrap();
 
         let from_cut: Vec<_> =
-            came.borrow().iter().filter(|(from, _)| *from != 3).cloned().collect();
+            arrived.borrow().iter().filter(|(from, _)| *from != 3).cloned().collect();
         assert_eq!(from_cut.len(), 2, "the two whole frames of `cut == 0`: {from_cut:?}");
     });
 }
