--- a/lib/src/transport/vm_links.rs
+++ b/lib/src/transport/vm_links.rs
@@ -242,7 +242,7 @@
         }
         if let Some(open) = &mut stream {
             if !matches!(timeout(WRITE_TIMEOUT, open.write_all(&frame)).await, Ok(Ok(()))) {
-                debug!(target: "link", %address, "a link is broken");
+                debug!(target: "link", %address, "broken");
                 stream = None;
             }
         }
