--- a/lib/src/transport/vm_control.rs
+++ b/lib/src/transport/vm_control.rs
@@ -1,5 +1,5 @@
-//! The operator's calls: put and get of the configuration; orders of zones are in `vm_zones`, of
-//! roll-outs in `vm_rollouts`. What the platform's adapter doesn't know goes to `vm_fleet_calls`.
+//! Operators' calls that put and get the configuration. Orders for zones are in `vm_zones`, those for
+//! roll-outs in `vm_rollouts`. Calls that the platform's adapter doesn't recognize go to `vm_fleet_calls`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,19 +21,17 @@
 use crate::protocol::wire_adapter::ControlCall;
 use crate::state::packed_text::PackedText;
 
-/// The largest document, in bytes.
-const DOCUMENT_BYTES: usize = 8 << 20;
-/// How long a put waits before it looks for the leader again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// The largest document that is read, in bytes.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
+/// The pause before a put looks for the leader again.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Serves one call of an operator.
+/// Serves one call at the operators' address.
 pub async fn serve_operator(node: Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     match node.adapter.control_call(request.method(), request.uri()) {
         ControlCall::Put => put_document(&node, request).await,
         ControlCall::Get => get_document(&node).await,
-        ControlCall::Zone { zone, evacuate: emptied } => {
-            order_zone(node, request, zone, emptied).await
-        }
+        ControlCall::Zone { zone, evacuate } => order_zone(node, request, zone, evacuate).await,
         ControlCall::StartRollout => start_rollout(node, request).await,
         ControlCall::GetRollout { service } => get_rollout(node, service).await,
         ControlCall::Malformed(fault) => own_answer(StatusCode::BAD_REQUEST, fault),
@@ -42,7 +40,7 @@
 }
 
 async fn put_document(node: &Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let body = match Limited::new(request.into_body(), DOCUMENT_BYTES).collect().await {
+    let body = match Limited::new(request.into_body(), MAX_DOCUMENT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => return own_answer(StatusCode::BAD_REQUEST, error.to_string()),
     };
@@ -58,7 +56,7 @@
     match committed {
         Ok(()) => own_answer(StatusCode::OK, "{}"),
         Err(_) => {
-            info!(target: "control", version, "a document is not known to be committed in time");
+            info!(target: "control", version, "a document was not confirmed as committed in time");
             refusal(StatusCode::SERVICE_UNAVAILABLE, "not known to be committed", 300)
         }
     }
@@ -79,14 +77,14 @@
     /// Returns once a document of this version, or of a higher one, is committed.
     async fn replicate(self: &Rc<Self>, version: u64, document: PackedText) {
         loop {
-            // What is in force was committed before it was sent.
+            // A document is in force only after it was committed.
             if self.contact.borrow().applied() >= version {
                 return;
             }
             if self.put_at_leader(version, &document).await {
                 return;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
@@ -103,11 +101,11 @@
         }
         let (sender, receiver) = oneshot::channel();
         let number = self.draw() ^ now_ms;
-        self.asked_puts.borrow_mut().insert(number, sender);
+        self.pending_puts.borrow_mut().insert(number, sender);
         let message = VmMessage::Put { number, document: document.clone(), version };
         self.links.send(leader, &message);
         let answer = tokio::time::timeout(ANSWER_TIME / 2, receiver).await;
-        self.asked_puts.borrow_mut().remove(&number);
+        self.pending_puts.borrow_mut().remove(&number);
         matches!(answer, Ok(Ok(true)))
     }
 }
