--- a/cli/src/bench_classes.rs
+++ b/cli/src/bench_classes.rs
@@ -1,21 +1,26 @@
-//! What teasers and quiet workspaces feel of digests, surges and slow engines beside them.
+//! Measures how digests, surges and slow engines affect the latency of teasers and quiet
+//! workspaces.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use wingshed_standin::caller::{chat_call, send, CallerAnswer, ChatAsk};
-use wingshed_standin::engine::EngineMake;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::{chat_call, send, CallerAnswer, ChatRequest};
+use wingshed_standin::engine::EngineOptions;
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 use crate::bench_decision::percentile;
 use crate::table::to_text;
 
-const RUN: Duration = Duration::from_secs(10);
+/// How long the watched callers run.
+const RUN_TIME: Duration = Duration::from_secs(10);
+/// The number of callers whose latency is measured.
 const WATCHED_CALLERS: usize = 12;
+/// The number of callers that make the disturbing load.
 const OTHER_CALLERS: usize = 60;
+/// The delay that a slow engine adds to each piece, in milliseconds.
 const SLOW_MS: u64 = 20;
 
-/// One kind of caller.
+/// The requests of one kind of caller, and the pause between them.
 #[derive(Clone, Copy)]
 struct CallerKind {
     workspace: usize,
@@ -39,27 +44,32 @@
     max_tokens: 120,
     pause: Duration::ZERO,
 };
-const EVERYDAY: CallerKind = CallerKind { service: "chat", ..TEASER };
-const SURGE: CallerKind = CallerKind { workspace: 2, pause: Duration::ZERO, ..EVERYDAY };
+const NORMAL: CallerKind = CallerKind { service: "chat", ..TEASER };
+const SURGE: CallerKind = CallerKind { workspace: 2, pause: Duration::ZERO, ..NORMAL };
 
-/// Prints first token and gaps of the watched callers, with and without each disturbance.
+/// Prints the time to the first token and the gaps between pieces of the watched callers, with and
+/// without each disturbance.
 pub fn classes() -> Result<(), String> {
     let rows: [(&str, CallerKind, Option<CallerKind>, bool); 6] = [
         ("teasers alone", TEASER, None, false),
         ("teasers beside digests", TEASER, Some(DIGEST), false),
-        ("a quiet workspace alone", EVERYDAY, None, false),
-        ("a quiet workspace beside a surge", EVERYDAY, Some(SURGE), false),
+        ("a quiet workspace alone", NORMAL, None, false),
+        ("a quiet workspace beside a surge", NORMAL, Some(SURGE), false),
         ("teasers, half the engines slow", TEASER, None, true),
         ("teasers beside digests, half the engines slow", TEASER, Some(DIGEST), true),
     ];
     let mut table = Vec::new();
     for (name, watched, other, slow) in rows {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.engine =
-            EngineMake { slots: 8, piece_ms: 20, prefill_per_ms: 40, ..EngineMake::default() };
-        make.requests_per_engine = make.engine.slots as u32;
-        let system = SystemStandIn::start(make);
+        let mut options = SystemOptions::small(folder.path().to_path_buf());
+        options.engine = EngineOptions {
+            slots: 8,
+            piece_ms: 20,
+            prefill_per_ms: 40,
+            ..EngineOptions::default()
+        };
+        options.requests_per_engine = options.engine.slots as u32;
+        let system = SystemStandIn::start(options);
         if slow {
             for engine in system.engines.iter().flatten().step_by(2) {
                 engine.faults().slow_ms.store(SLOW_MS, Ordering::Relaxed);
@@ -84,6 +94,8 @@
     Ok(())
 }
 
+/// Runs the other callers, if any, and half a second later the watched callers. Returns the answers
+/// of the watched and of the other callers.
 fn run_callers(
     system: &SystemStandIn,
     watched: CallerKind,
@@ -101,7 +113,7 @@
         let others = other.map_or(Vec::new(), |kind| spawn(kind, OTHER_CALLERS, "o"));
         std::thread::sleep(Duration::from_millis(500));
         let watched = spawn(watched, WATCHED_CALLERS, "w");
-        std::thread::sleep(RUN);
+        std::thread::sleep(RUN_TIME);
         stop.store(true, Ordering::Relaxed);
         let join = |threads: Vec<std::thread::ScopedJoinHandle<'_, Vec<CallerAnswer>>>| {
             threads.into_iter().filter_map(|thread| thread.join().ok()).flatten().collect()
@@ -110,6 +122,7 @@
     })
 }
 
+/// Sends requests one after another until `stop` is set, and returns their answers.
 fn call_until(
     system: &SystemStandIn,
     kind: CallerKind,
@@ -121,7 +134,7 @@
     let mut router = routers[caller.len() % routers.len()];
     while !stop.load(Ordering::Relaxed) {
         let number = answers.len();
-        let ask = ChatAsk {
+        let request = ChatRequest {
             workspace: format!("w{}", kind.workspace),
             key: format!("k{}", kind.workspace),
             request_id: format!("{caller}-{number}"),
@@ -133,7 +146,7 @@
             run_once: false,
             returning: number >= 3,
         };
-        let answer = send(&system.client, router, &chat_call(&ask), None);
+        let answer = send(&system.client, router, &chat_call(&request), None);
         router = answer.next.unwrap_or(routers[number % routers.len()]);
         answers.push(answer);
         let until = Instant::now() + kind.pause;
--- a/cli/src/bench_control.rs
+++ b/cli/src/bench_control.rs
@@ -1,20 +1,22 @@
-//! Control traffic, counted by the transport, at growing numbers of routers and engines.
+//! Measures control traffic, as the transport counts it, for growing numbers of routers and
+//! engines.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use wingshed_lib::protocol::operator::WireRow;
-use wingshed_standin::caller::{chat_call, send, ChatAsk};
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::{chat_call, send, ChatRequest};
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 use crate::process::thread_seconds;
 use crate::table::to_text;
 
-const RUN: Duration = Duration::from_secs(4);
-/// Requests and answers themselves; all else is control.
-const DATA: [&str; 4] = ["engine", "plain", "forward", "caller"];
+/// How long traffic is counted for each number of routers.
+const RUN_TIME: Duration = Duration::from_secs(4);
+/// The kinds of traffic that are requests and answers. All other kinds are control traffic.
+const DATA_KINDS: [&str; 4] = ["engine", "plain", "forward", "caller"];
 
-/// Prints bytes a second for each router and kind.
+/// Prints the bytes per second and router, and the largest kinds.
 pub fn control() -> Result<(), String> {
     let mut rows = Vec::new();
     for (routers, engines, loaded) in [
@@ -28,17 +30,17 @@
         (96, 40, false),
     ] {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.keepers = 3;
-        make.routers = routers;
-        make.engines = engines;
-        let system = SystemStandIn::start(make);
+        let mut options = SystemOptions::small(folder.path().to_path_buf());
+        options.keepers = 3;
+        options.routers = routers;
+        options.engines = engines;
+        let system = SystemStandIn::start(options);
         std::thread::sleep(Duration::from_millis(1500));
         let before = sum_wire(&system);
         let threads = thread_seconds();
         let started = Instant::now();
-        let requests = if loaded { put_load(&system) } else { 0 };
-        std::thread::sleep(RUN.saturating_sub(started.elapsed()));
+        let requests = if loaded { run_load(&system) } else { 0 };
+        std::thread::sleep(RUN_TIME.saturating_sub(started.elapsed()));
         let seconds = started.elapsed().as_secs_f64();
         let after = sum_wire(&system);
         let spent = thread_seconds();
@@ -86,17 +88,18 @@
         "keeper loops, all 3",
         "largest kinds, both ways",
     ];
-    println!("Control bytes for each router, packets' heads included by estimate.");
+    println!("Control bytes for each router, including an estimate of packet headers.");
     println!("{}", to_text(&head, &rows));
     Ok(())
 }
 
+/// Returns the control bytes that all routers sent and received, by kind.
 fn sum_wire(system: &SystemStandIn) -> BTreeMap<String, [u64; 2]> {
     let mut sums: BTreeMap<String, [u64; 2]> = BTreeMap::new();
     let routers = system.routers.iter().flatten();
     for row in routers.flat_map(|router| router.shared().wire_rows()) {
         let WireRow { kind, sent_bytes, received_bytes, .. } = row;
-        if !DATA.contains(&kind.as_str()) {
+        if !DATA_KINDS.contains(&kind.as_str()) {
             let sum = sums.entry(kind).or_default();
             sum[0] += sent_bytes;
             sum[1] += received_bytes;
@@ -105,10 +108,11 @@
     sums
 }
 
-/// Everyday requests, a tenth of them run-once, from 24 callers.
-fn put_load(system: &SystemStandIn) -> usize {
+/// Sends requests from 24 callers for [`RUN_TIME`], a tenth of them run-once, and returns their
+/// number.
+fn run_load(system: &SystemStandIn) -> usize {
     let routers = system.router_addresses();
-    let until = Instant::now() + RUN;
+    let until = Instant::now() + RUN_TIME;
     std::thread::scope(|scope| {
         let callers: Vec<_> = (0..24usize)
             .map(|caller| {
@@ -119,7 +123,7 @@
                     while Instant::now() < until {
                         let service = if sent % 10 == 9 { "alert" } else { "chat" };
                         let chat = format!("c{caller}-{}", sent % 7);
-                        let ask = ChatAsk {
+                        let request = ChatRequest {
                             workspace: "w0".to_string(),
                             key: "k0".to_string(),
                             request_id: format!("r{caller}-{sent}"),
@@ -131,7 +135,7 @@
                             run_once: false,
                             returning: sent >= 7,
                         };
-                        let answer = send(&system.client, router, &chat_call(&ask), None);
+                        let answer = send(&system.client, router, &chat_call(&request), None);
                         router = answer.next.unwrap_or(router);
                         sent += 1;
                     }
--- a/cli/src/config.rs
+++ b/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `wingshed config`: what is in force, and changes to it.
+//! `wingshed config`: prints and changes the configuration in force.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 #[argh(subcommand, name = "get")]
 struct ConfigGet {}
 
-/// print what applying a file would change
+/// print the differences between the configuration in force and a document
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct ConfigDiff {
@@ -49,17 +49,17 @@
     file: PathBuf,
 }
 
-/// make a document the configuration in force
+/// change the configuration in force to that of a document
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 struct ConfigApply {
     /// the document
     #[argh(positional)]
     file: PathBuf,
-    /// the change's id; the same id sent again gets the first answer again
+    /// the id of the change; if it was already submitted, the first answer is returned again
     #[argh(option)]
     id: Option<String>,
-    /// the version that the change builds on; by default the one in force
+    /// the version that the change is based on; by default the one in force
     #[argh(option)]
     base: Option<u64>,
 }
@@ -68,20 +68,20 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
 struct ConfigWait {
-    /// the version; by default the one in force
+    /// the version to wait for; by default the one in force
     #[argh(option)]
     version: Option<u64>,
-    /// how many seconds to wait
+    /// how many seconds to wait at most
     #[argh(option, default = "10")]
     seconds: u64,
 }
 
-/// print who changed what and when
+/// print the changes with their time and operator
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 struct ConfigHistory {}
 
-/// make a new version that holds what an earlier one held
+/// make a new version with the contents of an earlier one
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 struct ConfigRollback {
@@ -90,7 +90,7 @@
     version: u64,
 }
 
-/// Runs a command of `wingshed config`.
+/// Runs a subcommand of `wingshed config`.
 pub fn run(command: &ConfigCommand) -> Result<bool, String> {
     let connection = read_connection(&command.connect)?;
     match &command.command {
@@ -107,8 +107,8 @@
     }
 }
 
-/// The configuration in force.
-pub fn in_force(connection: &Connection) -> Result<Configuration, String> {
+/// Returns the configuration in force, with its version.
+pub fn current_configuration(connection: &Connection) -> Result<Configuration, String> {
     let value = connection.json("GET", "/operator/config", None)?;
     let version = value["version"].as_u64().unwrap_or(0);
     let read = read_configuration(&value["configuration"].to_string());
@@ -118,13 +118,14 @@
 
 fn print_diff(connection: &Connection, file: &Path) -> Result<bool, String> {
     let target = load_configuration(file)?;
-    let current = in_force(connection)?;
+    let current = current_configuration(connection)?;
     let operations = current.operations_to(&target);
     println!("In force: version {}. {} differences.", current.version, operations.len());
     operations.iter().for_each(|operation| println!("{}", to_line(operation)));
     Ok(true)
 }
 
+/// Formats one operation of a change as a line.
 fn to_line(operation: &EntryOperation) -> String {
     match operation {
         EntryOperation::Put { section, name, value } => {
@@ -136,17 +137,18 @@
 
 fn apply_file(connection: &Connection, apply: &ConfigApply) -> Result<bool, String> {
     let target = load_configuration(&apply.file)?;
-    let current = in_force(connection)?;
+    let current = current_configuration(connection)?;
     let operations = current.operations_to(&target);
     if operations.is_empty() && apply.id.is_none() {
-        println!("Version {} is what the file holds.", current.version);
+        println!("No change: version {} is the same as the file.", current.version);
         return Ok(true);
     }
     let base = apply.base.unwrap_or(current.version);
     submit(connection, apply.id.clone(), base, &operations)
 }
 
-/// Submits a change. After a lost answer it is sent again with the same id.
+/// Submits a change and prints the answer. Returns false if it was rejected. If an answer is lost,
+/// [`Connection::call`] sends the change again with the same id, so it is applied once.
 pub fn submit(
     connection: &Connection,
     id: Option<String>,
@@ -163,9 +165,10 @@
         }
         Ok(ChangeAnswer::Conflict { current, winner, winner_operator }) => {
             println!(
-                "Conflict: version {current} is in force; `{winner}` by {winner_operator} won."
+                "Conflict: version {current} is in force; change `{winner}` by {winner_operator} \
+                 was accepted first."
             );
-            println!("Hint: look at `wingshed config diff`, then apply again.");
+            println!("Hint: see `wingshed config diff`, then apply again.");
             Ok(false)
         }
         Ok(ChangeAnswer::Invalid { findings }) => {
@@ -183,30 +186,30 @@
 ) -> Result<bool, String> {
     let version = match version {
         Some(version) => version,
-        None => in_force(connection)?.version,
+        None => current_configuration(connection)?.version,
     };
     let until = Instant::now() + Duration::from_secs(seconds);
     loop {
         let status = leader_status(connection)?;
         let routers = status["routers"].as_array().cloned().unwrap_or_default();
-        let behind: Vec<String> = routers
+        let outdated: Vec<String> = routers
             .iter()
             .filter(|router| router["version"].as_u64().unwrap_or(0) < version)
             .map(|router| router["id"].to_string())
             .collect();
-        if behind.is_empty() {
+        if outdated.is_empty() {
             println!("Version {version} is in force on all {} routers.", routers.len());
             return Ok(true);
         }
         if Instant::now() >= until {
-            println!("Version {version} is not yet in force on routers {}.", behind.join(", "));
+            println!("Version {version} is not yet in force on routers {}.", outdated.join(", "));
             return Ok(false);
         }
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// The status of the keeper that leads.
+/// Returns the status that the leader of the keepers reports.
 pub fn leader_status(connection: &Connection) -> Result<Value, String> {
     let mut last = "no keeper answered".to_string();
     for address in &connection.keepers {
@@ -225,6 +228,7 @@
     Err(last)
 }
 
+/// Returns the changes that the keepers have kept, oldest first.
 fn history(connection: &Connection) -> Result<Vec<ChangeRecord>, String> {
     let value = connection.json("GET", "/operator/history", None)?;
     serde_json::from_value(value).map_err(|error| error.to_string())
@@ -251,14 +255,17 @@
     Ok(true)
 }
 
-/// A rollback is a new, higher version: versions never fall. The earlier state is rebuilt from
-/// the changes since, so it reaches back as far as `history` does.
+/// Submits a change that restores the contents of an earlier version. It becomes a new, higher
+/// version, because versions never decrease. The earlier contents are rebuilt by applying the
+/// history from its first change, so it fails if the history doesn't begin with version 1.
 fn roll_back(connection: &Connection, version: u64) -> Result<bool, String> {
-    let current = in_force(connection)?;
+    let current = current_configuration(connection)?;
     let records = history(connection)?;
     let oldest = records.first().map_or(u64::MAX, |record| record.version);
     if oldest > 1 || version > current.version {
-        return Err(format!("version {version} cannot be rebuilt from the history kept"));
+        return Err(format!(
+            "version {version} cannot be rebuilt from the history that the keepers have"
+        ));
     }
     let mut target = Configuration::default();
     for record in records.iter().filter(|record| record.version <= version) {
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -258,7 +258,7 @@
                 self.process_outcome(outcome)
             }
             Some(DiskReport::Failed(text)) => Err(LoopFailure::Disk { text }),
-            Some(DiskReport::Opened(..) | DiskReport::ListKept) => Ok(()),
+            Some(DiskReport::Opened(..) | DiskReport::ListStored) => Ok(()),
             None => Err(LoopFailure::Disk { text: "the disk thread has ended".to_string() }),
         }
     }
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -90,7 +90,7 @@
             return;
         }
         self.outliers.borrow_mut().note_gone(seen.upstream);
-        self.figures.borrow_mut().crashes += 1;
+        self.counters.borrow_mut().crashes += 1;
         self.report_crash(seen);
         info!(
             target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
@@ -108,7 +108,7 @@
         }
         for delay in RECHECK_DELAYS {
             tokio::time::sleep(delay).await;
-            match self.pool.take(self.trial(upstream, address)).await {
+            match self.pool.take(self.probe_target(upstream, address)).await {
                 Ok(lease) => lease.finish(false, None, self.now_ms()).await,
                 Err(fault) => return fault == ConnectFault::ConnectionRefused,
             }
--- a/lib/tests/testutils/keeper_bench.rs
+++ b/lib/tests/testutils/keeper_bench.rs
@@ -217,7 +217,11 @@
     /// Returns the number of voters by the membership of a leader with a lease, or 0 without one.
     pub fn voters(&self) -> usize {
         let drivers = self.peers.iter().filter_map(|peer| peer.driver.as_ref());
-        drivers.filter(|d| d.may_vouch(self.now_ms)).map(|d| d.voters()).max().unwrap_or(0)
+        drivers
+            .filter(|d| d.is_confirmed_leader(self.now_ms))
+            .map(|d| d.voters())
+            .max()
+            .unwrap_or(0)
     }
 
     fn inject_faults(&mut self) {
@@ -387,7 +391,8 @@
             if now_ms % RENEW_MS < TICK_MS {
                 self.renew(at);
             }
-            let has_lease = self.peers[at].driver.as_ref().is_some_and(|d| d.may_vouch(now_ms));
+            let has_lease =
+                self.peers[at].driver.as_ref().is_some_and(|d| d.is_confirmed_leader(now_ms));
             if has_lease && self.rng.gen_range(0..8) == 0 {
                 self.put(at);
             }
@@ -411,7 +416,7 @@
             .map(|peer| (peer.id, peer.incarnation))
             .collect();
         let Some(driver) = self.peers[leader].driver.as_mut() else { return };
-        if driver.may_vouch(now_ms) {
+        if driver.is_confirmed_leader(now_ms) {
             for (id, incarnation) in rows {
                 let row = RosterRow { id: id.0, zone: id.0 as u64 % 3, ready: true };
                 driver.roster.note(row, Some(incarnation), Vec::new(), now_ms);
@@ -530,7 +535,7 @@
         let mut leaders: BTreeMap<u64, KeeperId> = BTreeMap::new();
         for peer in self.peers.iter().filter(|peer| peer.frozen_until <= self.now_ms) {
             let Some(driver) = &peer.driver else { continue };
-            if !driver.may_vouch(self.now_ms) {
+            if !driver.is_confirmed_leader(self.now_ms) {
                 continue;
             }
             let held = driver.record.document.version;
--- a/lib/tests/testutils/mod.rs
+++ b/lib/tests/testutils/mod.rs
@@ -7,8 +7,8 @@
 pub mod raw_answer;
 pub mod rollouts;
 
-use wingshed_standin::caller::ChatAsk;
-use wingshed_standin::system::{SystemMake, SystemStandIn};
+use wingshed_standin::caller::ChatRequest;
+use wingshed_standin::system::{SystemOptions, SystemStandIn};
 
 /// A system with its own temporary folder, which is removed when the fixture is dropped.
 pub struct SystemFixture {
@@ -17,16 +17,16 @@
 }
 
 /// Starts the small system, adapted by `change`.
-pub fn system_with(change: impl FnOnce(&mut SystemMake)) -> SystemFixture {
+pub fn system_with(change: impl FnOnce(&mut SystemOptions)) -> SystemFixture {
     let folder = tempfile::tempdir().unwrap();
-    let mut make = SystemMake::small(folder.path().to_path_buf());
+    let mut make = SystemOptions::small(folder.path().to_path_buf());
     change(&mut make);
     SystemFixture { system: SystemStandIn::start(make), _folder: folder }
 }
 
 /// Returns a request of workspace `w0` for a chat that already has an answer.
-pub fn returning_chat(request_id: &str, service: &str) -> ChatAsk {
-    ChatAsk {
+pub fn returning_chat(request_id: &str, service: &str) -> ChatRequest {
+    ChatRequest {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
         request_id: request_id.to_string(),
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls over connections of one's own.
+//! HTTP/1 client connections for callers and operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,28 +12,29 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// A connection on which requests can be sent one after the other.
+/// The sending side of a connection that carries one request at a time.
 pub type CallSender = SendRequest<Full<Bytes>>;
 
-/// Opens a connection.
-pub async fn connect(address: SocketAddr, most: Duration) -> Option<CallSender> {
-    let stream = tokio::time::timeout(most, TcpStream::connect(address)).await.ok()?.ok()?;
+/// Opens a connection; none if connecting takes longer than `timeout` or fails.
+pub async fn connect(address: SocketAddr, timeout: Duration) -> Option<CallSender> {
+    let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(connection);
     Some(sender)
 }
 
-/// Sends one request on a connection of its own; the status and the body of its answer.
+/// Sends one request on a new connection. Returns the status and the body of its answer; none if the whole
+/// exchange takes longer than `timeout` or fails.
 pub async fn call_once(
     address: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
-    most: Duration,
+    timeout: Duration,
 ) -> Option<(u16, String)> {
-    let whole = async {
-        let mut sender = connect(address, most).await?;
+    let exchange = async {
+        let mut sender = connect(address, timeout).await?;
         let request = Request::builder().method(method).uri(path).header("host", "a.example");
         let request = request.body(Full::new(Bytes::from(body.to_string()))).ok()?;
         let answer: Response<Incoming> = sender.send_request(request).await.ok()?;
@@ -41,5 +42,5 @@
         let body = answer.into_body().collect().await.ok()?.to_bytes();
         Some((status, String::from_utf8_lossy(&body).into_owned()))
     };
-    tokio::time::timeout(most, whole).await.ok().flatten()
+    tokio::time::timeout(timeout, exchange).await.ok().flatten()
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! `wingshed-soak`: plays seeds one after the other and prints what broke.
+//! The program `wingshed-soak`: plays the schedules of seeds one after the other and prints the broken
+//! promises.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -7,11 +8,11 @@
 use argh::FromArgs;
 use tokio::signal::unix::{signal, SignalKind};
 use wingshed_soak::cases::cases;
-use wingshed_soak::ledger::{AskEnd, LedgerRows};
+use wingshed_soak::ledger::{LedgerRows, RequestEnd};
 use wingshed_soak::run::{play_steps, run_network, RunPlan, RunVerdict};
-use wingshed_soak::schedule::{schedule, PlannedStep, RunSize, LARGE_SIZE, USUAL_SIZE};
+use wingshed_soak::schedule::{schedule, PlannedStep, RunSize, DEFAULT_SIZE, LARGE_SIZE};
 
-/// breaks real processes by the schedules of seeds and checks what was promised
+/// disturbs real processes by the schedules of seeds and checks what the system promises
 #[derive(FromArgs)]
 struct SoakArguments {
     /// how many seeds
@@ -26,7 +27,7 @@
     /// the case to play in place of seeds, or "all"
     #[argh(option)]
     case: Option<String>,
-    /// the program of a VM; beside this one by default
+    /// the program of a VM; by default wingshed-node in the folder of this program
     #[argh(option)]
     program: Option<PathBuf>,
     /// keep the logs of sound runs too
@@ -50,7 +51,7 @@
             _ = terminate.recv() => None,
         }
     });
-    // Whichever run was under way has been dropped with all that it started.
+    // After a signal the current run has been dropped, which ends all processes that it started.
     match ended {
         Some(0) => ExitCode::SUCCESS,
         Some(_) => ExitCode::FAILURE,
@@ -61,6 +62,7 @@
     }
 }
 
+/// Returns the path of the program of a VM.
 fn program(arguments: &SoakArguments) -> PathBuf {
     let beside = || {
         let own = std::env::current_exe().unwrap_or_default();
@@ -69,8 +71,8 @@
     arguments.program.clone().unwrap_or_else(beside)
 }
 
-/// What is to be played: its name, its seed and its steps.
-fn planned(arguments: &SoakArguments, size: RunSize) -> Vec<(String, u64, Vec<PlannedStep>)> {
+/// Returns the name, the seed and the steps of each run to play.
+fn planned_runs(arguments: &SoakArguments, size: RunSize) -> Vec<(String, u64, Vec<PlannedStep>)> {
     let Some(name) = &arguments.case else {
         let seeds = arguments.from..arguments.from + arguments.seeds;
         return seeds.map(|seed| (format!("seed-{seed}"), seed, schedule(seed, size))).collect();
@@ -80,10 +82,11 @@
     numbered.map(|(at, case)| (case.name.to_string(), at as u64, case.steps)).collect()
 }
 
+/// Plays all runs and returns how many failed.
 async fn play_seeds(arguments: &SoakArguments) -> u64 {
-    let size = if arguments.large { LARGE_SIZE } else { USUAL_SIZE };
+    let size = if arguments.large { LARGE_SIZE } else { DEFAULT_SIZE };
     let (mut played, mut failed) = (0, 0);
-    for (name, seed, steps) in planned(arguments, size) {
+    for (name, seed, steps) in planned_runs(arguments, size) {
         let plan = RunPlan {
             seed,
             size,
@@ -110,25 +113,25 @@
     failed
 }
 
-/// How many requests ended how.
+/// Counts the requests by how they ended.
 fn ends(rows: &LedgerRows) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for ask in &rows.asks {
-        *counts.entry(format!("{:?}", ask.end)).or_default() += 1;
+    for request in &rows.requests {
+        *counts.entry(format!("{:?}", request.end)).or_default() += 1;
     }
     let texts: Vec<String> = counts.iter().map(|(end, count)| format!("{end} {count}")).collect();
     texts.join(", ")
 }
 
-/// Prints what a seed showed; true when nothing was broken.
+/// Prints the result of a run. Returns true if no promise was broken.
 fn print_verdict(name: &str, plan: &RunPlan, verdict: &RunVerdict) -> bool {
     let rows = &verdict.rows;
-    let whole = rows.asks.iter().filter(|ask| ask.end == AskEnd::Whole);
-    let (asks, runs, whole) = (rows.asks.len(), rows.runs.len(), whole.count());
+    let whole = rows.requests.iter().filter(|request| request.end == RequestEnd::Whole);
+    let (requests, runs, whole) = (rows.requests.len(), rows.runs.len(), whole.count());
     let orders = rows.orders.len();
     let acked = rows.orders.iter().filter(|order| order.acked_ms.is_some()).count();
     println!(
-        "{name}: {} steps, {asks} requests ({whole} whole), {runs} runs, {orders} orders \
+        "{name}: {} steps, {requests} requests ({whole} whole), {runs} runs, {orders} orders \
          ({acked} taken), {} broken",
         verdict.steps.len(),
         verdict.broken.len()
@@ -136,7 +139,7 @@
     println!("  ends: {}", ends(rows));
     for row in &rows.rollouts {
         let end = row.reports.iter().rev().find(|report| report.target == row.target);
-        let end = end.map_or("not told", |report| report.state.as_str());
+        let end = end.map_or("not reported", |report| report.state.as_str());
         let kind = if row.unsound { "unsound" } else { "sound" };
         println!("  roll-out of {} to {} ({kind}): {end}", row.service, row.target);
     }
@@ -147,7 +150,7 @@
         println!("  {:>6} {:?}", step.at_ms, step.disturbance);
     }
     for broken in verdict.broken.iter().take(20) {
-        println!("  BROKEN {}: {}", broken.promise, broken.seen);
+        println!("  BROKEN {}: {}", broken.promise, broken.details);
     }
     println!("  spans: {:?}", rows.spans);
     println!("  logs: {}", plan.folder.display());
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -1,31 +1,33 @@
-//! Roll-outs: a new version's upstreams beside the old ones, the order, and its end.
+//! Roll-outs: starts upstreams of a new version next to the old ones, orders the roll-out, and follows it to
+//! its end.
 
 use std::time::Duration;
 
 use serde_json::{json, Value};
 
 use crate::http::call_once;
-use crate::ledger::{RollOutEnd, RollOutRow};
+use crate::ledger::{RollOutReport, RollOutRow};
 use crate::schedule::VersionFault;
 use crate::site::SoakSite;
 
-/// Orders may be sent again for this long (`ackMs`).
+/// Milliseconds for which the order of a roll-out may be sent again (`ackMs`).
 const REPEAT_MS: u64 = 5_000;
-/// How often an operator asks for the state.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
-/// A VM that has not answered by then is left for the next.
+/// Pause between two requests for the state of a roll-out.
+const POLL_PAUSE: Duration = Duration::from_millis(200);
+/// How long the operator waits for the answer of one VM before it turns to the next.
 const ANSWER_WAIT: Duration = Duration::from_secs(1);
-/// Upstreams of a version that was rolled back end so long after.
-const DRAIN: Duration = Duration::from_millis(5_000);
-/// An end that nobody reports within this time after the deadline is not waited for, in milliseconds.
+/// How long upstreams of a version that was rolled back stay listed as leaving before they end.
+const DRAIN_WAIT: Duration = Duration::from_millis(5_000);
+/// Milliseconds after the deadline of a roll-out for which its end is awaited. An end that no VM reports
+/// within them is left to the judge.
 const END_WAIT_MS: u64 = 20_000;
 
-/// What stands for the state of a roll-out that a VM says there never was.
+/// The state that is recorded when a VM reports that the service had no roll-out.
 pub const UNKNOWN: &str = "unknown";
 
-/// The state of a service's roll-out, as a VM reports it.
-pub async fn ask_state(site: &SoakSite, vm: usize, service: &str) -> Option<(String, String)> {
-    let control = site.vms[vm].place.control();
+/// Requests the state and the target version of a service's roll-out from a VM; none if it returns neither.
+pub async fn fetch_state(site: &SoakSite, vm: usize, service: &str) -> Option<(String, String)> {
+    let control = site.vms[vm].spec.control();
     let path = format!("/rollouts/{service}/get");
     let (status, text) = call_once(control, "GET", &path, "", ANSWER_WAIT).await?;
     if status == 404 {
@@ -35,60 +37,63 @@
         return None;
     }
     let value: Value = serde_json::from_str(&text).ok()?;
-    let word = |name: &str| value[name].as_str().map(str::to_string);
-    Some((word("state")?, word("targetVersion")?))
+    let text_of = |name: &str| value[name].as_str().map(str::to_string);
+    Some((text_of("state")?, text_of("targetVersion")?))
 }
 
-/// Notes what a VM reports of the newest roll-out of a service; true when it has ended.
-pub async fn note_state(site: &SoakSite, vm: usize, row: usize) -> Option<bool> {
+/// Records what a VM reports of the roll-out in ledger row `row`. Returns whether that roll-out has ended;
+/// none if the VM did not report.
+pub async fn record_state(site: &SoakSite, vm: usize, row: usize) -> Option<bool> {
     let (service, target) = {
         let rows = site.ledger.rows.borrow();
         (rows.rollouts[row].service.clone(), rows.rollouts[row].target.clone())
     };
-    let (state, version) = ask_state(site, vm, &service).await?;
+    let (state, version) = fetch_state(site, vm, &service).await?;
     let ended = version == target && state != "running" && state != UNKNOWN;
     let at_ms = site.ledger.now_ms();
     if ended || site.ledger.rows.borrow().rollouts[row].acked_ms.is_some() {
-        let end = RollOutEnd { vm, at_ms, state, target: version };
+        let end = RollOutReport { vm, at_ms, state, target: version };
         site.ledger.rows.borrow_mut().rollouts[row].reports.push(end);
     }
     Some(ended)
 }
 
-/// Plays one roll-out to its end.
+/// Plays one roll-out to its end. Does nothing while another one of the service is under way.
 pub async fn roll_out(site: &SoakSite, service: usize, duration_s: u64, fault: VersionFault) {
-    let Some((old, fresh)) = site.next_side(service) else { return };
+    let Some((old_upstreams, new_upstreams)) = site.begin_rollout(service) else { return };
     let target = site.next_version();
-    for at in &fresh {
+    for at in &new_upstreams {
         if let Err(error) = site.start_version(*at, &target, fault).await {
-            site.ledger.rows.borrow_mut().seen.push(format!("the soak: {error}"));
+            site.ledger.rows.borrow_mut().run_faults.push(format!("the soak: {error}"));
         }
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let row = order(site, service, duration_s, &target, fault != VersionFault::None).await;
+    let row = send_order(site, service, duration_s, &target, fault != VersionFault::None).await;
     let deadline_ms = site.ledger.now_ms() + duration_s * 1_000;
     let mut vm = 0;
     let mut completed = false;
     while site.ledger.now_ms() < deadline_ms + END_WAIT_MS {
         vm = (vm + 1) % site.vms.len();
-        if note_state(site, vm, row).await == Some(true) {
+        if record_state(site, vm, row).await == Some(true) {
             let rows = site.ledger.rows.borrow();
             completed = rows.rollouts[row].reports.iter().any(|report| report.state == "complete");
             break;
         }
-        tokio::time::sleep(ASK_PAUSE).await;
+        tokio::time::sleep(POLL_PAUSE).await;
     }
-    // Complete: the old ones end at once. Rolled back: the new ones leave first.
-    let gone = if completed { old } else { fresh };
+    // After completion the old upstreams end at once. After a roll-back the new ones are listed as leaving
+    // first.
+    let retired = if completed { old_upstreams } else { new_upstreams };
     if !completed {
-        gone.iter().for_each(|at| site.mark_leaving(*at));
-        tokio::time::sleep(DRAIN).await;
+        retired.iter().for_each(|at| site.mark_leaving(*at));
+        tokio::time::sleep(DRAIN_WAIT).await;
     }
-    gone.iter().for_each(|at| site.end_upstream(*at));
-    site.end_side(service, completed);
+    retired.iter().for_each(|at| site.end_upstream(*at));
+    site.end_rollout(service, completed);
 }
 
-async fn order(
+/// Sends the order until a VM accepts it or [`REPEAT_MS`] is over. Returns the index of its ledger row.
+async fn send_order(
     site: &SoakSite,
     service: usize,
     duration_s: u64,
@@ -114,10 +119,11 @@
     let mut vm = 0;
     while site.ledger.now_ms() < sent_ms + REPEAT_MS {
         vm = (vm + 1) % site.vms.len();
-        let control = site.vms[vm].place.control();
+        let control = site.vms[vm].spec.control();
         let body = body.to_string();
         let answer = call_once(control, "POST", "/rollouts/start", &body, ANSWER_WAIT).await;
-        // A 409 to an order that is repeated says that it is under way.
+        // An earlier send of this order may have been accepted without an answer; the VM then returns 409,
+        // since the roll-out is under way.
         if matches!(answer, Some((200..=299 | 409, _))) {
             let now = site.ledger.now_ms();
             site.ledger.rows.borrow_mut().rollouts[row].acked_ms = Some(now);
@@ -129,12 +135,12 @@
     row
 }
 
-/// Sends an order that was taken once more, to another VM: it is never refused.
+/// Sends an accepted order once more, to another VM, which must not refuse it.
 async fn repeat_order(site: &SoakSite, vm: usize, body: &str) {
-    let control = site.vms[vm % site.vms.len()].place.control();
+    let control = site.vms[vm % site.vms.len()].spec.control();
     let answer = call_once(control, "POST", "/rollouts/start", body, ANSWER_WAIT).await;
     if let Some((status @ (400..=407 | 410..=428 | 430..=499), text)) = answer {
-        let seen = format!("a repeated roll-out {body} was refused with {status}: {text}");
-        site.ledger.rows.borrow_mut().seen.push(seen);
+        let fault = format!("a repeated roll-out {body} was refused with {status}: {text}");
+        site.ledger.rows.borrow_mut().run_faults.push(fault);
     }
 }
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -1,6 +1,7 @@
-//! Upstreams of a run: plain answers and streams whose every byte identifies its request.
+//! The upstreams of a run. Their plain answers and streams consist of the id of the attempt, so that every
+//! byte identifies its request.
 //!
-//! A run is noted before it is worked on, so that an answer which is lost still counts as run.
+//! A run is recorded before work on it begins, so a request whose answer is lost still counts as run.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,42 +13,44 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
 
-use crate::answer_make::{draw_of, AnswerKind, AnswerMake, Framing, FOREIGN_ATTEMPT};
+use crate::answer_make::{draw_of, AnswerKind, AnswerPlan, Framing, FOREIGN_ATTEMPT};
 use crate::ledger::{ArrivalRow, RunLedger, RunRow, SentEnd, SentRow};
 use crate::link::LinkProxy;
-use crate::platform::{ATTEMPT, EXPECTED_LIFE, LEAVING, NOT_RUN, REST, STAMP};
+use crate::platform::{ATTEMPT, EXPECTED_INSTANCE, LEAVING, NOT_RUN, RETRY_AFTER, STAMP};
 use crate::schedule::VersionFault;
-use crate::upstream_wire::{split, AfterAnswer, OpenAnswer, WireRequest, WireWriter};
+use crate::upstream_wire::{split, AfterAnswer, PartialAnswer, WireRequest, WireWriter};
 
-/// Requests at which an upstream says that it is full.
-const UPSTREAM_PLACES: u32 = 32;
-/// What an unsound version of the slow kind takes longer.
-const SLOW_WORK: Duration = Duration::from_millis(700);
-/// The work of a plain request.
-const PLAIN_WORK: Duration = Duration::from_millis(20);
+/// Number of requests that an upstream runs at a time. It refuses further ones.
+const UPSTREAM_SLOTS: u32 = 32;
+/// Additional time that a version with [`VersionFault::Slow`] takes for a bad answer.
+const SLOW_DELAY: Duration = Duration::from_millis(700);
+/// Time that a plain request takes.
+const PLAIN_DELAY: Duration = Duration::from_millis(20);
 
-/// What an upstream is, apart from its lives.
+/// The properties of an upstream that all its incarnations share.
 #[derive(Clone, Debug)]
-pub struct UpstreamPlace {
-    /// Its index.
+pub struct UpstreamSpec {
+    /// The index of the upstream.
     pub index: usize,
-    /// Its service.
+    /// The service of the upstream.
     pub service: String,
-    /// Its zone.
+    /// The zone of the upstream.
     pub zone: String,
-    /// Where VMs find it: the near end of its link.
+    /// The address in the list, at which the link of VMs to the upstream listens.
     pub listed: SocketAddr,
-    /// Where it listens: the far end.
+    /// The address at which the upstream listens, behind the link.
     pub inner: SocketAddr,
 }
 
-struct LifeState {
-    place: UpstreamPlace,
+/// State that an incarnation shares with its connections.
+struct IncarnationState {
+    spec: UpstreamSpec,
     id: String,
-    /// No other life has it, whatever its id.
+    /// A number that no other incarnation has, even under the same id.
     number: u64,
-    /// The rest that it asks for while it turns everything away, in milliseconds; 0 while it doesn't.
-    rest_ms: Cell<u64>,
+    /// The back-off that the upstream requests while it refuses all requests, in milliseconds; 0 while it
+    /// does not.
+    backoff_ms: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
     faulty: Cell<bool>,
@@ -56,18 +59,19 @@
     fault: VersionFault,
     started: Instant,
     crash: Notify,
-    /// Whether it has begun to run a request that ends it.
+    /// Whether the upstream has begun to run a request that crashes it.
     fatal: Cell<bool>,
     ledger: Rc<RunLedger>,
 }
 
-/// A request whose body begins with this ends the upstream that runs it.
+/// The start of the body of a request that crashes the upstream which runs it.
 pub const FATAL_BODY: &str = "fatal";
 
-/// One life of an upstream, with the link to it.
-pub struct UpstreamLife {
-    state: Rc<LifeState>,
-    /// The link of VMs to it.
+/// One incarnation of an upstream, from its start to its crash or end, with the link to it. Dropping it
+/// crashes the upstream.
+pub struct UpstreamIncarnation {
+    state: Rc<IncarnationState>,
+    /// The link of VMs to the upstream.
     pub link: LinkProxy,
     accepting: JoinHandle<()>,
 }
@@ -76,28 +80,29 @@
     static RUN_NUMBER: RefCell<u64> = const { RefCell::new(0) };
 }
 
-fn next_run() -> u64 {
+/// Returns a number that this process has not used before, for a run or an incarnation.
+fn next_number() -> u64 {
     RUN_NUMBER.with_borrow_mut(|number| {
         *number += 1;
         *number
     })
 }
 
-impl UpstreamLife {
-    /// Starts a life.
+impl UpstreamIncarnation {
+    /// Starts an incarnation under this id, with a version and its fault.
     pub async fn start(
-        place: UpstreamPlace,
+        spec: UpstreamSpec,
         id: &str,
         (version, fault): (&str, VersionFault),
         ledger: Rc<RunLedger>,
-    ) -> std::io::Result<UpstreamLife> {
-        let listener = TcpListener::bind(place.inner).await?;
-        let link = LinkProxy::start(place.listed, place.inner).await?;
-        let state = Rc::new(LifeState {
-            place,
+    ) -> std::io::Result<UpstreamIncarnation> {
+        let listener = TcpListener::bind(spec.inner).await?;
+        let link = LinkProxy::start(spec.listed, spec.inner).await?;
+        let state = Rc::new(IncarnationState {
+            spec,
             id: id.to_string(),
-            number: next_run(),
-            rest_ms: Cell::new(0),
+            number: next_number(),
+            backoff_ms: Cell::new(0),
             running: Cell::new(0),
             leaving: Cell::new(false),
             faulty: Cell::new(false),
@@ -115,57 +120,58 @@
                 spawn_local(serve(stream, shared.clone()));
             }
         });
-        Ok(UpstreamLife { state, link, accepting })
+        Ok(UpstreamIncarnation { state, link, accepting })
     }
 
-    /// From now on all answers say so, health checks are answered 503, and connections are closed after an
-    /// answer.
+    /// Makes the upstream leave: its answers announce it, health checks get status 503, and connections are
+    /// closed after an answer.
     pub fn leave(&self) {
         self.state.leaving.set(true);
     }
 
-    /// Which life it is.
+    /// The number of the incarnation, which no other one has.
     pub fn number(&self) -> u64 {
         self.state.number
     }
 
-    /// Turns everything away and asks for so much rest, in milliseconds; 0 ends that.
-    pub fn set_rest(&self, rest_ms: u64) {
-        self.state.rest_ms.set(rest_ms);
+    /// Makes the upstream refuse all requests and request this back-off, in milliseconds; 0 ends that.
+    pub fn set_backoff(&self, backoff_ms: u64) {
+        self.state.backoff_ms.set(backoff_ms);
     }
 
-    /// Whether it has begun to run a request that ends it.
-    pub fn is_fatal(&self) -> bool {
+    /// Whether the upstream has begun to run a request that crashes it.
+    pub fn has_fatal_request(&self) -> bool {
         self.state.fatal.get()
     }
 
-    /// Whether three in four answers break off.
+    /// Sets whether three in four answers break off.
     pub fn set_early(&self, early: bool) {
         self.state.early.set(early);
     }
 
-    /// Whether three in four plain answers fail, are cut, or are those to another request.
+    /// Sets whether three in four plain answers fail, break off, or are those to another request.
     pub fn set_faulty(&self, faulty: bool) {
         self.state.faulty.set(faulty);
     }
 }
 
-impl Drop for UpstreamLife {
+impl Drop for UpstreamIncarnation {
     fn drop(&mut self) {
         self.accepting.abort();
         self.state.crash.notify_waiters();
     }
 }
 
-async fn serve(stream: TcpStream, state: Rc<LifeState>) {
+/// Serves one connection until it ends or the upstream crashes.
+async fn serve(stream: TcpStream, state: Rc<IncarnationState>) {
     let (mut reader, mut writer) = split(stream);
     let exchanges = async {
         while let Some(request) = reader.next().await {
             let after = tokio::select! {
                 after = answer(&request, &state, &mut writer) => after.unwrap_or(AfterAnswer::Closed),
-                () = reader.gone() => AfterAnswer::Closed,
+                () = reader.wait_for_close() => AfterAnswer::Closed,
             };
-            writer.open = None;
+            writer.partial = None;
             if after != AfterAnswer::Kept {
                 return after;
             }
@@ -174,7 +180,7 @@
     };
     let after = tokio::select! {
         after = exchanges => after,
-        () = state.crash.notified() => after_crash(&state, writer.open),
+        () = state.crash.notified() => after_crash(&state, writer.partial),
     };
     match after {
         AfterAnswer::Reset => writer.reset(),
@@ -182,25 +188,26 @@
     }
 }
 
-/// A process that ends has its connections closed cleanly. A plain answer without framing is reset, since
-/// nothing would tell it from a whole one.
-fn after_crash(state: &LifeState, open: Option<OpenAnswer>) -> AfterAnswer {
-    let Some(OpenAnswer { make, sent }) = open else { return AfterAnswer::Closed };
-    if make.framing == Framing::Connection && !matches!(make.kind, AnswerKind::Stream(_)) {
+/// Returns how a crash ends a connection, and records how much of an unfinished answer was sent. The end of a
+/// process closes its connections cleanly. A plain answer without framing is reset instead, as nothing would
+/// distinguish the part that was sent from a whole answer.
+fn after_crash(state: &IncarnationState, partial: Option<PartialAnswer>) -> AfterAnswer {
+    let Some(PartialAnswer { plan, sent }) = partial else { return AfterAnswer::Closed };
+    if plan.framing == Framing::Connection && !matches!(plan.kind, AnswerKind::Stream(_)) {
         return AfterAnswer::Reset;
     }
     if let Some(sent) = sent {
-        let row = SentRow { run: make.run, end: SentEnd::Closed(sent) };
+        let row = SentRow { run: plan.run, end: SentEnd::Closed(sent) };
         state.ledger.rows.borrow_mut().sent.push(row);
     }
     AfterAnswer::Closed
 }
 
-/// Counts a request while it is worked on.
-struct RunningGuard(Rc<LifeState>);
+/// Counts a request as running until it is dropped.
+struct RunningGuard(Rc<IncarnationState>);
 
 impl RunningGuard {
-    fn new(state: &Rc<LifeState>) -> RunningGuard {
+    fn new(state: &Rc<IncarnationState>) -> RunningGuard {
         state.running.set(state.running.get() + 1);
         RunningGuard(state.clone())
     }
@@ -212,31 +219,32 @@
     }
 }
 
-/// Notes a request that arrived, and tells the headers that turn it away while rest is asked for.
-fn turn_away(state: &LifeState, attempt: &str) -> Option<String> {
-    let rest_ms = state.rest_ms.get();
+/// Records the arrival of a request. Returns the headers of its refusal while the upstream requests back-off.
+fn reject_for_backoff(state: &IncarnationState, attempt: &str) -> Option<String> {
+    let backoff_ms = state.backoff_ms.get();
     state.ledger.rows.borrow_mut().arrivals.push(ArrivalRow {
         attempt: attempt.to_string(),
-        upstream: state.place.index,
+        upstream: state.spec.index,
         life: state.number,
         at_ms: state.ledger.now_ms(),
-        rest_ms,
+        rest_ms: backoff_ms,
     });
-    let rest_s = rest_ms as f64 / 1000.0;
-    let headers = format!("{NOT_RUN}: 1\r\n{ATTEMPT}: {attempt}\r\n{REST}: {rest_s:.3}\r\n");
-    (rest_ms > 0).then_some(headers)
+    let backoff_s = backoff_ms as f64 / 1000.0;
+    let headers =
+        format!("{NOT_RUN}: 1\r\n{ATTEMPT}: {attempt}\r\n{RETRY_AFTER}: {backoff_s:.3}\r\n");
+    (backoff_ms > 0).then_some(headers)
 }
 
-/// What is answered to a run, and how.
-fn make_answer(
-    state: &LifeState,
+/// Draws the plan of the answer to a run; `bad` marks a run that shows the fault of the version.
+fn plan_answer(
+    state: &IncarnationState,
     request: &WireRequest,
     attempt: &str,
     after_event: u64,
     bad: bool,
-) -> AnswerMake {
-    let run = next_run();
-    let mut random = draw_of((state.ledger.seed, attempt, state.place.index, after_event));
+) -> AnswerPlan {
+    let run = next_number();
+    let mut random = draw_of((state.ledger.seed, attempt, state.spec.index, after_event));
     let is_stream = request.path.starts_with("/stream/") || request.path.starts_with("/resume/");
     let failure = bad && state.fault != VersionFault::Slow;
     let faulty = if state.faulty.get() && !is_stream { run % 4 } else { 3 };
@@ -246,39 +254,45 @@
         (_, _, 2) => AnswerKind::Foreign,
         _ => AnswerKind::Plain,
     };
-    let make = AnswerMake::draw(&mut random, run, kind);
+    let plan = AnswerPlan::draw(&mut random, run, kind);
     let early = state.early.get() && random.gen_ratio(3, 4);
     match early || (kind == AnswerKind::Plain && faulty == 1) {
-        true => make.broken_off(&mut random, attempt),
-        false => make,
+        true => plan.broken_off(&mut random, attempt),
+        false => plan,
     }
 }
 
-fn note_run(state: &Rc<LifeState>, request: &WireRequest, attempt: &str) -> (RunRow, RunningGuard) {
-    let after_event = request.named("last-event-id").parse().unwrap_or(0);
+/// Records the start of a run. Returns its ledger row, and a guard that counts it as running.
+fn record_run(
+    state: &Rc<IncarnationState>,
+    request: &WireRequest,
+    attempt: &str,
+) -> (RunRow, RunningGuard) {
+    let after_event = request.header_value("last-event-id").parse().unwrap_or(0);
     let guard = RunningGuard::new(state);
-    let bad = state.fault.is_bad(next_run(), state.started.elapsed().as_millis());
+    let bad = state.fault.is_bad(next_number(), state.started.elapsed().as_millis());
     let row = RunRow {
         attempt: attempt.to_string(),
-        upstream: state.place.index,
-        service: state.place.service.clone(),
-        zone: state.place.zone.clone(),
+        upstream: state.spec.index,
+        service: state.spec.service.clone(),
+        zone: state.spec.zone.clone(),
         at_ms: state.ledger.now_ms(),
         version: state.version.clone(),
         bad,
         after_event,
-        workspace: request.named("x-tenant").to_string(),
+        workspace: request.header_value("x-tenant").to_string(),
         life: state.number,
         leaving: state.leaving.get(),
-        make: make_answer(state, request, attempt, after_event, bad),
+        make: plan_answer(state, request, attempt, after_event, bad),
     };
     state.ledger.rows.borrow_mut().runs.push(row.clone());
     (row, guard)
 }
 
+/// Answers one request, and returns what becomes of its connection.
 async fn answer(
     request: &WireRequest,
-    state: &Rc<LifeState>,
+    state: &Rc<IncarnationState>,
     writer: &mut WireWriter,
 ) -> std::io::Result<AfterAnswer> {
     if request.path == "/health" {
@@ -286,47 +300,47 @@
         writer.send_short(status, &format!("x-instance-id: {}\r\n", state.id)).await?;
         return Ok(AfterAnswer::Kept);
     }
-    let expected = request.named(EXPECTED_LIFE);
+    let expected = request.header_value(EXPECTED_INSTANCE);
     if !expected.is_empty() && expected != state.id {
         writer.send_short(421, &format!("{NOT_RUN}: 1\r\n")).await?;
         return Ok(AfterAnswer::Kept);
     }
-    let attempt = request.named(ATTEMPT);
-    let turned_away = turn_away(state, attempt).or_else(|| {
-        let full = state.running.get() >= UPSTREAM_PLACES;
+    let attempt = request.header_value(ATTEMPT);
+    let refusal_headers = reject_for_backoff(state, attempt).or_else(|| {
+        let full = state.running.get() >= UPSTREAM_SLOTS;
         full.then(|| format!("{NOT_RUN}: 1\r\n"))
     });
-    if let Some(headers) = turned_away {
+    if let Some(headers) = refusal_headers {
         writer.send_short(503, &headers).await?;
         return Ok(AfterAnswer::Kept);
     }
-    let (row, guard) = note_run(state, request, attempt);
+    let (row, guard) = record_run(state, request, attempt);
     if request.body.starts_with(FATAL_BODY.as_bytes()) {
         state.fatal.set(true);
-        // Whoever watches ends this life, and with it this connection.
+        // The task that sends such requests then crashes this incarnation, which ends this connection.
         std::future::pending::<()>().await;
     }
-    let make = row.make;
-    let (named, stamp) = match make.kind {
+    let plan = row.make;
+    let (named, stamp) = match plan.kind {
         AnswerKind::Foreign => (FOREIGN_ATTEMPT, "late"),
         _ => (attempt, state.id.as_str()),
     };
     let mut headers = format!("{ATTEMPT}: {named}\r\n{STAMP}: {stamp}\r\n");
-    headers += &format!("x-server-load: {},0,{UPSTREAM_PLACES}\r\n", state.running.get());
+    headers += &format!("x-server-load: {},0,{UPSTREAM_SLOTS}\r\n", state.running.get());
     if row.leaving {
         headers += &format!("connection: close\r\n{LEAVING}: 1\r\n");
     }
     if row.bad && state.fault == VersionFault::Slow {
-        tokio::time::sleep(SLOW_WORK).await;
+        tokio::time::sleep(SLOW_DELAY).await;
     }
-    if matches!(make.kind, AnswerKind::Stream(_)) {
+    if matches!(plan.kind, AnswerKind::Stream(_)) {
         headers += "content-type: text/event-stream\r\n";
     } else if !row.bad || state.fault == VersionFault::Slow {
-        tokio::time::sleep(PLAIN_WORK).await;
+        tokio::time::sleep(PLAIN_DELAY).await;
     }
-    let after = writer.send(make, attempt, &headers).await?;
+    let after = writer.send(plan, attempt, &headers).await?;
     drop(guard);
-    let sent = SentRow { run: make.run, end: SentEnd::AsMade };
+    let sent = SentRow { run: plan.run, end: SentEnd::AsMade };
     state.ledger.rows.borrow_mut().sent.push(sent);
     Ok(if row.leaving && after == AfterAnswer::Kept { AfterAnswer::Closed } else { after })
 }
