--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -369,8 +369,8 @@
 fn poll_engine(shared: &Arc<RouterShared>, engine: UpstreamKey) {
     let view = shared.view();
     let Some(info) = view.upstreams.get(&engine) else { return };
-    let seen = lock(&shared.home_state).events_seen.get(&engine).copied().unwrap_or(0);
-    let call = engine::state_call(seen);
+    let last_event = lock(&shared.home_state).events_seen.get(&engine).copied().unwrap_or(0);
+    let call = engine::state_call(last_event);
     let times = CallTimes::of_ms(1000);
     let reply = shared.client.call(info.address, &call, times, MAX_STATE_BYTES, "engine-state");
     let state = match reply {
@@ -395,7 +395,7 @@
         home_state.outliers.note_success(engine);
     }
     home_state.homes.report(engine, incarnation, state.work, shared.clock.now_ms());
-    apply_cache_events(&mut home_state, engine, incarnation, seen, &state);
+    apply_cache_events(&mut home_state, engine, incarnation, last_event, &state);
 }
 
 /// Applies an engine's cache events to the chat memory. A gap in the event numbers makes the
@@ -404,10 +404,10 @@
     home_state: &mut super::router_shared::HomeState,
     engine: UpstreamKey,
     incarnation: crate::state::ids::Incarnation,
-    seen: u64,
+    last_event: u64,
     state: &engine::EngineState,
 ) {
-    let mut next = seen + 1;
+    let mut next = last_event + 1;
     for event in &state.events {
         if event.number < next {
             continue;
