--- a/soak/src/judge_answers.rs
+++ b/soak/src/judge_answers.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether a disturbance of the VM that got the request overlaps it. An HTTP/1.0 answer ends with its
+/// Whether an unplanned disturbance of the VM that got the request overlaps it. An HTTP/1.0 answer ends with its
 /// connection, which the end of a VM's process closes too, so the caller cannot distinguish the two.
 fn overlaps_vm_disturbance(rows: &LedgerRows, request: &RequestRow) -> bool {
     rows.spans.iter().any(|span| {
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -62,7 +62,7 @@
 pub enum SentEnd {
     /// As planned: whole, or broken off where its plan says so.
     AsMade,
-    /// The upstream crashed meanwhile, and the connection was closed cleanly after this many bytes after the
+    /// The upstream crashed meanwhile, and the connection was closed cleanly after this many bytes past the
     /// head.
     Closed(usize),
 }
--- a/soak/src/list.rs
+++ b/soak/src/list.rs
@@ -47,6 +47,7 @@
 }
 
 impl ListRows {
+    /// Returns all entries as JSON, the unreadable ones first.
     fn values(&self) -> Vec<Value> {
         let mut values: Vec<Value> = Vec::new();
         if self.unreadable {
@@ -57,6 +58,7 @@
         values
     }
 
+    /// Returns the page that starts at entry `token`, with the token of the next page if there is one.
     fn page(&self, token: usize) -> Value {
         let values = self.values();
         let until = (token + PAGE_ROWS).min(values.len());
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -114,7 +114,7 @@
 }
 
 /// Counts the requests by how they ended.
-fn ends(rows: &LedgerRows) -> String {
+fn request_ends(rows: &LedgerRows) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for request in &rows.requests {
         *counts.entry(format!("{:?}", request.end)).or_default() += 1;
@@ -136,7 +136,7 @@
         verdict.steps.len(),
         verdict.broken.len()
     );
-    println!("  ends: {}", ends(rows));
+    println!("  ends: {}", request_ends(rows));
     for row in &rows.rollouts {
         let end = row.reports.iter().rev().find(|report| report.target == row.target);
         let end = end.map_or("not reported", |report| report.state.as_str());
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator of a run: sends orders to the VMs in turn, again and again until one of them answers.
+//! The operator of a run: sends each order to the VMs in turn until one of them acknowledges or refuses it, or
+//! until it may not be repeated any longer.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -25,7 +25,8 @@
 /// The state that is recorded when a VM reports that the service had no roll-out.
 pub const UNKNOWN: &str = "unknown";
 
-/// Requests the state and the target version of a service's roll-out from a VM; none if it returns neither.
+/// Requests the state and the target version of a service's roll-out from a VM; none if it gives no usable
+/// answer.
 pub async fn fetch_state(site: &SoakSite, vm: usize, service: &str) -> Option<(String, String)> {
     let control = site.vms[vm].spec.control();
     let path = format!("/rollouts/{service}/get");
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -65,7 +65,8 @@
     pub ledger: Rc<RunLedger>,
     /// The VMs by their index.
     pub vms: Vec<SiteVm>,
-    /// The upstreams by their index. The second half of them serves new versions.
+    /// The upstreams by their index. The first half serves at the start, and each roll-out of a service moves it to
+    /// its upstreams in the other half.
     pub upstreams: Vec<SiteUpstream>,
     /// The content of the list of upstreams.
     pub list: Rc<RefCell<ListRows>>,
