--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -109,7 +109,7 @@
         let mut view = self.view.borrow_mut();
         let (roster, list) = (view.roster.revision, self.upstreams.borrow().revision);
         let mut holder_state = self.holders.borrow_mut();
-        let (holders, holders_heard) = (holder_state.outbox.take(), holder_state.received);
+        let (holders, holders_received) = (holder_state.outbox.take(), holder_state.received);
         let (unreachable, unresponsive) = {
             let view = &mut self.silence.borrow_mut().view;
             (view.take_suspicions(), view.revision())
@@ -126,7 +126,7 @@
             roster,
             list,
             holders,
-            holders_received: holders_heard,
+            holders_received,
             health_reports: self.health.borrow_mut().outbox.take(),
             zone_orders: self.zones.borrow().watch.orders.accepted(),
             unreachable,
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -53,7 +53,7 @@
         now_ms: u64,
     ) -> GrantNote {
         let (term, record) = (keeper.term(), &keeper.record);
-        let (holders, holders_heard) =
+        let (holders, holders_received) =
             self.exchange_holders(term, &note.holders, note.holders_received, now_ms);
         let failing = self.take_health_reports(term, &note.health_reports, now_ms);
         self.record_suspicions(term, from, &note.unreachable);
@@ -76,7 +76,7 @@
                 now_ms,
             ),
             holders,
-            holders_received: holders_heard,
+            holders_received,
             failing,
             zones: record.zones.update_since(note.zone_orders),
             unresponsive: self.unresponsive_update(note.unresponsive),
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -161,11 +161,11 @@
     /// What this VM has to do for its list now. A leader reads at its own pace anyway; it also requests the list
     /// from others when its own is old, since others may reach the platform when it doesn't.
     fn current_action(&self, leads: bool, now_ms: u64) -> ListAction {
-        let first_heard_ms = self.view.borrow().first_contact_ms;
+        let first_contact_ms = self.view.borrow().first_contact_ms;
         let status = {
             let upstreams = self.upstreams.borrow();
             ListStatus {
-                first_contact_ms: first_heard_ms,
+                first_contact_ms: first_contact_ms,
                 confirmed_ms: upstreams.confirmed_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
                 has_list: upstreams.is_loaded(),
