--- a/cli/src/bench_relay.rs
+++ b/cli/src/bench_relay.rs
@@ -1,4 +1,4 @@
-//! What a router adds to a call, and how many streams one router carries.
+//! Measures the latency that a router adds to a call, and the cost of streams on one router.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,20 +11,24 @@
 use wingshed_lib::state::ids::ChatKey;
 use wingshed_lib::transport::http_client::HttpClient;
 use wingshed_standin::address::free_address;
-use wingshed_standin::caller::{chat_call, directory, send, CallerAnswer, ChatAsk};
-use wingshed_standin::engine::EngineMake;
-use wingshed_standin::system::{SystemMake, SystemStandIn, FLEET_KEY};
+use wingshed_standin::caller::{chat_call, directory, send, CallerAnswer, ChatRequest};
+use wingshed_standin::engine::EngineOptions;
+use wingshed_standin::system::{SystemOptions, SystemStandIn, FLEET_KEY};
 
 use crate::bench_decision::percentile;
 use crate::process::{cpu_seconds, rss_kb};
 use crate::table::to_text;
 
-const CALLS: usize = 400;
-const PIECES: u32 = 24;
+/// The number of calls on each path.
+const CALL_COUNT: usize = 400;
+/// The number of pieces of an answer of these calls.
+const CALL_PIECES: u32 = 24;
+/// The number of pieces of an answer of `streams`.
 const STREAM_PIECES: u32 = 200;
+/// The time between two pieces of these answers, in milliseconds.
 const STREAM_PIECE_MS: u64 = 30;
 
-/// Routers as processes of their own, beside keepers and engines in this one.
+/// Routers that run as separate processes, with keepers and engines in this process.
 struct BenchSite {
     system: SystemStandIn,
     routers: Vec<SocketAddr>,
@@ -41,6 +45,7 @@
     }
 }
 
+/// Returns the path of the router's binary, which is next to that of this process.
 fn router_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = own.with_file_name("wingshed-router");
@@ -51,15 +56,15 @@
 }
 
 impl BenchSite {
-    fn start(routers: usize, engines: usize, engine: EngineMake) -> Result<BenchSite, String> {
+    fn start(routers: usize, engines: usize, engine: EngineOptions) -> Result<BenchSite, String> {
         let program = router_program()?;
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        let mut make = SystemMake::small(folder.path().to_path_buf());
-        make.routers = 0;
-        make.engines = engines;
-        make.engine = engine;
-        make.multiple = 8.0;
-        let system = SystemStandIn::start(make);
+        let mut options = SystemOptions::small(folder.path().to_path_buf());
+        options.routers = 0;
+        options.engines = engines;
+        options.engine = engine;
+        options.multiple = 8.0;
+        let system = SystemStandIn::start(options);
         let keepers: Vec<_> = system
             .keeper_list()
             .iter()
@@ -73,7 +78,7 @@
                 "role": "router", "id": at + 1, "zone": "a", "address": address.to_string(),
                 "keepers": keepers, "fleet_key": FLEET_KEY,
             });
-            let path = site.system.make.folder.join(format!("router-{at}.json"));
+            let path = site.system.options.folder.join(format!("router-{at}.json"));
             std::fs::write(&path, settings.to_string()).map_err(|error| error.to_string())?;
             let child = Command::new(&program)
                 .arg("--settings")
@@ -89,12 +94,13 @@
         Ok(site)
     }
 
+    /// Waits until each router has completed a request.
     fn wait_serving(&self) -> Result<(), String> {
         let until = Instant::now() + Duration::from_secs(20);
         for router in &self.routers {
             loop {
-                let ask = bench_ask("probe", "probe", 1, true);
-                if send(&self.system.client, *router, &chat_call(&ask), None).whole {
+                let request = bench_request("probe", "probe", 1, true);
+                if send(&self.system.client, *router, &chat_call(&request), None).whole {
                     break;
                 }
                 if Instant::now() > until {
@@ -108,8 +114,8 @@
     }
 }
 
-fn bench_ask(id: &str, chat: &str, max_tokens: u32, returning: bool) -> ChatAsk {
-    ChatAsk {
+fn bench_request(id: &str, chat: &str, max_tokens: u32, returning: bool) -> ChatRequest {
+    ChatRequest {
         workspace: "w0".to_string(),
         key: "k0".to_string(),
         request_id: id.to_string(),
@@ -123,25 +129,29 @@
     }
 }
 
-/// Prints direct calls, calls through one router, and through entry and home, side by side.
+/// Prints the latency of calls that go directly to an engine, through one router, and through two
+/// routers, the second of which is the home of the chat.
 pub fn relay() -> Result<(), String> {
-    let engine = EngineMake { piece_ms: 4, prefill_per_ms: 1_000_000, ..EngineMake::default() };
+    let engine =
+        EngineOptions { piece_ms: 4, prefill_per_ms: 1_000_000, ..EngineOptions::default() };
     let site = BenchSite::start(2, 4, engine)?;
     let client = HttpClient::default();
     let direct = site.system.engines[0].as_ref().map(|engine| engine.address);
     let direct = direct.ok_or("no engine runs")?;
     let mut answers: [Vec<CallerAnswer>; 3] = Default::default();
-    for number in 0..CALLS {
-        let ask = bench_ask(&format!("b{number}"), &format!("c{number}"), PIECES, true);
-        let call = chat_call(&ask);
+    for number in 0..CALL_COUNT {
+        let request =
+            bench_request(&format!("b{number}"), &format!("c{number}"), CALL_PIECES, true);
+        let call = chat_call(&request);
         let direct_call = direct_chat(number, &call);
         answers[0].push(send(&client, direct, &direct_call, None));
         let query = format!("workspace=w0&chat=c{number}&service=chat");
         let home = directory(&client, site.routers[0], &query)[0];
         let other = site.routers.iter().find(|router| **router != home).ok_or("one router")?;
-        // The hop first: the home then knows the chat, and the second call finds it there.
+        // The call through two routers goes first. The home then remembers the chat, so that the
+        // call to the home alone stays there.
         answers[2].push(send(&client, *other, &call, None));
-        let again = chat_call(&ChatAsk { request_id: format!("a{number}"), ..ask });
+        let again = chat_call(&ChatRequest { request_id: format!("a{number}"), ..request });
         answers[1].push(send(&client, home, &again, None));
     }
     let mut rows = Vec::new();
@@ -184,13 +194,13 @@
     row
 }
 
-/// Prints what one router carries at 500, 1,000 and 2,000 streams.
+/// Prints the throughput, processor time and memory of one router at 500, 1,000 and 2,000 streams.
 pub fn streams() -> Result<(), String> {
-    let engine = EngineMake {
+    let engine = EngineOptions {
         piece_ms: STREAM_PIECE_MS,
         prefill_per_ms: 1_000_000,
         slots: 4000,
-        ..EngineMake::default()
+        ..EngineOptions::default()
     };
     let site = BenchSite::start(1, 8, engine)?;
     let pid = site.children[0].id();
@@ -209,11 +219,11 @@
                         .spawn_scoped(scope, move || {
                             std::thread::sleep(Duration::from_micros(500 * number as u64));
                             let id = format!("s{streams}-{number}");
-                            let ask = bench_ask(&id, &id, STREAM_PIECES, false);
-                            let call = chat_call(&ask);
+                            let request = bench_request(&id, &id, STREAM_PIECES, false);
+                            let call = chat_call(&request);
                             send(&HttpClient::default(), site.routers[0], &call, None)
                         })
-                        .expect("room for a thread")
+                        .expect("a thread can be started")
                 })
                 .collect();
             for _ in 0..30 {
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -1,8 +1,9 @@
-//! The keeper's one loop: it alone owns the consensus and the state machine.
+//! The event loop of a keeper. It alone owns the consensus and the state machine; no other part of
+//! a keeper holds state.
 //!
-//! A thread writes the files, since a sync may take longer than a leader may be silent. Events that
-//! come while it works are written with the next sync and only then answered: that is the group
-//! commit. Nothing else in a keeper holds state.
+//! A separate thread writes the files, since a sync may take longer than a leader may stay silent.
+//! Events that arrive during a sync are written with the next one and answered only after it, which
+//! makes a group commit.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -39,136 +40,140 @@
 };
 use crate::state::log_store::{EntryPayload, GroupMember, GroupMembership, LogEntry, LogSnapshot};
 
-/// A snapshot is taken after this many entries.
+/// A snapshot of the state machine is taken after this many applied log entries.
 pub const COMPACT_ENTRIES: u64 = 4096;
+/// The longest wait for an event before the timers are checked.
 const POLL: Duration = Duration::from_millis(10);
-/// A leader whose disk works on one job for this long makes way for another, in milliseconds.
-const DISK_PATIENCE_MS: u64 = 5000;
-/// Events that one step takes.
-const MOST_EVENTS: usize = 512;
-const MARK_KEEP_MS: u64 = 10_000;
+/// A leader resigns when its disk works on one job for longer than this, in milliseconds.
+const DISK_TIMEOUT_MS: u64 = 5000;
+/// The maximum number of events that one step of the loop handles.
+const MAX_EVENTS_PER_STEP: usize = 512;
+/// How long reported leaving upstreams are passed on to the routers, in milliseconds.
+const LEAVING_KEEP_MS: u64 = 10_000;
+/// The pause before an order that had no result is sent again, in milliseconds.
 const ORDER_RETRY_MS: u64 = 1000;
 
-/// Reads the loop's state; the flag is whether this keeper may vouch for it.
+/// A function that reads the loop's state. The flag is whether this keeper has the leader's lease,
+/// so that the state it reads is current.
 pub type LoopRead = Box<dyn FnOnce(&KeeperLoop, bool) + Send>;
 
-/// What is asked of the loop.
+/// An event that the loop handles.
 pub enum KeeperEvent {
-    /// A message of another keeper.
+    /// A consensus message from another keeper.
     Raft(RaftMessage),
-    /// A call by a router or keeper.
+    /// A call from a router or another keeper, with the channel for the reply.
     Call(KeeperCall, Sender<KeeperReply>),
-    /// A router's renewal, with where to answer.
+    /// A router's lease renewal, with the address for the grant.
     Renew(SocketAddr, LeaseRenewal),
-    /// Claims by datagram, with where to answer.
+    /// Claims and reports by datagram, with the address for the answer and the number of the batch.
     Claims(SocketAddr, u64, Vec<ClaimRequest>, Vec<ClaimReport>),
-    /// An operator's operation, already authorized.
+    /// An operator's operation, which is already authorized.
     Operate(KeeperOperation, Sender<OperateReply>),
-    /// A change of membership.
+    /// A change of the group's membership.
     Member(MemberChange, Sender<OperateReply>),
-    /// Hand leadership over.
+    /// A request to hand leadership over.
     Transfer(Sender<OperateReply>),
-    /// Read the state; the flag is whether this keeper may vouch for it.
+    /// A request to read the state.
     Read(LoopRead),
-    /// An order was sent, with its end if it has one.
+    /// An order was sent; its final state is `None` when it must be sent again.
     OrderSent(u64, Option<OrderState>),
-    /// The weight store reported its limit.
+    /// The weight store reported how many loads it takes at once.
     StoreLimit(usize),
-    /// The first group has formed.
+    /// All keepers of the first group are found; the group starts with this membership.
     Form(GroupMembership),
-    /// End the loop.
+    /// A request to end the loop.
     Stop,
 }
 
-/// The ways out of the loop: sending needs sockets that the loop does not own.
-pub struct LoopOutlets {
-    /// For short messages.
+/// The functions by which the loop sends messages, since it owns no sockets.
+pub struct LoopOutputs {
+    /// The port for messages that fit into a datagram.
     pub port: DatagramPort,
     /// Sends a message that is too long for a datagram.
     pub send_long: Box<dyn Fn(KeeperId, SocketAddr, RaftMessage) + Send>,
     /// Sends an order to its upstream's address.
     pub send_order: Box<dyn Fn(OrderRecord, SocketAddr) + Send>,
-    /// Counted bytes.
+    /// Reads the counted bytes on the wire.
     pub wire: Box<dyn Fn() -> Vec<WireRow> + Send>,
 }
 
-/// What a loop starts from.
+/// The initial state and resources of a loop.
 pub struct LoopStart {
     /// This keeper's number.
     pub id: KeeperId,
-    /// The consensus, over what the disk held.
+    /// The consensus, restored from disk.
     pub core: RaftCore,
     /// The state machine, as of the snapshot.
     pub machine: KeeperMachine,
     /// The thread that writes the data folder.
     pub disk: LoopDisk,
-    /// The life of the data folder.
+    /// The incarnation of the data folder.
     pub incarnation: Incarnation,
     /// The clock of this process.
     pub clock: NodeClock,
-    /// Spreads the election timers.
+    /// The seed that spreads the election timers.
     pub seed: u64,
-    /// How many loads the weight store takes at once.
-    pub most_loads: usize,
-    /// The keepers that the settings name.
-    pub named: BTreeMap<KeeperId, SocketAddr>,
+    /// The maximum number of loads that the weight store takes at once.
+    pub max_loads: usize,
+    /// The addresses of the keepers in the settings.
+    pub configured: BTreeMap<KeeperId, SocketAddr>,
 }
 
 /// A loop's ends of the channels to its disk thread.
 pub struct LoopDisk {
-    /// Takes jobs, which are carried out in order.
+    /// The channel to the disk thread, which runs the jobs in order.
     pub jobs: Sender<DiskJob>,
-    /// Reports the end of each job.
+    /// The channel on which the disk thread reports the end of each job.
     pub reports: Receiver<DiskReport>,
 }
 
-/// Why a loop ended: a keeper that cannot write must not answer.
+/// The failure that ended a loop: a keeper that cannot write must not answer.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
 pub enum LoopFailure {
     /// The disk thread could not carry out a job.
     #[snafu(display("{text}"))]
     Disk {
-        /// What it said.
+        /// The error of the disk thread.
         text: String,
     },
     /// The state machine cannot start from the leader's snapshot.
     #[snafu(display("the snapshot that the leader sent cannot be read: {text}"))]
     Image {
-        /// What is wrong with it.
+        /// Why the snapshot cannot be read.
         text: String,
     },
 }
 
-/// See the module.
+/// The event loop of a keeper with its consensus and its state machine.
 pub struct KeeperLoop {
     /// This keeper's number.
     pub id: KeeperId,
     durable: DurableCore,
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, up to the last entry applied here.
     pub machine: KeeperMachine,
     disk: LoopDisk,
     incarnation: Incarnation,
     syncs: u64,
     clock: NodeClock,
     seed: u64,
-    outlets: LoopOutlets,
+    outputs: LoopOutputs,
     waiters: HashMap<u64, (u64, Waiter)>,
-    watch: SessionWatch,
+    sessions: SessionWatch,
     loads: LoadTable,
-    marks: Vec<(LeavingIncarnation, u64)>,
-    leads_term: Option<(u64, u64)>,
+    leaving_marks: Vec<(LeavingIncarnation, u64)>,
+    leading_since: Option<(u64, u64)>,
     lapsing: HashSet<(RouterId, Incarnation)>,
-    sending: HashMap<u64, bool>,
+    orders_in_flight: HashMap<u64, bool>,
     order_retry_ms: BTreeMap<u64, u64>,
-    most_loads: usize,
-    named: BTreeMap<KeeperId, SocketAddr>,
+    max_loads: usize,
+    configured: BTreeMap<KeeperId, SocketAddr>,
     applied: u64,
 }
 
 impl KeeperLoop {
-    /// A loop over what the disk held.
-    pub fn new(start: LoopStart, outlets: LoopOutlets) -> KeeperLoop {
-        let LoopStart { id, core, machine, disk, incarnation, clock, seed, most_loads, named } =
+    /// Makes a loop that continues from the state on disk.
+    pub fn new(start: LoopStart, outputs: LoopOutputs) -> KeeperLoop {
+        let LoopStart { id, core, machine, disk, incarnation, clock, seed, max_loads, configured } =
             start;
         let applied = core.snapshot_index();
         KeeperLoop {
@@ -180,22 +185,22 @@
             syncs: 0,
             clock,
             seed,
-            outlets,
+            outputs,
             waiters: HashMap::new(),
-            watch: SessionWatch::default(),
+            sessions: SessionWatch::default(),
             loads: LoadTable::default(),
-            marks: Vec::new(),
-            leads_term: None,
+            leaving_marks: Vec::new(),
+            leading_since: None,
             lapsing: HashSet::new(),
-            sending: HashMap::new(),
+            orders_in_flight: HashMap::new(),
             order_retry_ms: BTreeMap::new(),
-            most_loads,
-            named,
+            max_loads,
+            configured,
             applied,
         }
     }
 
-    /// The consensus.
+    /// Returns the consensus.
     pub fn core(&self) -> &RaftCore {
         &self.durable.core
     }
@@ -204,51 +209,52 @@
     ///
     /// # Errors
     ///
-    /// The disk fails, or a leader sent what cannot be read.
+    /// Returns an error if the disk fails or the leader sent a snapshot that cannot be read.
     pub fn run(mut self, events: Receiver<KeeperEvent>) -> Result<(), LoopFailure> {
         let reports = self.disk.reports.clone();
         let mut running = true;
         while running {
             let mut output = RaftOutput::default();
             select! {
-                recv(reports) -> report => self.take_report(report.ok())?,
+                recv(reports) -> report => self.handle_disk_report(report.ok())?,
                 recv(events) -> event => match event {
-                    Ok(event) => running = self.take_all(event, &events, &mut output),
+                    Ok(event) => running = self.handle_events(event, &events, &mut output),
                     Err(_) => running = false,
                 },
                 default(POLL) => {}
             }
             let now_ms = self.clock.now_ms();
             self.tick(now_ms, &mut output);
-            self.lead(now_ms, &mut output);
+            self.run_leader_tasks(now_ms, &mut output);
             self.durable.core.flush(now_ms, &mut output);
             let outcome = self.durable.process_output(output, now_ms);
-            self.carry_out(outcome)?;
+            self.process_outcome(outcome)?;
             self.compact(now_ms)?;
         }
         self.waiters.drain().for_each(|(_, (_, waiter))| waiter.unsure());
         Ok(())
     }
 
-    /// Enters no further term while the disk works: a vote that is not written does not count.
+    /// Advances the consensus timers. While a job is on the disk, a follower starts no new term,
+    /// since a vote doesn't count until it is written.
     fn tick(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let leads = self.durable.core.role() == RaftRole::Leader;
-        if leads && self.durable.is_stuck(DISK_PATIENCE_MS, now_ms) {
-            tracing::warn!("keeper: resigns, since its disk writes nothing.");
+        if leads && self.durable.is_stuck(DISK_TIMEOUT_MS, now_ms) {
+            tracing::warn!("keeper: resigns as leader because its disk does not complete a write.");
             self.durable.core.resign(now_ms);
         } else if leads || self.durable.is_idle() {
             self.durable.core.tick(now_ms, output);
         }
     }
 
-    fn take_report(&mut self, report: Option<DiskReport>) -> Result<(), LoopFailure> {
+    fn handle_disk_report(&mut self, report: Option<DiskReport>) -> Result<(), LoopFailure> {
         let now_ms = self.clock.now_ms();
         match report {
             Some(DiskReport::Done) => {
                 self.syncs += 1;
                 let outcome = self.durable.note_written(now_ms);
                 self.durable.core.note_sync_time(self.durable.last_job_ms());
-                self.carry_out(outcome)
+                self.process_outcome(outcome)
             }
             Some(DiskReport::Failed(text)) => Err(LoopFailure::Disk { text }),
             Some(DiskReport::Opened(..) | DiskReport::ListStored) => Ok(()),
@@ -258,36 +264,38 @@
 
     // ---- events ----
 
-    /// Takes an event and those that wait behind it; false when one of them ends the loop.
-    fn take_all(
+    /// Handles an event and the events queued behind it; returns false when one of them ends the
+    /// loop.
+    fn handle_events(
         &mut self,
         first: KeeperEvent,
         events: &Receiver<KeeperEvent>,
         output: &mut RaftOutput,
     ) -> bool {
-        let mut running = self.take(first, output);
-        for event in events.try_iter().take(MOST_EVENTS - 1) {
-            running &= self.take(event, output);
+        let mut running = self.handle_event(first, output);
+        for event in events.try_iter().take(MAX_EVENTS_PER_STEP - 1) {
+            running &= self.handle_event(event, output);
         }
         running
     }
 
-    fn take(&mut self, event: KeeperEvent, output: &mut RaftOutput) -> bool {
+    /// Handles one event; returns false when it ends the loop.
+    fn handle_event(&mut self, event: KeeperEvent, output: &mut RaftOutput) -> bool {
         let now_ms = self.clock.now_ms();
         match event {
             KeeperEvent::Raft(message) => self.durable.core.receive(message, now_ms, output),
-            KeeperEvent::Call(call, sender) => self.take_call(call, sender, output),
-            KeeperEvent::Renew(from, renewal) => self.take_renewal(from, renewal, now_ms),
+            KeeperEvent::Call(call, sender) => self.handle_call(call, sender, output),
+            KeeperEvent::Renew(from, renewal) => self.handle_renewal(from, renewal, now_ms),
             KeeperEvent::Claims(from, number, claims, reports) => {
-                let waiter = Waiter::Datagram(self.outlets.port.clone(), from, number);
-                self.take_claims(claims, reports, waiter, output);
+                let waiter = Waiter::Datagram(self.outputs.port.clone(), from, number);
+                self.propose_claims(claims, reports, waiter, output);
             }
             KeeperEvent::Operate(operation, sender) => {
                 self.propose(operation, Waiter::Operate(sender), output);
             }
             KeeperEvent::Member(change, sender) => {
-                let place = self.durable.core.change_member(change, now_ms, output);
-                self.wait_for(place, Waiter::Operate(sender));
+                let position = self.durable.core.change_member(change, now_ms, output);
+                self.add_waiter(position, Waiter::Operate(sender));
             }
             KeeperEvent::Transfer(sender) => {
                 let reply = match self.durable.core.transfer(None, now_ms, output) {
@@ -298,14 +306,14 @@
             }
             KeeperEvent::Read(read) => read(self, self.core().has_lease(now_ms)),
             KeeperEvent::OrderSent(number, end) => self.end_order(number, end, now_ms, output),
-            KeeperEvent::StoreLimit(limit) => self.most_loads = limit.max(1),
+            KeeperEvent::StoreLimit(limit) => self.max_loads = limit.max(1),
             KeeperEvent::Form(membership) => self.form(membership),
             KeeperEvent::Stop => return false,
         }
         true
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         call: KeeperCall,
         sender: Sender<KeeperReply>,
@@ -324,14 +332,15 @@
                 return self.propose(operation, Waiter::Call(sender), output);
             }
             KeeperCall::Claims(claims, reports) => {
-                return self.take_claims(claims, reports, Waiter::Call(sender), output);
+                return self.propose_claims(claims, reports, Waiter::Call(sender), output);
             }
         };
         let _ = sender.send(reply);
     }
 
-    /// Ends first, so that a claim given back can be taken in the same batch.
-    fn take_claims(
+    /// Proposes the reports before the claims, so that a released claim can be granted again in the
+    /// same batch.
+    fn propose_claims(
         &mut self,
         claims: Vec<ClaimRequest>,
         reports: Vec<ClaimReport>,
@@ -349,12 +358,14 @@
         let at_ms = wall_ms().max(self.machine.now_ms);
         let command = KeeperCommand { at_ms, operation };
         let payload = EntryPayload::Command(encode(&command));
-        let place = self.durable.core.propose(payload, output);
-        self.wait_for(place, waiter);
+        let position = self.durable.core.propose(payload, output);
+        self.add_waiter(position, waiter);
     }
 
-    fn wait_for(&mut self, place: Result<(u64, u64), RaftRefusal>, waiter: Waiter) {
-        match (place, waiter) {
+    /// Registers a waiter for a proposed entry, or answers it at once when the proposal was
+    /// refused.
+    fn add_waiter(&mut self, position: Result<(u64, u64), RaftRefusal>, waiter: Waiter) {
+        match (position, waiter) {
             (Ok((index, term)), waiter) => {
                 if let Some((_, earlier)) = self.waiters.insert(index, (term, waiter)) {
                     earlier.unsure();
@@ -374,7 +385,7 @@
         }
     }
 
-    /// Who this keeper is.
+    /// Returns the number and incarnation of this keeper and the members of its group.
     pub fn identity(&self) -> KeeperIdentity {
         let members = self.core().membership().members.iter();
         let members: BTreeMap<KeeperId, Incarnation> =
@@ -383,6 +394,8 @@
         KeeperIdentity { id: self.id, incarnation: self.incarnation, blank, members }
     }
 
+    /// Returns the changes of the configuration after version `after`, or the whole document when
+    /// some of them are no longer kept.
     fn changes_after(&self, after: u64) -> KeeperReply {
         let configuration = &self.machine.configuration;
         let first_kept = self.machine.recent.front().map_or(u64::MAX, |record| record.version);
@@ -394,7 +407,7 @@
         KeeperReply::Changes(newer.cloned().collect())
     }
 
-    /// The first group begins with equal snapshots on all its keepers.
+    /// Starts the first group. All of its keepers start from the same empty snapshot.
     fn form(&mut self, membership: GroupMembership) {
         if !self.core().membership().members.is_empty() {
             return;
@@ -403,30 +416,34 @@
         let snapshot = LogSnapshot { index: 0, term: 0, membership, image };
         let now_ms = self.clock.now_ms();
         let job = self.durable.start_group(snapshot, self.seed, now_ms);
-        tracing::info!("keeper: forms a group of {}.", self.core().membership().members.len());
-        // Without a disk thread the loop ends with its next look at the reports.
+        tracing::info!(
+            "keeper: starts a group of {} keepers.",
+            self.core().membership().members.len()
+        );
+        // If the disk thread has ended, the loop ends when it next reads the reports.
         let _ = self.submit(job);
     }
 
-    // ---- leading ----
+    // ---- tasks of the leader ----
 
-    fn lead(&mut self, now_ms: u64, output: &mut RaftOutput) {
+    /// Tracks gain and loss of leadership and runs the tasks of a leader that has a lease.
+    fn run_leader_tasks(&mut self, now_ms: u64, output: &mut RaftOutput) {
         let leads = self.core().role() == RaftRole::Leader;
         if !leads {
-            if self.leads_term.take().is_some() {
-                tracing::info!("keeper: leads no more.");
+            if self.leading_since.take().is_some() {
+                tracing::info!("keeper: no longer leads.");
                 self.lapsing.clear();
-                self.sending.clear();
+                self.orders_in_flight.clear();
             }
             return;
         }
-        if self.leads_term.map(|(term, _)| term) != Some(self.core().term()) {
+        if self.leading_since.map(|(term, _)| term) != Some(self.core().term()) {
             tracing::info!("keeper: leads term {}.", self.core().term());
-            self.leads_term = Some((self.core().term(), now_ms));
-            self.watch = SessionWatch::new(now_ms);
+            self.leading_since = Some((self.core().term(), now_ms));
+            self.sessions = SessionWatch::new(now_ms);
             self.loads = LoadTable::default();
             self.lapsing.clear();
-            self.sending.clear();
+            self.orders_in_flight.clear();
         }
         if !self.core().has_lease(now_ms) {
             return;
@@ -436,16 +453,16 @@
     }
 
     fn lapse_sessions(&mut self, now_ms: u64, output: &mut RaftOutput) {
-        for (id, incarnation) in self.watch.lapsed(&self.machine.roster, now_ms) {
+        for (id, incarnation) in self.sessions.lapsed(&self.machine.roster, now_ms) {
             if self.lapsing.insert((id, incarnation)) {
-                tracing::warn!("keeper: router {id} lapsed.");
+                tracing::warn!("keeper: the session of router {id} lapsed.");
                 let operation = KeeperOperation::Lapse(id, incarnation);
                 self.propose(operation, Waiter::Detached, output);
             }
         }
     }
 
-    fn take_renewal(&mut self, from: SocketAddr, renewal: LeaseRenewal, now_ms: u64) {
+    fn handle_renewal(&mut self, from: SocketAddr, renewal: LeaseRenewal, now_ms: u64) {
         if !self.core().has_lease(now_ms) {
             return;
         }
@@ -454,15 +471,15 @@
         let known = session.is_some_and(|session| session.incarnation == renewal.incarnation);
         let (router, incarnation) = (renewal.router, renewal.incarnation);
         if known {
-            self.watch.note_renewal(router, incarnation, renewal.epoch, renewal.version, now_ms);
+            self.sessions.note_renewal(router, incarnation, renewal.epoch, renewal.version, now_ms);
             self.loads.note(router, &renewal.rows, now_ms);
         }
         self.loads.expire(now_ms);
-        let asked: Vec<FleetKey> = renewal.rows.iter().map(|row| row.fleet).collect();
-        self.marks.retain(|(_, noted_ms)| now_ms < noted_ms + MARK_KEEP_MS);
-        for mark in renewal.marks {
-            if !self.marks.iter().any(|(known, _)| *known == mark) {
-                self.marks.push((mark, now_ms));
+        let fleets: Vec<FleetKey> = renewal.rows.iter().map(|row| row.fleet).collect();
+        self.leaving_marks.retain(|(_, noted_ms)| now_ms < noted_ms + LEAVING_KEEP_MS);
+        for leaving in renewal.marks {
+            if !self.leaving_marks.iter().any(|(known, _)| *known == leaving) {
+                self.leaving_marks.push((leaving, now_ms));
             }
         }
         let grant = LeaseGrant {
@@ -470,27 +487,33 @@
             known,
             version: self.machine.configuration.version,
             epoch: self.machine.roster.epoch,
-            settled_epoch: self.watch.settled_epoch(&self.machine.roster, now_ms),
-            rows: self.loads.others(router, &asked),
-            marks: self.marks.iter().map(|(mark, _)| *mark).take(MARKS_PER_DATAGRAM).collect(),
+            settled_epoch: self.sessions.settled_epoch(&self.machine.roster, now_ms),
+            rows: self.loads.others(router, &fleets),
+            marks: self
+                .leaving_marks
+                .iter()
+                .map(|(leaving, _)| *leaving)
+                .take(MARKS_PER_DATAGRAM)
+                .collect(),
         };
-        self.outlets.port.send(from, &Datagram::Grant(grant));
+        self.outputs.port.send(from, &Datagram::Grant(grant));
     }
 
     fn send_orders(&mut self, now_ms: u64) {
-        let Some((_, leads_since_ms)) = self.leads_term else { return };
-        let loads_running = self.sending.values().filter(|loads| **loads).count();
+        let Some((_, leads_since_ms)) = self.leading_since else { return };
+        let loads_running = self.orders_in_flight.values().filter(|loads| **loads).count();
         let busy = |number: u64| {
             let waits = self.order_retry_ms.get(&number).is_some_and(|until| now_ms < *until);
-            self.sending.contains_key(&number) || waits
+            self.orders_in_flight.contains_key(&number) || waits
         };
-        let (machine, most) = (&self.machine, self.most_loads);
-        for order in orders_to_send(machine, leads_since_ms, loads_running, most, busy, now_ms) {
+        let (machine, max_loads) = (&self.machine, self.max_loads);
+        for order in orders_to_send(machine, leads_since_ms, loads_running, max_loads, busy, now_ms)
+        {
             let entry = self.machine.configuration.upstreams.get(&order.upstream);
             let Some(address) = entry.map(|entry| entry.address) else { continue };
             let loads = matches!(order.action, OrderAction::Load { .. });
-            self.sending.insert(order.number, loads);
-            (self.outlets.send_order)(order, address);
+            self.orders_in_flight.insert(order.number, loads);
+            (self.outputs.send_order)(order, address);
         }
     }
 
@@ -501,7 +524,7 @@
         now_ms: u64,
         output: &mut RaftOutput,
     ) {
-        self.sending.remove(&number);
+        self.orders_in_flight.remove(&number);
         let Some(end) = end else {
             self.order_retry_ms.insert(number, now_ms + ORDER_RETRY_MS);
             return;
@@ -510,9 +533,9 @@
         self.propose(KeeperOperation::OrderEnd(number, end), Waiter::Detached, output);
     }
 
-    // ---- after a step ----
+    // ---- results of a step ----
 
-    fn carry_out(&mut self, outcome: DurableOutcome) -> Result<(), LoopFailure> {
+    fn process_outcome(&mut self, outcome: DurableOutcome) -> Result<(), LoopFailure> {
         if let Some(snapshot) = outcome.installed {
             let machine = KeeperMachine::from_image(&snapshot.image);
             self.machine = machine.map_err(|text| LoopFailure::Image { text })?;
@@ -533,13 +556,15 @@
     fn send(&self, messages: Vec<(KeeperId, RaftMessage)>) {
         for (to, message) in messages {
             let member = self.core().membership().members.get(&to);
-            // A keeper that is being brought in knows no members yet, but must answer its leader.
+            // A keeper that joins the group has no members yet, but must answer its leader.
             let address = member.map(|member| member.address);
-            let Some(address) = address.or_else(|| self.named.get(&to).copied()) else { continue };
+            let Some(address) = address.or_else(|| self.configured.get(&to).copied()) else {
+                continue;
+            };
             let datagram = Datagram::Raft(message);
-            if !self.outlets.port.send(address, &datagram) {
+            if !self.outputs.port.send(address, &datagram) {
                 if let Datagram::Raft(message) = datagram {
-                    (self.outlets.send_long)(to, address, message);
+                    (self.outputs.send_long)(to, address, message);
                 }
             }
         }
@@ -573,21 +598,24 @@
         match decode::<KeeperCommand>(bytes) {
             Ok(command) => self.machine.apply(&command, entry.term, entry.index),
             Err(error) => {
-                // Every keeper skips it alike; a newer leader wrote what this one cannot read.
+                // A newer leader wrote an entry that this version cannot read. All keepers of this
+                // version skip it.
                 tracing::error!("keeper: cannot read entry {}: {error}.", entry.index);
                 KeeperAnswer::Done
             }
         }
     }
 
-    /// Routers ask at once instead of at their next renewal.
+    /// Notifies the routers of a new configuration or roster, so that they fetch it at once instead
+    /// of at their next renewal.
     fn notify(&self, version: u64, epoch: u64) {
         let notice = Datagram::Notice { version, epoch };
         for session in self.machine.roster.routers.values() {
-            self.outlets.port.send(session.address, &notice);
+            self.outputs.port.send(session.address, &notice);
         }
     }
 
+    /// Takes a snapshot if enough entries were applied since the last one and the disk is idle.
     fn compact(&mut self, now_ms: u64) -> Result<(), LoopFailure> {
         let enough = self.applied >= self.core().snapshot_index() + COMPACT_ENTRIES;
         if !enough || !self.durable.is_idle() {
@@ -595,19 +623,19 @@
         }
         let job = self.durable.compact(self.applied, self.machine.to_image(), now_ms);
         if job.is_some() {
-            tracing::info!("keeper: takes a snapshot at {}.", self.applied);
+            tracing::info!("keeper: takes a snapshot at entry {}.", self.applied);
         }
         self.submit(job)
     }
 
     // ---- reading ----
 
-    /// The configuration as applied here.
+    /// Returns the configuration as applied here.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.machine.configuration
     }
 
-    /// All that a status page shows.
+    /// Returns the state that the status page shows.
     pub fn status(&self) -> KeeperStatus {
         let now_ms = self.clock.now_ms();
         let members = self.core().membership().members.iter();
@@ -619,7 +647,7 @@
             held: self.core().member_match(*id),
             age_ms: self.core().member_age_ms(*id, now_ms),
         };
-        let versions = self.watch.versions(&self.machine.roster);
+        let versions = self.sessions.versions(&self.machine.roster);
         let routers = versions.into_iter().filter_map(|(id, version)| {
             let session = self.machine.roster.routers.get(&id)?;
             let (address, zone) = (session.address, session.zone.clone());
@@ -638,7 +666,7 @@
             routers: routers.collect(),
             claims: self.machine.claims.len(),
             syncs: self.syncs,
-            wire: (self.outlets.wire)(),
+            wire: (self.outputs.wire)(),
         }
     }
 }
--- a/lib/src/transport/router_engines.rs
+++ b/lib/src/transport/router_engines.rs
@@ -1,4 +1,4 @@
-//! Running a request on an engine: claim, dispatch, relay, resume, cancel.
+//! Execution of a request on an engine: claim, dispatch, relay of the answer, resume and cancel.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,11 +6,11 @@
 
 use super::http_client::{CallFailure, CallTimes, OpenReply};
 use super::router_claims::{claim, HeldClaim};
-use super::router_home::{AdmittedSlot, HomeAsk};
+use super::router_home::{AdmittedSlot, PlacementRequest};
 use super::router_relay::{relay_stream, AnswerSink, StreamEnd};
 use super::router_serve::ServeContext;
 use super::router_shared::{lock, RouterShared};
-use super::seen::SeenPhase;
+use super::seen::RequestPhase;
 use crate::coordination::leaving::LeavingIncarnation;
 use crate::coordination::relay::PieceOrder;
 use crate::coordination::retry::may_retry;
@@ -19,112 +19,130 @@
 use crate::state::claim_table::ClaimEnd;
 use crate::state::ids::{Incarnation, UpstreamKey};
 
-/// Between two reads of a stream; a first token may wait behind other work.
-const PIECE_WAIT_MS: u64 = 30_000;
-const RESUME_TRIES: u32 = 5;
+/// The longest wait between two reads of a stream, in milliseconds. It is long because the first
+/// token may wait behind other work of the engine.
+const PIECE_TIMEOUT_MS: u64 = 30_000;
+/// The maximum number of attempts in a row to resume a stream that broke off.
+const MAX_RESUMES: u32 = 5;
+/// The pause before an attempt to resume; within one break it grows with the number of attempts.
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// A caller that was cut off may resume for this long before its run is cancelled.
-const HANG_UP_GRACE: Duration = Duration::from_millis(2000);
-const LONGEST_REFUSAL: usize = 64 << 10;
-const IMPORT_MS: u64 = 3000;
-/// The code of a try that an engine refused as not run.
+/// How long a caller that was disconnected may resume before its run is cancelled.
+const RESUME_GRACE: Duration = Duration::from_millis(2000);
+/// The maximum length in bytes of an engine's refusal, which is read whole.
+const MAX_REFUSAL_BYTES: usize = 64 << 10;
+/// The maximum time for the import of a KV prefix, in milliseconds.
+const IMPORT_TIMEOUT_MS: u64 = 3000;
+/// The error code of a try that an engine refused without running the request.
 pub(super) const REFUSED_CODE: &str = "upstream_refused";
-/// The code of a try whose connection never opened: it put no load on anyone.
+/// The error code of a try whose connection never opened, so that it added no load to the engine.
 pub(super) const UNREACHABLE_CODE: &str = "upstream_unreachable";
 
-/// What became of a try on one engine.
+/// The outcome of a try on one engine.
 pub(super) enum RunEnd {
-    /// The caller has its answer, whole or as an explicit error.
+    /// The caller has received its answer or an explicit error, or is gone.
     Answered,
-    /// It surely did not run there, or may be repeated, and the caller has seen nothing.
+    /// The request did not run on the engine or may be repeated, and the caller has received
+    /// nothing.
     TryElsewhere(CallerError),
 }
 
-/// One try on one engine.
+/// One try of a request on one engine.
 struct EngineRun<'a, 'w> {
     shared: &'a Arc<RouterShared>,
     address: SocketAddr,
     engine: UpstreamKey,
     run: String,
-    ask: &'a HomeAsk<'a>,
+    placement: &'a PlacementRequest<'a>,
     sink: &'a mut AnswerSink<'w>,
     arrived: Instant,
     order: PieceOrder<String>,
     reader: u64,
-    life: Incarnation,
+    incarnation: Incarnation,
 }
 
-/// Runs a request on the engine of `slot`. A run-once request is claimed first; `held` keeps
-/// the claim over tries on several engines of this home.
+/// Runs a request on the engine of `slot`. A run-once request is claimed first; `held` keeps the
+/// claim across tries on several engines of this home.
 pub(super) fn run_on_engine(
     cx: &ServeContext,
-    ask: &HomeAsk<'_>,
+    placement: &PlacementRequest<'_>,
     slot: &AdmittedSlot,
     held: &mut Option<HeldClaim>,
     sink: &mut AnswerSink<'_>,
 ) -> RunEnd {
     let (shared, view, arrived) = (&cx.shared, &cx.view, cx.arrived);
-    let Some(sight) = view.upstreams.get(&slot.engine) else {
-        return RunEnd::TryElsewhere(gone_error());
+    let Some(info) = view.upstreams.get(&slot.engine) else {
+        return RunEnd::TryElsewhere(removed_error());
     };
-    if let Some(holder) = ask.import_from {
-        import_prefix(cx, ask, sight.address, holder);
+    if let Some(holder) = placement.import_from {
+        import_prefix(cx, placement, info.address, holder);
     }
-    if ask.decision.run_once && held.is_none() {
-        match claim(shared, ask.request) {
+    if placement.decision.run_once && held.is_none() {
+        match claim(shared, placement.request) {
             Ok(claim) => *held = Some(claim),
             Err(error) => {
-                shared.seen.count("claims.refused");
+                shared.metrics.count("claims.refused");
                 sink.fail(&error);
                 return RunEnd::Answered;
             }
         }
     }
-    sink.set_upstream(&sight.name);
+    sink.set_upstream(&info.name);
     sink.set_router(Some(shared.settings.address));
     let waited = arrived.elapsed().as_micros() as u64;
-    shared.seen.record(ask.decision.class, &ask.request.workspace, SeenPhase::Wait, waited);
+    shared.metrics.record(
+        placement.decision.class,
+        &placement.request.workspace,
+        RequestPhase::Wait,
+        waited,
+    );
     let mut run = EngineRun {
         shared,
-        address: sight.address,
+        address: info.address,
         engine: slot.engine,
-        run: engine::run_id(&ask.request.workspace, &ask.request.request_id),
-        ask,
+        run: engine::run_id(&placement.request.workspace, &placement.request.request_id),
+        placement,
         sink,
         arrived,
         order: PieceOrder::after(0),
         reader: 0,
-        life: lock(&shared.desk).leaving.incarnation(slot.engine),
+        incarnation: lock(&shared.home_state).leaving.incarnation(slot.engine),
     };
     run.start(held)
 }
 
-/// Has the engine import the chat's KV from its holder; without it, it computes the prefix.
-fn import_prefix(cx: &ServeContext, ask: &HomeAsk<'_>, address: SocketAddr, holder: UpstreamKey) {
+/// Requests the engine to import the chat's KV prefix from its holder. If the import fails, the
+/// engine computes the prefix itself.
+fn import_prefix(
+    cx: &ServeContext,
+    placement: &PlacementRequest<'_>,
+    address: SocketAddr,
+    holder: UpstreamKey,
+) {
     let Some(from) = cx.view.upstreams.get(&holder) else { return };
-    let call = engine::import_call(ask.chat, from.address, ask.prompt_tokens());
-    let times = CallTimes::of_ms(IMPORT_MS);
-    let reply = cx.shared.client.call(address, &call, times, LONGEST_REFUSAL, "engine");
+    let call = engine::import_call(placement.chat, from.address, placement.prompt_tokens());
+    let times = CallTimes::of_ms(IMPORT_TIMEOUT_MS);
+    let reply = cx.shared.client.call(address, &call, times, MAX_REFUSAL_BYTES, "engine");
     let done = reply.is_ok_and(|reply| reply.status == 200);
-    cx.shared.seen.count(if done { "kv.imported" } else { "kv.not_imported" });
+    cx.shared.metrics.count(if done { "kv.imported" } else { "kv.not_imported" });
 }
 
-fn gone_error() -> CallerError {
+fn removed_error() -> CallerError {
     CallerError::not_run(503, "no_upstream", "The engine is not in the configuration any more.")
 }
 
 impl EngineRun<'_, '_> {
+    /// Sends the request to the engine and handles its reply to the end.
     fn start(&mut self, held: &mut Option<HeldClaim>) -> RunEnd {
-        let request = self.ask.request;
-        let priority = self.ask.decision.class.priority();
-        let call = engine::start_call(&self.run, priority, self.ask.chat, &request.body);
+        let request = self.placement.request;
+        let priority = self.placement.decision.class.priority();
+        let call = engine::start_call(&self.run, priority, self.placement.chat, &request.body);
         let times = CallTimes {
             connect: Duration::from_millis(1000),
-            read: Duration::from_millis(PIECE_WAIT_MS),
+            read: Duration::from_millis(PIECE_TIMEOUT_MS),
         };
         match self.shared.client.open(self.address, &call, times, "engine") {
-            Ok(reply) if reply.status == 200 => self.follow(reply, held),
-            Ok(reply) => self.refused(reply, held),
+            Ok(reply) if reply.status == 200 => self.relay_to_end(reply, held),
+            Ok(reply) => self.handle_refusal(reply, held),
             Err(CallFailure::NotSent { text }) => {
                 self.note_failure();
                 let error = self.not_run(&text);
@@ -137,8 +155,8 @@
         }
     }
 
-    /// An engine's refusal is its word that the request did not run.
-    fn refused(&mut self, reply: OpenReply, held: &mut Option<HeldClaim>) -> RunEnd {
+    /// Handles a reply other than 200, which means that the engine did not run the request.
+    fn handle_refusal(&mut self, reply: OpenReply, held: &mut Option<HeldClaim>) -> RunEnd {
         let head = engine::read_head(&reply.headers);
         self.note_head(&head);
         if reply.status >= 500 || reply.status == 429 {
@@ -147,21 +165,21 @@
             }
             return RunEnd::TryElsewhere(self.not_run(&format!("status {}", reply.status)));
         }
-        let answer = match reply.whole(LONGEST_REFUSAL) {
+        let answer = match reply.whole(MAX_REFUSAL_BYTES) {
             Ok(answer) => answer,
-            // Its head has said that the request did not run.
+            // The status alone states that the request did not run.
             Err(failure) => {
                 self.note_failure();
                 return RunEnd::TryElsewhere(self.not_run(&failure.to_string()));
             }
         };
-        self.sink.pass(answer, RanStatus::No);
+        self.sink.send_reply(answer, RanStatus::No);
         end_claim(held, ClaimEnd::NotDispatched);
         RunEnd::Answered
     }
 
-    /// Reads the stream to its end, resuming it where it breaks.
-    fn follow(&mut self, reply: OpenReply, held: &mut Option<HeldClaim>) -> RunEnd {
+    /// Relays the stream to its end and resumes it when it breaks off.
+    fn relay_to_end(&mut self, reply: OpenReply, held: &mut Option<HeldClaim>) -> RunEnd {
         let mut reply = reply;
         let mut tries = 0;
         loop {
@@ -178,7 +196,7 @@
                     end_claim(held, ClaimEnd::Done);
                     return RunEnd::Answered;
                 }
-                StreamEnd::SinkGone => {
+                StreamEnd::CallerGone => {
                     self.cancel_after_grace();
                     end_claim(held, ClaimEnd::Unknown);
                     return RunEnd::Answered;
@@ -197,31 +215,32 @@
         }
     }
 
+    /// Relays one stream to the caller and records the times of its pieces.
     fn relay(&mut self, reply: OpenReply) -> StreamEnd {
-        let (seen, class) = (&self.shared.seen, self.ask.decision.class);
-        let workspace = &self.ask.request.workspace;
+        let (metrics, class) = (&self.shared.metrics, self.placement.decision.class);
+        let workspace = &self.placement.request.workspace;
         let mut last: Option<Instant> = None;
         let arrived = self.arrived;
         relay_stream(reply.body, &mut self.order, self.sink, |number| {
             let now = Instant::now();
             if number == 1 {
                 let us = now.duration_since(arrived).as_micros() as u64;
-                seen.record(class, workspace, SeenPhase::FirstToken, us);
+                metrics.record(class, workspace, RequestPhase::FirstToken, us);
             } else if let Some(last) = last {
                 let us = now.duration_since(last).as_micros() as u64;
-                seen.record(class, workspace, SeenPhase::BetweenTokens, us);
+                metrics.record(class, workspace, RequestPhase::BetweenTokens, us);
             }
             last = Some(now);
         })
     }
 
-    /// Takes the run up again after the last piece that was passed on.
+    /// Resumes the run after the last piece that was sent to the caller.
     fn resume(&mut self, tries: &mut u32) -> Option<OpenReply> {
         let call = engine::resume_call(&self.run, self.order.last());
-        let times = CallTimes::of_ms(PIECE_WAIT_MS);
-        while *tries < RESUME_TRIES {
+        let times = CallTimes::of_ms(PIECE_TIMEOUT_MS);
+        while *tries < MAX_RESUMES {
             *tries += 1;
-            self.shared.seen.count("streams.resumed");
+            self.shared.metrics.count("streams.resumed");
             match self.shared.client.open(self.address, &call, times, "engine") {
                 Ok(reply) if reply.status == 200 => return Some(reply),
                 Ok(_) | Err(CallFailure::NotSent { .. }) => return None,
@@ -231,34 +250,40 @@
         None
     }
 
-    /// The run broke and could not be resumed so far. It may be tried elsewhere when the engine
-    /// says that it never ran, or when it is repeatable and the caller has seen nothing.
+    /// Handles a run that broke off and could not be resumed so far. Another engine may be tried
+    /// when this engine reports that it never ran the request, or when the request is repeatable
+    /// and the caller has received nothing.
     fn after_break(&mut self, text: String, held: &mut Option<HeldClaim>) -> RunEnd {
         let call = engine::resume_call(&self.run, self.order.last());
-        let times = CallTimes::of_ms(PIECE_WAIT_MS);
-        let asked = self.shared.client.open(self.address, &call, times, "engine");
-        if let Ok(reply) = asked {
+        let times = CallTimes::of_ms(PIECE_TIMEOUT_MS);
+        let reopened = self.shared.client.open(self.address, &call, times, "engine");
+        if let Ok(reply) = reopened {
             let head = engine::read_head(&reply.headers);
             if reply.status == 200 {
-                return self.follow(reply, held);
+                return self.relay_to_end(reply, held);
             }
-            // Only the same life can know that it never had the run.
-            let same_life = self.life != Incarnation(0) && head.incarnation == self.life;
-            if reply.status == 404 && same_life && self.order.last() == 0 {
+            // Only the incarnation that the request was sent to can rule out that it ran it.
+            let same_incarnation =
+                self.incarnation != Incarnation(0) && head.incarnation == self.incarnation;
+            if reply.status == 404 && same_incarnation && self.order.last() == 0 {
                 return RunEnd::TryElsewhere(self.not_run(&text));
             }
         }
         self.note_failure();
-        let repeatable = !self.ask.decision.run_once;
+        let repeatable = !self.placement.decision.run_once;
         if may_retry(true, repeatable, self.sink.has_begun()) {
-            self.sink.forget_text();
+            self.sink.discard_text();
             return RunEnd::TryElsewhere(self.not_run(&text).with_ran(RanStatus::Unknown));
         }
         self.give_up(&text, held)
     }
 
+    /// Fails the request with an explicit error after its run broke off for good.
     fn give_up(&mut self, text: &str, held: &mut Option<HeldClaim>) -> RunEnd {
-        tracing::warn!("relay: request {} broke: {text}.", self.ask.request.request_id);
+        tracing::warn!(
+            "relay: request {} failed before its answer was complete: {text}.",
+            self.placement.request.request_id
+        );
         let message = "The engine failed before the answer was whole.";
         let error = CallerError::not_run(502, "upstream_failed", message);
         self.sink.fail(&error.with_ran(RanStatus::Unknown));
@@ -271,39 +296,50 @@
         CallerError::not_run(503, REFUSED_CODE, message).after(1000)
     }
 
+    /// Records the incarnation and the leaving state that the head of an engine's reply reports.
     fn note_head(&mut self, head: &EngineHead) {
         if head.incarnation != Incarnation(0) {
-            self.life = head.incarnation;
+            self.incarnation = head.incarnation;
             self.shared.note_incarnation(self.engine, head.incarnation);
         }
         if head.leaving {
-            let mark = LeavingIncarnation { upstream: self.engine, incarnation: head.incarnation };
-            self.shared.note_leaving(mark);
+            let leaving =
+                LeavingIncarnation { upstream: self.engine, incarnation: head.incarnation };
+            self.shared.note_leaving(leaving);
         }
     }
 
+    /// Records that this engine holds the chat's prefix now.
     fn note_chat(&self, head: &EngineHead) {
-        let tokens = self.ask.prompt_tokens() + self.ask.output_tokens();
-        self.shared.note_chat(self.ask.fleet, self.ask.chat, self.engine, self.life, tokens);
+        let tokens = self.placement.prompt_tokens() + self.placement.output_tokens();
+        self.shared.note_chat(
+            self.placement.fleet,
+            self.placement.chat,
+            self.engine,
+            self.incarnation,
+            tokens,
+        );
         let reused = head.cached_tokens > 0;
-        self.shared.seen.count(if reused { "cache.reused" } else { "cache.cold" });
+        self.shared.metrics.count(if reused { "cache.reused" } else { "cache.cold" });
     }
 
     fn note_failure(&self) {
         self.shared.note_failure(self.engine);
     }
 
+    /// Records a complete answer.
     fn finish(&self) {
-        lock(&self.shared.desk).outliers.note_success(self.engine);
+        lock(&self.shared.home_state).outliers.note_success(self.engine);
         let us = self.arrived.elapsed().as_micros() as u64;
-        let (class, workspace) = (self.ask.decision.class, &self.ask.request.workspace);
-        self.shared.seen.record(class, workspace, SeenPhase::Whole, us);
+        let (class, workspace) = (self.placement.decision.class, &self.placement.request.workspace);
+        self.shared.metrics.record(class, workspace, RequestPhase::Whole, us);
     }
 
-    /// The place on the engine is kept meanwhile: the run goes on there.
+    /// Cancels the run of a caller that is gone, after the time in which it may resume. The run
+    /// keeps its slot on the engine during that time, since it continues there.
     fn cancel_after_grace(&self) {
-        self.shared.seen.count("callers.gone");
-        std::thread::sleep(HANG_UP_GRACE);
+        self.shared.metrics.count("callers.gone");
+        std::thread::sleep(RESUME_GRACE);
         let call = engine::cancel_call(&self.run, self.reader);
         let times = CallTimes::of_ms(2000);
         let _ = self.shared.client.call(self.address, &call, times, 1024, "engine");
@@ -317,52 +353,57 @@
 }
 
 impl RouterShared {
-    /// A failure counts against an upstream as a passive health check.
+    /// Records a failure of an upstream as a passive health check, which may eject the upstream.
     pub(super) fn note_failure(&self, upstream: UpstreamKey) {
         let view = self.view();
-        let Some(sight) = view.upstreams.get(&upstream) else { return };
-        let Some(fleet) = view.fleets.get(&sight.fleet) else { return };
+        let Some(info) = view.upstreams.get(&upstream) else { return };
+        let Some(fleet) = view.fleets.get(&info.fleet) else { return };
         let now_ms = self.clock.now_ms();
-        let share = fleet.entry.max_ejected_share;
-        let aside = {
-            let mut desk = lock(&self.desk);
-            let was = desk.outliers.is_ejected(upstream, now_ms);
-            desk.outliers.note_failure(upstream, fleet.members.iter().copied(), share, now_ms);
-            !was && desk.outliers.is_ejected(upstream, now_ms)
+        let max_share = fleet.entry.max_ejected_share;
+        let ejected = {
+            let mut home_state = lock(&self.home_state);
+            let was = home_state.outliers.is_ejected(upstream, now_ms);
+            home_state.outliers.note_failure(
+                upstream,
+                fleet.members.iter().copied(),
+                max_share,
+                now_ms,
+            );
+            !was && home_state.outliers.is_ejected(upstream, now_ms)
         };
-        if aside {
-            tracing::warn!("router: sets {} aside.", sight.name);
-            self.seen.count("upstreams.set_aside");
-            self.renew_view(None, None);
+        if ejected {
+            tracing::warn!("router: ejects upstream {}.", info.name);
+            self.metrics.count("upstreams.set_aside");
+            self.update_view(None, None);
         }
     }
 }
 
-/// Takes a stream up again for a caller that was cut off, at any router.
+/// Resumes a stream for a caller that was disconnected. Any router can do this.
 pub(super) fn resume_for_caller(
     cx: &ServeContext,
     request: &CallerRequest,
-    place: &ResumePosition,
+    position: &ResumePosition,
     sink: &mut AnswerSink<'_>,
 ) {
     let (shared, view) = (&cx.shared, cx.shared.view());
-    let key = UpstreamKey::of(&place.upstream);
-    let Some(sight) = view.upstreams.get(&key) else {
+    let key = UpstreamKey::of(&position.upstream);
+    let Some(info) = view.upstreams.get(&key) else {
         let text = "There is no such upstream any more.";
         let error = CallerError::not_run(409, "cannot_resume", text).at("last-event-id");
         return sink.fail(&error.with_ran(RanStatus::Unknown));
     };
-    sink.set_upstream(&sight.name);
+    sink.set_upstream(&info.name);
     let run = engine::run_id(&request.workspace, &request.request_id);
-    let mut order = PieceOrder::after(place.last);
+    let mut order = PieceOrder::after(position.last);
     let mut text = "the engine does not have the run".to_string();
-    for _ in 0..RESUME_TRIES {
+    for _ in 0..MAX_RESUMES {
         let call = engine::resume_call(&run, order.last());
-        let times = CallTimes::of_ms(PIECE_WAIT_MS);
-        match shared.client.open(sight.address, &call, times, "engine") {
+        let times = CallTimes::of_ms(PIECE_TIMEOUT_MS);
+        match shared.client.open(info.address, &call, times, "engine") {
             Ok(reply) if reply.status == 200 => {
                 match relay_stream(reply.body, &mut order, sink, |_| {}) {
-                    StreamEnd::Done | StreamEnd::SinkGone => return,
+                    StreamEnd::Done | StreamEnd::CallerGone => return,
                     StreamEnd::Failed(why) => {
                         text = why;
                         break;
--- a/lib/src/transport/router_node.rs
+++ b/lib/src/transport/router_node.rs
@@ -14,7 +14,7 @@
 use super::http_server::{listen, HttpServer, ServerLimits, ServerRefusal};
 use super::keeper_client::KeeperClient;
 use super::keeper_node::{ListenSnafu, NodeError};
-use super::router_claims::{run_claims, take_answers};
+use super::router_claims::{receive_answers, run_claims};
 use super::router_control::{run_control, ControlEvent};
 use super::router_serve::serve;
 use super::router_shared::RouterShared;
@@ -25,7 +25,9 @@
 use crate::protocol::seal::SealMaker;
 use crate::state::settings::RouterSettings;
 
-const CLAIM_THREADS: usize = 2;
+/// The number of threads that send claims.
+const CLAIM_THREAD_COUNT: usize = 2;
+/// How often a drain checks whether it is complete.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// A running router.
@@ -33,12 +35,12 @@
     shared: Arc<RouterShared>,
     server: HttpServer,
     threads: Vec<JoinHandle<()>>,
-    /// Where it listens.
+    /// The address on which the router listens.
     pub address: SocketAddr,
 }
 
 impl RouterNode {
-    /// Starts the router. It takes no work before it knows what is in force.
+    /// Starts the router. It accepts no work until it has a lease for the configuration in force.
     pub fn start(settings: RouterSettings) -> Result<RouterNode, NodeError> {
         let address = settings.address;
         let client = HttpClient::default();
@@ -59,17 +61,17 @@
         let (events, receiver) = unbounded();
         let mut threads = Vec::new();
         let answered = shared.clone();
-        let take = move |from, datagram| {
+        let receive = move |from, datagram| {
             let event = match datagram {
                 Datagram::Grant(grant) => ControlEvent::Grant(from, grant),
                 Datagram::Notice { version, epoch } => ControlEvent::Notice { version, epoch },
                 Datagram::ClaimAnswers { number, answers } => {
-                    take_answers(&answered, number, answers);
+                    receive_answers(&answered, number, answers);
                     return;
                 }
                 Datagram::Chats(notes) => ControlEvent::Chats(notes),
                 Datagram::Sums { router, rows, marks } => {
-                    let _ = events.send(ControlEvent::Marks(marks));
+                    let _ = events.send(ControlEvent::Leaving(marks));
                     ControlEvent::Sums(router, rows)
                 }
                 _ => return,
@@ -77,7 +79,7 @@
             let _ = events.send(event);
         };
         let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-        let receiving = port.receive(shared.checker.clone(), stop.clone(), take);
+        let receiving = port.receive(shared.checker.clone(), stop.clone(), receive);
         threads.push(receiving.context(ListenSnafu { address })?);
         let control = shared.clone();
         let control_thread = std::thread::Builder::new().name("control".to_string());
@@ -86,7 +88,7 @@
             stop.store(true, Ordering::Relaxed);
         });
         threads.push(running.context(ListenSnafu { address })?);
-        for _ in 0..CLAIM_THREADS {
+        for _ in 0..CLAIM_THREAD_COUNT {
             let claims = shared.clone();
             threads.push(std::thread::spawn(move || run_claims(&claims)));
         }
@@ -102,14 +104,14 @@
         Ok(RouterNode { shared, server, threads, address })
     }
 
-    /// What its threads share, for status pages and tests.
+    /// Returns the state that the router's threads share, for status pages and tests.
     pub fn shared(&self) -> &Arc<RouterShared> {
         &self.shared
     }
 
-    /// Waits until the router may serve.
-    pub fn wait_ready(&self, most: Duration) -> bool {
-        let until = Instant::now() + most;
+    /// Waits until the router may serve; returns false when it may not after `timeout`.
+    pub fn wait_ready(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if self.shared.may_serve() {
                 return true;
@@ -119,15 +121,15 @@
         false
     }
 
-    /// Whether an operator has ordered this life of the router to leave.
+    /// Returns whether an operator has ordered this incarnation of the router to leave.
     pub fn is_ordered_to_leave(&self) -> bool {
         let view = self.shared.view();
         let session = view.roster.routers.get(&self.shared.id());
         session.is_some_and(|s| s.leaving && s.incarnation == self.shared.incarnation)
     }
 
-    /// Leaves the directory, passes newcomers to peers, and ends when the last request has:
-    /// true when nothing was cut. See [`DrainWatch`] for how long that takes.
+    /// Leaves the directory, forwards new requests to peers, and stops when the last request has
+    /// ended. Returns whether no request was cut. See [`DrainWatch`] for the time that this takes.
     pub fn drain(mut self) -> bool {
         tracing::info!("router: {} drains.", self.shared.id());
         self.shared.draining.store(true, Ordering::Relaxed);
@@ -143,36 +145,38 @@
         }
         let left = self.shared.in_flight.load(Ordering::Relaxed);
         tracing::info!("router: {} stops with {left} in flight.", self.shared.id());
-        self.shut();
+        self.shut_down();
         left == 0
     }
 
-    /// Notifies the keepers that this router leaves. The channel disconnects when they have
-    /// answered or cannot be reached.
+    /// Notifies the keepers that this router leaves. The returned channel disconnects when they
+    /// have answered or cannot be reached.
     fn send_leave(&mut self) -> Receiver<()> {
         let (ended, leave_sent) = bounded::<()>(0);
         let shared = self.shared.clone();
         let run = move || {
             let _ended = ended;
             let leave = KeeperCall::Leave(shared.id(), shared.incarnation);
-            if let Err(failure) = shared.keepers.ask_leader(&leave) {
-                tracing::warn!("router: cannot tell the keepers of the drain: {failure}.");
+            if let Err(failure) = shared.keepers.call_leader(&leave) {
+                tracing::warn!("router: cannot notify the keepers of the drain: {failure}.");
             }
         };
         let thread = std::thread::Builder::new().name("leave".to_string()).spawn(run);
         match thread {
             Ok(thread) => self.threads.push(thread),
-            Err(error) => tracing::warn!("router: no thread to tell the keepers: {error}."),
+            Err(error) => tracing::warn!(
+                "router: cannot start the thread that notifies the keepers: {error}."
+            ),
         }
         leave_sent
     }
 
-    /// Stops at once.
+    /// Stops at once, without a drain.
     pub fn stop_now(mut self) {
-        self.shut();
+        self.shut_down();
     }
 
-    fn shut(&mut self) {
+    fn shut_down(&mut self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.keepers.stop();
         self.server.stop();
@@ -184,7 +188,7 @@
 
 impl Drop for RouterNode {
     fn drop(&mut self) {
-        self.shut();
+        self.shut_down();
     }
 }
 
--- a/lib/src/transport/router_relay.rs
+++ b/lib/src/transport/router_relay.rs
@@ -1,4 +1,4 @@
-//! The relay: pieces from an engine or a peer router, in order, to one caller.
+//! Relay of answers: pieces from an engine or a peer router are sent in order to one caller.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -14,15 +14,17 @@
 use crate::protocol::http::HttpReply;
 use crate::protocol::sse::{write_event, SseEvent, SseReader};
 
-/// A missing piece is waited for this long before the stream is resumed.
-const GAP_PATIENCE: Duration = Duration::from_millis(100);
-const LONGEST_LINE: u64 = 1 << 20;
+/// How long a missing piece is awaited before the stream is resumed.
+const GAP_TIMEOUT: Duration = Duration::from_millis(100);
+/// The maximum length in bytes of a line of a stream; the rest of a longer line is read as another
+/// line.
+const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// The caller is gone: it hung up, or does not read.
+/// The caller has closed its connection or does not read from it.
 #[derive(Debug)]
-pub(super) struct SinkGone;
+pub(super) struct CallerGone;
 
-/// Where an answer goes: a stream, or an answer that is sent whole at its end.
+/// The destination of an answer: a stream, or a whole answer that is sent at its end.
 pub(super) struct AnswerSink<'a> {
     writer: &'a mut ResponseWriter,
     stream: bool,
@@ -54,28 +56,28 @@
         }
     }
 
-    /// Names the upstream that serves.
+    /// Sets the name of the upstream that serves the request.
     pub(super) fn set_upstream(&mut self, name: &str) {
         self.upstream = name.to_string();
     }
 
-    /// Names the router that the chat's next request should come to.
+    /// Sets the router to which the chat's next request should be sent.
     pub(super) fn set_router(&mut self, router: Option<SocketAddr>) {
         self.router = router;
     }
 
-    /// Counts routers passed after this one.
+    /// Sets the number of routers that the request passed.
     pub(super) fn set_hops(&mut self, hops: u8) {
         self.hops = hops;
     }
 
-    /// Whether the caller may have seen something of the answer.
+    /// Returns whether the caller may have received a part of the answer.
     pub(super) fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// Forgets what was kept of an answer that will be run anew elsewhere.
-    pub(super) fn forget_text(&mut self) {
+    /// Discards the collected text of an answer that will be produced again by another engine.
+    pub(super) fn discard_text(&mut self) {
         self.text.clear();
     }
 
@@ -95,17 +97,17 @@
         headers
     }
 
-    fn begin(&mut self) -> Result<(), SinkGone> {
+    fn begin(&mut self) -> Result<(), CallerGone> {
         if self.begun {
             return Ok(());
         }
         self.begun = true;
         let headers = self.headers(RanStatus::Yes, "text/event-stream");
-        self.writer.begin(200, &headers).map_err(|_| SinkGone)
+        self.writer.begin(200, &headers).map_err(|_| CallerGone)
     }
 
-    /// Passes a piece on at once, or keeps it for the whole answer.
-    pub(super) fn piece(&mut self, number: u64, data: &str) -> Result<(), SinkGone> {
+    /// Sends a piece at once, or collects it for the whole answer.
+    pub(super) fn send_piece(&mut self, number: u64, data: &str) -> Result<(), CallerGone> {
         if !self.stream {
             self.text.push_str(&piece_text(data));
             return Ok(());
@@ -113,26 +115,26 @@
         self.begin()?;
         let id = Some(event_id(&self.upstream, number));
         let event = SseEvent { id, event: None, data: data.to_string() };
-        self.writer.chunk(&write_event(&event)).map_err(|_| SinkGone)
+        self.writer.chunk(&write_event(&event)).map_err(|_| CallerGone)
     }
 
-    /// The answer is whole.
-    pub(super) fn end(&mut self, last: u64) -> Result<(), SinkGone> {
+    /// Completes the answer after piece `last`.
+    pub(super) fn end(&mut self, last: u64) -> Result<(), CallerGone> {
         if !self.stream {
             let body = whole_answer(&self.request_id, &self.upstream, &self.text, "stop");
             let mut reply = HttpReply::json(200, &body);
             reply.headers = self.headers(RanStatus::Yes, "application/json");
             self.begun = true;
-            return self.writer.send(&reply).map_err(|_| SinkGone);
+            return self.writer.send(&reply).map_err(|_| CallerGone);
         }
         self.begin()?;
         let id = Some(event_id(&self.upstream, last + 1));
         let event = SseEvent { id, event: None, data: "[DONE]".to_string() };
-        self.writer.chunk(&write_event(&event)).map_err(|_| SinkGone)?;
-        self.writer.finish().map_err(|_| SinkGone)
+        self.writer.chunk(&write_event(&event)).map_err(|_| CallerGone)?;
+        self.writer.finish().map_err(|_| CallerGone)
     }
 
-    /// The answer cannot be completed: an explicit error, never a clean end.
+    /// Ends an answer that cannot be completed with an explicit error, never with a clean end.
     pub(super) fn fail(&mut self, error: &CallerError) {
         if self.stream && self.begun {
             let data = error.to_value().to_string();
@@ -153,8 +155,9 @@
         let _ = self.writer.send(&reply);
     }
 
-    /// Passes an upstream's own refusal on as it is.
-    pub(super) fn pass(&mut self, mut reply: HttpReply, ran: RanStatus) {
+    /// Sends an upstream's whole reply to the caller, with its status, its body and some of its
+    /// headers.
+    pub(super) fn send_reply(&mut self, mut reply: HttpReply, ran: RanStatus) {
         self.begun = true;
         let kind = reply.header("content-type").unwrap_or("application/octet-stream").to_string();
         let kept = ["retry-after", "location", "etag", "cache-control", "content-encoding"];
@@ -165,20 +168,22 @@
     }
 }
 
-/// How reading a stream ended.
+/// The outcome of relaying a stream.
 #[derive(Debug)]
 pub(super) enum StreamEnd {
-    /// With its last piece.
+    /// The stream was relayed to its end.
     Done,
-    /// Cut, or a piece is missing: resume after the last that was passed on.
+    /// The stream was cut or lacks a piece; it can be resumed after the last piece that was
+    /// relayed.
     Broken(String),
-    /// The sender says that it failed.
+    /// The sender reported a failure.
     Failed(String),
-    /// The caller is gone.
-    SinkGone,
+    /// The caller has closed its connection or does not read from it.
+    CallerGone,
 }
 
-/// Reads a stream to its end and passes its pieces on. `on_piece` is called with each.
+/// Reads a stream to its end and sends its pieces to the caller. `on_piece` is called with the
+/// number of each piece.
 pub(super) fn relay_stream(
     body: impl Read,
     order: &mut PieceOrder<String>,
@@ -194,13 +199,13 @@
             Ok(None) => return StreamEnd::Broken("the stream was cut".to_string()),
             Err(error) => return StreamEnd::Broken(error.to_string()),
         };
-        match read_piece(&strip_upstream(event)) {
+        match read_piece(&strip_upstream_name(event)) {
             None => continue,
             Some(EnginePiece::Failed(text)) => return StreamEnd::Failed(text),
             Some(EnginePiece::End(number)) if number == order.last() + 1 => {
                 return match sink.end(order.last()) {
                     Ok(()) => StreamEnd::Done,
-                    Err(SinkGone) => StreamEnd::SinkGone,
+                    Err(CallerGone) => StreamEnd::CallerGone,
                 };
             }
             Some(EnginePiece::End(_)) => {
@@ -213,7 +218,7 @@
                 }
                 PieceStep::Gap { .. } => {
                     let since = *gap_since.get_or_insert_with(Instant::now);
-                    if since.elapsed() >= GAP_PATIENCE {
+                    if since.elapsed() >= GAP_TIMEOUT {
                         return StreamEnd::Broken("a piece is missing".to_string());
                     }
                 }
@@ -222,8 +227,8 @@
                     let first = order.last() + 1 - ready.len() as u64;
                     for (number, data) in (first..).zip(&ready) {
                         on_piece(number);
-                        if sink.piece(number, data).is_err() {
-                            return StreamEnd::SinkGone;
+                        if sink.send_piece(number, data).is_err() {
+                            return StreamEnd::CallerGone;
                         }
                     }
                 }
@@ -239,7 +244,7 @@
     let mut line = String::new();
     loop {
         line.clear();
-        let read = reader.by_ref().take(LONGEST_LINE).read_line(&mut line)?;
+        let read = reader.by_ref().take(MAX_LINE_BYTES).read_line(&mut line)?;
         if read == 0 {
             return Ok(None);
         }
@@ -249,8 +254,9 @@
     }
 }
 
-/// Routers name the upstream in each event's id; engines give the number only.
-fn strip_upstream(mut event: SseEvent) -> SseEvent {
+/// Removes the upstream's name from an event's id. Routers add the name to the id, engines send the
+/// number alone.
+fn strip_upstream_name(mut event: SseEvent) -> SseEvent {
     if let Some(id) = &mut event.id {
         if let Some(at) = id.find('@') {
             id.truncate(at);
--- a/lib/src/transport/seen.rs
+++ b/lib/src/transport/seen.rs
@@ -1,4 +1,4 @@
-//! What a router has seen: histograms for each class and workspace, and counters.
+//! The metrics of a router: histograms for each class and workspace, and counters.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,13 +10,15 @@
 
 use crate::coordination::fair_queue::RequestClass;
 
-/// Workspaces beyond this many share one row, so that memory stays bounded.
-pub const MOST_WORKSPACES: usize = 64;
-const LONGEST_US: u64 = 3_600_000_000;
+/// The number of workspaces whose histograms of all classes and phases fit into the table. Further
+/// workspaces share the rows of `other`, so that memory stays bounded.
+pub const MAX_WORKSPACES: usize = 64;
+/// The largest time that a histogram records, in microseconds: one hour.
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
-/// What is measured of a request.
+/// A phase of a request whose time is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum SeenPhase {
+pub enum RequestPhase {
     /// From arrival to dispatch.
     Wait,
     /// From arrival to the first piece.
@@ -27,57 +29,57 @@
     Whole,
 }
 
-impl SeenPhase {
+impl RequestPhase {
     fn name(self) -> &'static str {
         match self {
-            SeenPhase::Wait => "wait",
-            SeenPhase::FirstToken => "first_token",
-            SeenPhase::BetweenTokens => "between_tokens",
-            SeenPhase::Whole => "whole",
+            RequestPhase::Wait => "wait",
+            RequestPhase::FirstToken => "first_token",
+            RequestPhase::BetweenTokens => "between_tokens",
+            RequestPhase::Whole => "whole",
         }
     }
 }
 
-/// One histogram's figures, in microseconds.
+/// The statistics of one histogram, in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenRow {
-    /// The class.
+pub struct HistogramRow {
+    /// The request class.
     pub class: String,
     /// The workspace, or `other`.
     pub workspace: String,
-    /// What is measured.
+    /// The measured phase.
     pub phase: String,
-    /// How many values.
+    /// The number of values.
     pub count: u64,
-    /// The middle value.
+    /// The median.
     pub p50_us: u64,
-    /// 95 of 100 are at most this.
+    /// The 95th percentile.
     pub p95_us: u64,
-    /// 99 of 100 are at most this.
+    /// The 99th percentile.
     pub p99_us: u64,
-    /// The largest.
+    /// The largest value.
     pub max_us: u64,
 }
 
-type SeenKey = (RequestClass, String, SeenPhase);
+type HistogramKey = (RequestClass, String, RequestPhase);
 
 /// Histograms and counters of one router.
-pub struct SeenTable {
-    histograms: Mutex<BTreeMap<SeenKey, Histogram<u64>>>,
+pub struct RouterMetrics {
+    histograms: Mutex<BTreeMap<HistogramKey, Histogram<u64>>>,
     counters: Mutex<BTreeMap<&'static str, u64>>,
     statsd: Option<StatsdClient>,
 }
 
-impl SeenTable {
-    /// A table whose counters also go to `statsd`, if given.
-    pub fn new(statsd: Option<SocketAddr>) -> SeenTable {
+impl RouterMetrics {
+    /// Makes empty metrics whose counters are also sent to `statsd`, if given.
+    pub fn new(statsd: Option<SocketAddr>) -> RouterMetrics {
         let client = statsd.and_then(|address| {
             let socket = UdpSocket::bind("0.0.0.0:0").ok()?;
             socket.set_nonblocking(true).ok()?;
             let sink = UdpMetricSink::from(address, socket).ok()?;
             Some(StatsdClient::from_sink("wingshed", sink))
         });
-        SeenTable { histograms: Mutex::default(), counters: Mutex::default(), statsd: client }
+        RouterMetrics { histograms: Mutex::default(), counters: Mutex::default(), statsd: client }
     }
 
     /// Counts an event.
@@ -91,23 +93,23 @@
     }
 
     /// Records a value in microseconds.
-    pub fn record(&self, class: RequestClass, workspace: &str, phase: SeenPhase, us: u64) {
+    pub fn record(&self, class: RequestClass, workspace: &str, phase: RequestPhase, us: u64) {
         let mut table = self.histograms.lock().unwrap_or_else(|poison| poison.into_inner());
         let mut key = (class, workspace.to_string(), phase);
-        if !table.contains_key(&key) && table.len() >= MOST_WORKSPACES * 12 {
+        if !table.contains_key(&key) && table.len() >= MAX_WORKSPACES * 12 {
             key.1 = "other".to_string();
         }
         let histogram = table.entry(key).or_insert_with(|| {
-            Histogram::new_with_max(LONGEST_US, 2).expect("the bounds are constant and good")
+            Histogram::new_with_max(MAX_RECORDED_US, 2).expect("the constant bounds are valid")
         });
         histogram.saturating_record(us);
     }
 
-    /// All histograms.
-    pub fn rows(&self) -> Vec<SeenRow> {
+    /// Returns the statistics of all histograms.
+    pub fn rows(&self) -> Vec<HistogramRow> {
         let table = self.histograms.lock().unwrap_or_else(|poison| poison.into_inner());
-        let to_row =
-            |((class, workspace, phase), histogram): (&SeenKey, &Histogram<u64>)| SeenRow {
+        let to_row = |((class, workspace, phase), histogram): (&HistogramKey, &Histogram<u64>)| {
+            HistogramRow {
                 class: class.name().to_string(),
                 workspace: workspace.clone(),
                 phase: phase.name().to_string(),
@@ -116,11 +118,12 @@
                 p95_us: histogram.value_at_quantile(0.95),
                 p99_us: histogram.value_at_quantile(0.99),
                 max_us: histogram.max(),
-            };
+            }
+        };
         table.iter().map(to_row).collect()
     }
 
-    /// All counters.
+    /// Returns all counters by name.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         let counters = self.counters.lock().unwrap_or_else(|poison| poison.into_inner());
         counters.iter().map(|(name, count)| (name.to_string(), *count)).collect()
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -1,147 +1,162 @@
-//! What was promised and did not hold, by the rows of a run.
+//! Finds the promises that a run broke, from the rows of its ledger.
 //!
-//! Bounds are those of the settings that the soak writes. A VM is bound from the moment at which it
-//! is in touch: [`CONTACT_MS`] after the last disturbance of itself.
+//! The bounds are those of the settings that the soak writes. Most of them apply to a VM only while it is in
+//! contact: from [`CONTACT_MS`] after the end of the last disturbance of that VM on.
 
 use std::collections::HashMap;
 
 use crate::judge_answers::answer_fault;
 use crate::ledger::{
-    ArrivalRow, AskEnd, AskKind, AskRow, DocumentRow, LedgerRows, OrderRow, OrderWhat, RollOutRow,
-    RunRow, SpanRow, Touched,
+    ArrivalRow, DocumentRow, LedgerRows, OrderContent, OrderRow, RequestEnd, RequestKind,
+    RequestRow, RollOutRow, RunRow, SpanRow, Touched,
 };
 use crate::operator::version_of;
 use crate::rollouts::UNKNOWN;
 
-/// A disturbed VM is in touch this long after (`contactMs`).
+/// Milliseconds after the end of its last disturbance until a VM counts as in contact (`contactMs`).
 const CONTACT_MS: u64 = 4_000;
-/// An acknowledged configuration is in force after this (`configApplyMs`).
+/// Milliseconds from the acknowledgement of a configuration until it is in force (`configApplyMs`).
 const APPLY_MS: u64 = 2_500;
-/// A key that was taken away opens nothing after this (`revokeMs`).
+/// Milliseconds from the acknowledgement of a revocation until the key is refused (`revokeMs`).
 const REVOKE_MS: u64 = 5_000;
-/// A leaving upstream gets nothing after this (`drainMs`).
+/// Milliseconds after which a leaving upstream gets no new requests (`drainMs`).
 const DRAIN_MS: u64 = 4_000;
-/// An emptied zone gets nothing after this (`evacMs`).
-const EMPTY_MS: u64 = 5_000;
-/// What a disturbed core adds (`outerMs`).
-const OUTER_MS: u64 = 6_000;
-/// A planned stop lasts at most this (`graceS`), and a second more is counted.
-const STOP_MS: u64 = 9_000;
-/// What an unsound version may get of the requests of its service (`exposeShare`).
-const EXPOSE_SHARE: f64 = 0.1;
-/// And this many more (`exposeSlack`).
-const EXPOSE_SLACK: f64 = 50.0;
-/// An unsound version gets nothing so long after its 50th bad answer (`rollbackMs`).
+/// Milliseconds after which an evacuated zone gets no new requests (`evacMs`).
+const EVACUATION_MS: u64 = 5_000;
+/// Milliseconds that are added to a bound while one of the [`CORE_VMS`] is disturbed (`outerMs`).
+const CORE_ALLOWANCE_MS: u64 = 6_000;
+/// Milliseconds that a planned stop can last: the 8 s of `graceS`, and one second more. A request that ends
+/// within them counts as ended during the stop.
+const PLANNED_STOP_MS: u64 = 9_000;
+/// Share of the requests of its service that an unsound version may get (`exposeShare`).
+const EXPOSURE_SHARE: f64 = 0.1;
+/// Requests that an unsound version may get beyond [`EXPOSURE_SHARE`] (`exposeSlack`).
+const EXPOSURE_SLACK: f64 = 50.0;
+/// Milliseconds after bad answer number [`BAD_ANSWERS`] of an unsound version until it gets no new requests
+/// (`rollbackMs`).
 const ROLL_BACK_MS: u64 = 5_000;
-/// Bad answers from which that counts.
+/// Bad answers of an unsound version after which [`ROLL_BACK_MS`] starts.
 const BAD_ANSWERS: usize = 50;
-/// An order may be taken until it is no longer sent (`ackMs`).
+/// Milliseconds for which an order is sent again (`ackMs`). An order without an acknowledgement may have been
+/// accepted at any time until then.
 const REPEAT_MS: u64 = 5_000;
-/// Observers of one clock may note one moment this far apart on a loaded machine.
-const NOTE_MS: u64 = 250;
-/// Upstreams that may end under one request before it is known for it, and sends beyond that.
-const FATAL_BORNE: usize = 3;
-/// Requests that one VM may send to an upstream within a rest that it asked that VM for, from
-/// [`REST_GRACE_MS`] after it did.
-const REST_BORNE: usize = 2;
-const REST_GRACE_MS: u64 = 500;
-/// VMs that keep what is agreed on.
+/// Milliseconds by which two observers may differ in the time that they record for one event. They share a
+/// clock, but a loaded machine delays them.
+const CLOCK_SLACK_MS: u64 = 250;
+/// Upstreams that one request may crash before VMs must refuse it, and sends of it that are tolerated after
+/// that.
+const FATAL_TOLERANCE: usize = 3;
+/// Requests that one VM may send to an upstream during a back-off which that upstream requested from it,
+/// counted from [`BACKOFF_GRACE_MS`] after the upstream did so.
+const BACKOFF_TOLERANCE: usize = 2;
+/// Milliseconds after the request for back-off in which sends are not counted.
+const BACKOFF_GRACE_MS: u64 = 500;
+/// The number of VMs with a disk, the first ones by index, that store the agreed state.
 const CORE_VMS: usize = 3;
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenPromise {
-    /// Its name.
+    /// The name of the promise.
     pub promise: &'static str,
-    /// What was seen.
-    pub seen: String,
+    /// The observation that breaks the promise.
+    pub details: String,
 }
 
+/// The rows of a run, indexed by attempt, and the broken promises found so far.
 struct RunJudge<'a> {
     rows: &'a LedgerRows,
-    asks: HashMap<&'a str, &'a AskRow>,
+    requests: HashMap<&'a str, &'a RequestRow>,
     runs: HashMap<&'a str, Vec<&'a RunRow>>,
     broken: Vec<BrokenPromise>,
 }
 
-/// All promises that were broken.
+/// Returns all broken promises.
 pub fn judge(rows: &LedgerRows) -> Vec<BrokenPromise> {
     let mut runs: HashMap<&str, Vec<&RunRow>> = HashMap::new();
     for run in &rows.runs {
         runs.entry(&run.attempt).or_default().push(run);
     }
-    let asks = rows.asks.iter().map(|ask| (ask.attempt.as_str(), ask)).collect();
-    let mut judge = RunJudge { rows, asks, runs, broken: Vec::new() };
-    for seen in &rows.seen {
-        judge.add("recovery", seen.clone());
+    let requests =
+        rows.requests.iter().map(|request| (request.attempt.as_str(), request)).collect();
+    let mut judge = RunJudge { rows, requests, runs, broken: Vec::new() };
+    for fault in &rows.run_faults {
+        judge.add("recovery", fault.clone());
     }
-    judge.answers();
-    judge.planned_stops();
-    judge.leaving();
-    judge.sent_after_notice();
-    judge.rests();
-    judge.zones();
-    judge.documents_in_force();
-    judge.keys();
-    judge.reads();
-    judge.rollouts();
-    judge.fatal_requests();
+    judge.check_answers();
+    judge.check_planned_stops();
+    judge.check_leaving();
+    judge.check_notices();
+    judge.check_backoffs();
+    judge.check_zones();
+    judge.check_documents();
+    judge.check_keys();
+    judge.check_reads();
+    judge.check_rollouts();
+    judge.check_fatal_requests();
     judge.broken
 }
 
 impl<'a> RunJudge<'a> {
-    fn add(&mut self, promise: &'static str, seen: String) {
-        self.broken.push(BrokenPromise { promise, seen });
+    fn add(&mut self, promise: &'static str, details: String) {
+        self.broken.push(BrokenPromise { promise, details });
     }
 
-    fn runs_of(&self, ask: &AskRow) -> &[&'a RunRow] {
-        self.runs.get(ask.attempt.as_str()).map_or(&[], Vec::as_slice)
+    fn runs_of(&self, request: &RequestRow) -> &[&'a RunRow] {
+        self.runs.get(request.attempt.as_str()).map_or(&[], Vec::as_slice)
     }
 
-    fn answers(&mut self) {
-        for ask in &self.rows.asks {
-            let runs = self.runs_of(ask).len();
-            if let AskEnd::Wrong(how) = &ask.end {
-                self.add("whole answers", format!("{how}: {ask:?}"));
+    /// Checks that complete answers are whole, that requests run at most as often as their route permits, and
+    /// that refused requests did not run.
+    fn check_answers(&mut self) {
+        for request in &self.rows.requests {
+            let runs = self.runs_of(request).len();
+            if let RequestEnd::Wrong(how) = &request.end {
+                self.add("whole answers", format!("{how}: {request:?}"));
             }
-            let repeats = matches!(ask.kind, AskKind::Safe | AskKind::Resume);
+            let repeats = matches!(request.kind, RequestKind::Safe | RequestKind::Resume);
             if runs > 1 && !repeats {
-                self.add("runs once", format!("{runs} runs: {ask:?}"));
+                self.add("runs once", format!("{runs} runs: {request:?}"));
             }
-            if matches!(ask.end, AskEnd::Status(408 | 421 | 429 | 503)) && runs > 0 && !repeats {
-                self.add("not run", format!("{runs} runs: {ask:?}"));
+            if matches!(request.end, RequestEnd::Status(408 | 421 | 429 | 503))
+                && runs > 0
+                && !repeats
+            {
+                self.add("not run", format!("{runs} runs: {request:?}"));
             }
-            if let Some(how) = answer_fault(self.rows, ask, self.runs_of(ask)) {
-                self.add("whole answers", format!("{how}: {ask:?}"));
+            if let Some(how) = answer_fault(self.rows, request, self.runs_of(request)) {
+                self.add("whole answers", format!("{how}: {request:?}"));
             }
         }
     }
 
-    /// Whether anything but a planned stop was disturbed in this time.
-    fn unplanned(&self, from_ms: u64, until_ms: u64) -> bool {
+    /// Whether a disturbance other than a planned stop overlaps this time.
+    fn was_disturbed_unplanned(&self, from_ms: u64, until_ms: u64) -> bool {
         let unplanned = |span: &&SpanRow| !matches!(span.touched, Touched::PlannedVm(_));
-        self.rows.spans.iter().filter(unplanned).any(|span| meets(span, from_ms, until_ms))
+        self.rows.spans.iter().filter(unplanned).any(|span| overlaps(span, from_ms, until_ms))
     }
 
-    fn planned_stops(&mut self) {
-        for ask in &self.rows.asks {
+    /// Checks that no request which had reached an upstream is cut off by a planned stop. A stop that
+    /// coincides with another kind of disturbance is not judged.
+    fn check_planned_stops(&mut self) {
+        for request in &self.rows.requests {
             let stop = self.rows.spans.iter().find(|span| {
-                span.touched == Touched::PlannedVm(ask.vm)
-                    && (span.from_ms..span.from_ms + STOP_MS).contains(&ask.ended_ms)
+                span.touched == Touched::PlannedVm(request.vm)
+                    && (span.from_ms..span.from_ms + PLANNED_STOP_MS).contains(&request.ended_ms)
             });
-            let cut = matches!(ask.end, AskEnd::Cut | AskEnd::Late);
-            let sent_on = !self.runs_of(ask).is_empty();
+            let cut = matches!(request.end, RequestEnd::Cut | RequestEnd::Late);
+            let sent_on = !self.runs_of(request).is_empty();
             if stop.is_some() && cut && sent_on {
-                let from_ms = ask.sent_ms.saturating_sub(CONTACT_MS);
-                if !self.unplanned(from_ms, ask.ended_ms + NOTE_MS) {
-                    self.add("planned stops cut nothing", format!("{ask:?}"));
+                let from_ms = request.sent_ms.saturating_sub(CONTACT_MS);
+                if !self.was_disturbed_unplanned(from_ms, request.ended_ms + CLOCK_SLACK_MS) {
+                    self.add("planned stops cut nothing", format!("{request:?}"));
                 }
             }
         }
     }
 
-    /// Since when the VM has been in touch at `at_ms`; none when it isn't.
-    fn in_touch_since(&self, vm: usize, at_ms: u64) -> Option<u64> {
+    /// Since when the VM has been in contact at `at_ms`; none if it is not in contact then.
+    fn in_contact_since(&self, vm: usize, at_ms: u64) -> Option<u64> {
         let mut since = 0;
         for span in &self.rows.spans {
             let own = matches!(span.touched, Touched::Vm(x) | Touched::PlannedVm(x) if x == vm);
@@ -152,26 +167,28 @@
         (since <= at_ms).then_some(since)
     }
 
-    /// What a core that was disturbed between these moments adds.
-    fn outer(&self, from_ms: u64, until_ms: u64) -> u64 {
+    /// Milliseconds to add to a bound because one of the [`CORE_VMS`] was disturbed, or not yet back in
+    /// contact, between these times; 0 if none was.
+    fn core_allowance_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
         let core = self.rows.spans.iter().any(|span| {
             let vm = match span.touched {
                 Touched::Vm(vm) | Touched::PlannedVm(vm) => vm,
                 _ => return false,
             };
-            vm < CORE_VMS && meets(span, from_ms.saturating_sub(CONTACT_MS), until_ms)
+            vm < CORE_VMS && overlaps(span, from_ms.saturating_sub(CONTACT_MS), until_ms)
         });
         if core {
-            OUTER_MS
+            CORE_ALLOWANCE_MS
         } else {
             0
         }
     }
 
-    fn leaving(&mut self) {
+    /// Checks that upstreams that the list shows as leaving get no requests after the bound.
+    fn check_leaving(&mut self) {
         for run in &self.rows.runs {
-            let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-            let Some(mut since) = self.in_touch_since(ask.vm, run.at_ms) else { continue };
+            let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+            let Some(mut since) = self.in_contact_since(request.vm, run.at_ms) else { continue };
             for span in &self.rows.spans {
                 if span.touched == Touched::List && span.from_ms <= run.at_ms {
                     since = since.max(span.until_ms.unwrap_or(run.at_ms) + CONTACT_MS);
@@ -180,198 +197,240 @@
             let left = self.rows.leaving.iter().find(|row| {
                 let until_ms = row.until_ms.unwrap_or(u64::MAX);
                 row.upstream == run.upstream
-                    && row.life == run.life
+                    && row.incarnation == run.life
                     && run.at_ms < until_ms
-                    && run.at_ms > row.from_ms.max(since) + DRAIN_MS + NOTE_MS
+                    && run.at_ms > row.from_ms.max(since) + DRAIN_MS + CLOCK_SLACK_MS
             });
             if let Some(row) = left {
                 let late = run.at_ms - row.from_ms;
-                self.add("leaving upstreams", format!("{late} ms after: {run:?}, VM {}", ask.vm));
+                self.add(
+                    "leaving upstreams",
+                    format!("{late} ms after: {run:?}, VM {}", request.vm),
+                );
             }
         }
     }
 
-    /// Whether a VM started anew, stood still or was cut off in this time, or the link to an upstream was
-    /// harmed, on which either may be late.
-    fn excused(&self, vm: usize, upstream: usize, from_ms: u64, until_ms: u64) -> bool {
+    /// Whether a disturbance of this VM or of this upstream overlaps this time. Either may then be late: the
+    /// VM may have been started again, suspended or cut off, and the upstream or the link to it may have
+    /// failed.
+    fn is_excused(&self, vm: usize, upstream: usize, from_ms: u64, until_ms: u64) -> bool {
         let touched = |span: &&SpanRow| match span.touched {
             Touched::Vm(other) | Touched::PlannedVm(other) => other == vm,
             Touched::Upstream(other) => other == upstream,
             Touched::Front(_) | Touched::List => false,
         };
-        self.rows.spans.iter().filter(touched).any(|span| meets(span, from_ms, until_ms))
+        self.rows.spans.iter().filter(touched).any(|span| overlaps(span, from_ms, until_ms))
     }
 
-    /// What a VM sent to an upstream whose answer, passed on before, said that it leaves.
-    fn sent_after_notice(&mut self) {
+    /// Finds requests that a VM sent to an upstream after it had forwarded an answer in which that upstream
+    /// announced that it leaves.
+    fn check_notices(&mut self) {
         let mut first_notice: HashMap<(usize, u64), u64> = HashMap::new();
         for run in self.rows.runs.iter().filter(|run| run.leaving) {
-            let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-            // Of several answers one may not have been passed on.
-            if ask.end == AskEnd::Whole && self.runs_of(ask).len() == 1 {
-                let notice_ms = first_notice.entry((ask.vm, run.life)).or_insert(ask.ended_ms);
-                *notice_ms = ask.ended_ms.min(*notice_ms);
+            let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+            // Of several answers to one request the VM may have received this one and forwarded another.
+            if request.end == RequestEnd::Whole && self.runs_of(request).len() == 1 {
+                let notice_ms =
+                    first_notice.entry((request.vm, run.life)).or_insert(request.ended_ms);
+                *notice_ms = request.ended_ms.min(*notice_ms);
             }
         }
         for run in &self.rows.runs {
-            let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-            let Some(notice_ms) = first_notice.get(&(ask.vm, run.life)).copied() else { continue };
-            let late = ask.sent_ms > notice_ms + DRAIN_MS + NOTE_MS;
-            if late && !self.excused(ask.vm, run.upstream, notice_ms, run.at_ms) {
-                let after = ask.sent_ms - notice_ms;
-                self.add("told leaving", format!("{after} ms after: {run:?}, VM {}", ask.vm));
+            let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+            let Some(notice_ms) = first_notice.get(&(request.vm, run.life)).copied() else {
+                continue;
+            };
+            let late = request.sent_ms > notice_ms + DRAIN_MS + CLOCK_SLACK_MS;
+            if late && !self.is_excused(request.vm, run.upstream, notice_ms, run.at_ms) {
+                let after = request.sent_ms - notice_ms;
+                self.add("told leaving", format!("{after} ms after: {run:?}, VM {}", request.vm));
             }
         }
     }
 
-    /// What a VM sent to an upstream within a rest that this had asked it for.
-    fn rests(&mut self) {
+    /// Finds requests that a VM sent to an upstream during a back-off which that upstream had requested from
+    /// it.
+    fn check_backoffs(&mut self) {
         let mut sent: HashMap<(usize, u64), Vec<&ArrivalRow>> = HashMap::new();
         for row in &self.rows.arrivals {
-            let Some(ask) = self.asks.get(row.attempt.as_str()) else { continue };
-            sent.entry((ask.vm, row.life)).or_default().push(row);
+            let Some(request) = self.requests.get(row.attempt.as_str()) else { continue };
+            sent.entry((request.vm, row.life)).or_default().push(row);
         }
         for ((vm, _), rows) in sent {
             for asked in rows.iter().filter(|row| row.rest_ms > 0) {
                 let until_ms = asked.at_ms + asked.rest_ms;
                 let within = rows.iter().filter(|row| {
-                    row.at_ms > asked.at_ms + REST_GRACE_MS + NOTE_MS && row.at_ms < until_ms
+                    row.at_ms > asked.at_ms + BACKOFF_GRACE_MS + CLOCK_SLACK_MS
+                        && row.at_ms < until_ms
                 });
                 let within = within.count();
-                if within > REST_BORNE && !self.excused(vm, asked.upstream, asked.at_ms, until_ms) {
+                if within > BACKOFF_TOLERANCE
+                    && !self.is_excused(vm, asked.upstream, asked.at_ms, until_ms)
+                {
                     self.add("rest", format!("{within} within it, VM {vm}: {asked:?}"));
                 }
             }
         }
     }
 
-    fn zones(&mut self) {
+    /// Checks that evacuated zones get no requests after the bound.
+    fn check_zones(&mut self) {
         for order in &self.rows.orders {
-            let (OrderWhat::EmptyZone(zone), Some(acked_ms)) = (&order.what, order.acked_ms) else {
+            let (OrderContent::EmptyZone(zone), Some(acked_ms)) = (&order.content, order.acked_ms)
+            else {
                 continue;
             };
-            let until_ms = self.return_sent(zone, order.sent_ms);
+            let until_ms = self.return_sent_ms(zone, order.sent_ms);
             for run in self.rows.runs.iter().filter(|run| run.zone == *zone) {
-                let Some(ask) = self.asks.get(run.attempt.as_str()) else { continue };
-                let Some(since) = self.in_touch_since(ask.vm, run.at_ms) else { continue };
+                let Some(request) = self.requests.get(run.attempt.as_str()) else { continue };
+                let Some(since) = self.in_contact_since(request.vm, run.at_ms) else { continue };
                 let from_ms = acked_ms.max(since);
-                let bound = EMPTY_MS + self.outer(acked_ms, run.at_ms) + NOTE_MS;
+                let bound =
+                    EVACUATION_MS + self.core_allowance_ms(acked_ms, run.at_ms) + CLOCK_SLACK_MS;
                 if run.at_ms > from_ms + bound && run.at_ms < until_ms {
                     let late = run.at_ms - acked_ms;
-                    self.add("emptied zones", format!("{late} ms after: {run:?}, VM {}", ask.vm));
+                    self.add(
+                        "emptied zones",
+                        format!("{late} ms after: {run:?}, VM {}", request.vm),
+                    );
                 }
             }
         }
     }
 
-    fn return_sent(&self, zone: &str, after_ms: u64) -> u64 {
-        let returns =
-            self.rows.orders.iter().filter(
-                |order| matches!(&order.what, OrderWhat::ReturnZone(other) if other == zone),
-            );
+    /// When the first order after `after_ms` to take the zone back was sent; the largest time if none was.
+    fn return_sent_ms(&self, zone: &str, after_ms: u64) -> u64 {
+        let returns = self.rows.orders.iter().filter(
+            |order| matches!(&order.content, OrderContent::ReturnZone(other) if other == zone),
+        );
         let sent = returns.map(|order| order.sent_ms).filter(|sent| *sent > after_ms);
         sent.min().unwrap_or(u64::MAX)
     }
 
+    /// The configurations that were sent and not refused.
     fn documents(&self) -> impl Iterator<Item = (&'a DocumentRow, &'a OrderRow)> + use<'a> {
-        self.rows.orders.iter().filter_map(|order| match &order.what {
-            OrderWhat::Document(row) if order.refused.is_none() => Some((row, order)),
+        self.rows.orders.iter().filter_map(|order| match &order.content {
+            OrderContent::Document(row) if order.refused.is_none() => Some((row, order)),
             _ => None,
         })
     }
 
-    /// The oldest version that may still be gone by for what is sent at `sent_ms`.
-    fn oldest(&self, sent_ms: u64, bound: u64) -> u64 {
+    /// The oldest configuration that a VM may still apply to a request sent at `sent_ms`, if configurations
+    /// are in force `bound` milliseconds after their acknowledgement; 0 if none must be in force yet.
+    fn oldest_allowed(&self, sent_ms: u64, bound: u64) -> u64 {
         let held = self.documents().filter(|(_, order)| {
-            order.acked_ms.is_some_and(|acked_ms| acked_ms + bound + NOTE_MS < sent_ms)
+            order.acked_ms.is_some_and(|acked_ms| acked_ms + bound + CLOCK_SLACK_MS < sent_ms)
         });
         held.map(|(row, _)| row.version).max().unwrap_or(0)
     }
 
-    fn documents_in_force(&mut self) {
-        for ask in self.rows.asks.iter().filter(|ask| ask.route == "moved") {
-            let Some(since) = self.in_touch_since(ask.vm, ask.sent_ms) else { continue };
-            let bound = APPLY_MS + self.outer(since, ask.sent_ms);
-            if ask.sent_ms < since + bound {
+    /// Checks that requests on the moved route run at a service of a configuration that may still be in
+    /// force.
+    fn check_documents(&mut self) {
+        for request in self.rows.requests.iter().filter(|request| request.route == "moved") {
+            let Some(since) = self.in_contact_since(request.vm, request.sent_ms) else { continue };
+            let bound = APPLY_MS + self.core_allowance_ms(since, request.sent_ms);
+            if request.sent_ms < since + bound {
                 continue;
             }
-            let oldest = self.oldest(ask.sent_ms, bound);
-            let may = self.documents().filter(|(row, _)| row.version >= oldest);
-            let may: Vec<&str> = may.map(|(row, _)| row.moved_to.as_str()).collect();
-            let runs = self.runs_of(ask).iter();
-            let other = runs.copied().find(|run| !may.contains(&run.service.as_str()));
+            let oldest = self.oldest_allowed(request.sent_ms, bound);
+            let allowed = self.documents().filter(|(row, _)| row.version >= oldest);
+            let allowed: Vec<&str> = allowed.map(|(row, _)| row.moved_to.as_str()).collect();
+            let runs = self.runs_of(request).iter();
+            let other = runs.copied().find(|run| !allowed.contains(&run.service.as_str()));
             if let Some(run) = other {
-                self.add("orders in force", format!("{oldest} held, but {run:?} of {ask:?}"));
+                self.add(
+                    "orders in force",
+                    format!("version {oldest} is in force, but {run:?} of {request:?}"),
+                );
             }
         }
     }
 
-    fn keys(&mut self) {
-        for ask in &self.rows.asks {
-            let oldest = self.oldest(ask.sent_ms, REVOKE_MS);
-            let mut may = self.documents().filter(|(row, _)| row.version >= oldest);
-            let held = may.any(|(row, _)| row.keys.contains(&ask.key));
-            if !held && !self.runs_of(ask).is_empty() {
-                self.add("keys taken away", format!("{oldest} held, but it ran: {ask:?}"));
+    /// Checks that no request runs whose key every configuration that may be in force lacks.
+    fn check_keys(&mut self) {
+        for request in &self.rows.requests {
+            let oldest = self.oldest_allowed(request.sent_ms, REVOKE_MS);
+            let mut allowed = self.documents().filter(|(row, _)| row.version >= oldest);
+            let is_valid = allowed.any(|(row, _)| row.keys.contains(&request.key));
+            if !is_valid && !self.runs_of(request).is_empty() {
+                self.add(
+                    "keys taken away",
+                    format!("version {oldest} is in force, but it ran: {request:?}"),
+                );
             }
         }
     }
 
-    fn reads(&mut self) {
+    /// Checks that configurations are read back as they were sent, and none that is older than the bound
+    /// permits.
+    fn check_reads(&mut self) {
         for read in &self.rows.reads {
             let Some(version) = version_of(&read.text) else {
-                self.add("orders kept", format!("can't be read: {}", read.text));
+                self.add("orders kept", format!("cannot be read: {}", read.text));
                 continue;
             };
-            let oldest = self.oldest(read.sent_ms, APPLY_MS);
+            let oldest = self.oldest_allowed(read.sent_ms, APPLY_MS);
             if version < oldest {
-                self.add("orders kept", format!("{version} read at VM {}, {oldest} held", read.vm));
+                self.add(
+                    "orders kept",
+                    format!(
+                        "version {version} is read at VM {}, but {oldest} is in force",
+                        read.vm
+                    ),
+                );
             }
             let sent = self.documents().find(|(row, _)| row.version == version);
             let same = sent.is_some_and(|(row, _)| same_json(&row.text, &read.text));
             if !same {
-                self.add("orders kept", format!("{version} was never sent like this"));
+                self.add("orders kept", format!("version {version} was never sent like this"));
             }
         }
     }
 
-    fn rollouts(&mut self) {
+    fn check_rollouts(&mut self) {
         for row in &self.rows.rollouts {
-            self.roll_out_end(row);
+            self.check_rollout_end(row);
             if row.unsound {
-                self.exposure(row);
-                self.roll_back(row);
+                self.check_exposure(row);
+                self.check_roll_back(row);
             }
         }
     }
 
-    fn fatal_requests(&mut self) {
+    /// Checks that a request that crashed upstreams is refused after the bound, but for [`FATAL_TOLERANCE`]
+    /// sends.
+    fn check_fatal_requests(&mut self) {
         for row in &self.rows.fatal {
-            let Some(third_ms) = row.ended_ms.get(FATAL_BORNE - 1).copied() else { continue };
-            let asks = row.attempts.iter().filter_map(|attempt| self.asks.get(attempt.as_str()));
-            let late = asks.flat_map(|ask| {
-                let runs = self.runs_of(ask).iter().map(|run| run.at_ms);
+            let Some(third_ms) = row.ended_ms.get(FATAL_TOLERANCE - 1).copied() else { continue };
+            let requests =
+                row.attempts.iter().filter_map(|attempt| self.requests.get(attempt.as_str()));
+            let late = requests.flat_map(|request| {
+                let runs = self.runs_of(request).iter().map(|run| run.at_ms);
                 runs.filter(|at_ms| {
-                    let bound = CONTACT_MS + self.outer(third_ms, *at_ms) + NOTE_MS;
-                    *at_ms > third_ms + bound && self.in_touch_since(ask.vm, *at_ms).is_some()
+                    let bound =
+                        CONTACT_MS + self.core_allowance_ms(third_ms, *at_ms) + CLOCK_SLACK_MS;
+                    *at_ms > third_ms + bound && self.in_contact_since(request.vm, *at_ms).is_some()
                 })
             });
             let late: Vec<u64> = late.map(|at_ms| at_ms - third_ms).collect();
-            if late.len() > FATAL_BORNE {
-                let seen = format!("sent {late:?} ms after the third upstream ended: {row:?}");
-                self.add("requests that end upstreams", seen);
+            if late.len() > FATAL_TOLERANCE {
+                let details = format!("sent {late:?} ms after the third upstream ended: {row:?}");
+                self.add("requests that end upstreams", details);
             }
         }
     }
 
-    fn roll_out_end(&mut self, row: &RollOutRow) {
+    /// Checks that an acknowledged roll-out is not lost, that it ends, and that its end does not change.
+    fn check_rollout_end(&mut self, row: &RollOutRow) {
         if let Some(lost) = row.reports.iter().find(|report| report.state == UNKNOWN) {
             self.add("orders kept", format!("a roll-out is lost: {lost:?} of {row:?}"));
         }
         let reports = || row.reports.iter().filter(|report| report.target == row.target);
         let Some(end) = reports().find(|report| report.state != "running") else {
             if row.acked_ms.is_some() {
-                self.add("roll-outs end", format!("no end was told: {row:?}"));
+                self.add("roll-outs end", format!("no end was reported: {row:?}"));
             }
             return;
         };
@@ -380,33 +439,36 @@
         }
     }
 
-    /// Runs of a version by VMs in touch, with the moment at which each was sent.
+    /// Runs at the target version of requests by VMs in contact, each with the time at which the caller sent
+    /// it.
     fn exposed(&self, row: &RollOutRow) -> Vec<(&'a RunRow, u64)> {
-        let of = self.rows.runs.iter().filter(|run| run.version == row.target);
-        let asked = of.filter_map(|run| {
-            let ask = self.asks.get(run.attempt.as_str())?;
-            self.in_touch_since(ask.vm, run.at_ms)?;
-            Some((run, ask.sent_ms))
+        let target_runs = self.rows.runs.iter().filter(|run| run.version == row.target);
+        let sent_runs = target_runs.filter_map(|run| {
+            let request = self.requests.get(run.attempt.as_str())?;
+            self.in_contact_since(request.vm, run.at_ms)?;
+            Some((run, request.sent_ms))
         });
-        asked.collect()
+        sent_runs.collect()
     }
 
-    fn exposure(&mut self, row: &RollOutRow) {
+    /// Checks how many requests an unsound version got during its roll-out.
+    fn check_exposure(&mut self, row: &RollOutRow) {
         let until_ms = row.acked_ms.unwrap_or(row.sent_ms + REPEAT_MS) + row.duration_ms;
         let within = |run: &RunRow| (row.sent_ms..until_ms).contains(&run.at_ms);
         let all = self.rows.runs.iter().filter(|run| run.service == row.service && within(run));
-        let bound = EXPOSE_SHARE * all.count() as f64 + EXPOSE_SLACK;
+        let bound = EXPOSURE_SHARE * all.count() as f64 + EXPOSURE_SLACK;
         let exposed = self.exposed(row).iter().filter(|(run, _)| within(run)).count();
         if exposed as f64 > bound {
             self.add("exposure", format!("{exposed} runs, {bound:.0} allowed: {row:?}"));
         }
     }
 
-    fn roll_back(&mut self, row: &RollOutRow) {
+    /// Checks that an unsound version gets no requests after the bound.
+    fn check_roll_back(&mut self, row: &RollOutRow) {
         let bad = self.rows.runs.iter().filter(|run| run.version == row.target && run.bad);
         let Some(from) = bad.map(|run| run.at_ms).nth(BAD_ANSWERS - 1) else { return };
         let late = self.exposed(row).into_iter().find(|(_, sent_ms)| {
-            let bound = ROLL_BACK_MS + self.outer(from, *sent_ms) + NOTE_MS;
+            let bound = ROLL_BACK_MS + self.core_allowance_ms(from, *sent_ms) + CLOCK_SLACK_MS;
             *sent_ms > from + bound
         });
         if let Some((run, sent_ms)) = late {
@@ -416,10 +478,12 @@
     }
 }
 
-fn meets(span: &SpanRow, from_ms: u64, until_ms: u64) -> bool {
+/// Whether a disturbance overlaps the time from `from_ms` to `until_ms`.
+fn overlaps(span: &SpanRow, from_ms: u64, until_ms: u64) -> bool {
     span.from_ms <= until_ms && span.until_ms.is_none_or(|until| until >= from_ms)
 }
 
+/// Whether both texts are the same JSON value; two texts that are not JSON count as equal.
 fn same_json(one: &str, other: &str) -> bool {
     let read = |text| serde_json::from_str::<serde_json::Value>(text).ok();
     read(one) == read(other)
