--- a/lib/src/transport/datagram.rs
+++ b/lib/src/transport/datagram.rs
@@ -67,6 +67,8 @@
         std::thread::Builder::new().name("datagram".to_string()).spawn(run)
     }
 
+    /// Opens a sealed datagram and passes its message to `handle`. A datagram that can't be opened or decoded is
+    /// logged and dropped.
     fn handle_bytes(
         &self,
         bytes: &[u8],
@@ -96,6 +98,7 @@
     }
 }
 
+/// The kind under which a message is counted.
 fn kind_of(message: &Datagram) -> &'static str {
     match message {
         Datagram::Renew(_) => "renew",
--- a/lib/src/transport/vm_contact.rs
+++ b/lib/src/transport/vm_contact.rs
@@ -23,7 +23,8 @@
 const REPORT_TTL_MS: u64 = 2000;
 /// The size of the buffer for one datagram, in bytes; no datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
-/// How many VMs other than keepers get a renewal while the leader doesn't answer.
+/// How many VMs, drawn from the roster, get a renewal in addition to the keepers while the leader doesn't
+/// answer.
 const OTHER_TARGETS: usize = 2;
 /// In a fleet of [`MANY_VMS`] or more, a VM without a leader sends each renewal to this many of its
 /// possible targets, and to others each time: if every VM sent to all of them every 50 ms, the keepers of
@@ -68,7 +69,7 @@
         self.send_datagrams(others, &datagram);
     }
 
-    /// Records that another VM announced itself as the leader, and renews with it.
+    /// Records that another VM announced itself as the leader, and renews with it, if its term is a new one.
     fn note_leader(&self, from: VmId, term: u64) {
         let newer = {
             let mut view = self.view.borrow_mut();
@@ -84,6 +85,7 @@
         }
     }
 
+    /// The pause between two renewals, in milliseconds. It is shorter while engines are nearly full.
     fn renew_pause_ms(&self) -> u64 {
         match self.overloaded_ms.get() + OVERLOADED_KEEP_MS > self.now_ms() {
             true => overloaded_renew_ms(self.view.borrow().roster.rows.len()),
@@ -142,6 +144,7 @@
         VmDatagram::Renew(note)
     }
 
+    /// The VMs to renew with: the leader as long as it answers, otherwise VMs that may return its address.
     fn request_targets(&self, now_ms: u64) -> Vec<VmId> {
         let own_view = self.keeper.borrow().as_ref().and_then(|keeper| keeper.leader());
         let view = self.view.borrow();
@@ -176,6 +179,7 @@
         targets
     }
 
+    /// Sends a datagram to one VM.
     pub(super) fn send_datagram(&self, to: VmId, datagram: &VmDatagram) {
         self.send_datagrams([to], datagram);
     }
@@ -186,6 +190,7 @@
         to.into_iter().for_each(|id| self.send_bytes(id, datagram.kind(), &bytes));
     }
 
+    /// Sends an encoded datagram. One that the system doesn't accept at once is dropped.
     fn send_bytes(&self, to: VmId, kind: &'static str, bytes: &[u8]) {
         self.wire.sent(kind, bytes.len() as u64 + DATAGRAM_HEAD_BYTES);
         let address = SocketAddr::from((vm_address(to), self.settings.borrow().peer_port));
@@ -218,6 +223,7 @@
         }
     }
 
+    /// Handles a datagram of another VM. Tables of a leader with an outdated term are ignored.
     fn handle_datagram(&self, from: VmId, datagram: VmDatagram) {
         match datagram {
             VmDatagram::Renew(note) => self.answer_renewal(from, note),
@@ -274,6 +280,7 @@
         self.wait_for_proof(timeout, proved).await
     }
 
+    /// Renews, and waits until `proved` returns true. Returns false after `timeout`.
     async fn wait_for_proof(&self, timeout: Duration, proved: impl Fn() -> bool) -> bool {
         let confirmed = async {
             loop {
--- a/lib/src/transport/vm_control.rs
+++ b/lib/src/transport/vm_control.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// Checks a document and returns once it is committed, or after [`ANSWER_TIME`] without a confirmation.
 async fn put_document(node: &Rc<VmNode>, request: Request<Incoming>) -> Response<AnswerBody> {
     let body = match Limited::new(request.into_body(), MAX_DOCUMENT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
@@ -62,6 +63,7 @@
     }
 }
 
+/// Returns the document in force, once it is confirmed as the newest one.
 async fn get_document(node: &Rc<VmNode>) -> Response<AnswerBody> {
     let since_ms = node.now_ms();
     if !node.confirm(since_ms, ANSWER_TIME).await {
@@ -88,6 +90,7 @@
         }
     }
 
+    /// Proposes a document at the leader. Returns true once it is committed, false if that isn't confirmed.
     async fn put_at_leader(self: &Rc<Self>, version: u64, document: &PackedText) -> bool {
         let now_ms = self.now_ms();
         let own = self.keeper.borrow().as_ref().and_then(|keeper| keeper.leader());
--- a/lib/src/transport/vm_disk.rs
+++ b/lib/src/transport/vm_disk.rs
@@ -55,6 +55,7 @@
     Ok(sender)
 }
 
+/// Opens the folder and reports what it holds. Repeats this until it succeeds or the receiver is closed.
 fn open_store(
     folder: &PathBuf,
     keeper: KeeperId,
--- a/lib/src/transport/vm_fleet_calls.rs
+++ b/lib/src/transport/vm_fleet_calls.rs
@@ -96,6 +96,7 @@
     value_answer(&zones.into_iter().map(view).collect::<Vec<_>>())
 }
 
+/// An answer with the state of a service's last roll-out.
 fn row_answer(node: &Rc<VmNode>, service: &str) -> Response<AnswerBody> {
     let state = node.rollouts.borrow();
     match state.tracker().table().row(service) {
@@ -104,6 +105,7 @@
     }
 }
 
+/// An answer with a value as JSON.
 fn value_answer(value: &impl Serialize) -> Response<AnswerBody> {
     match serde_json::to_vec(value) {
         Ok(body) => json_answer(body),
@@ -112,6 +114,7 @@
 }
 
 impl VmNode {
+    /// The number of a service's last roll-out.
     fn last_rollout(&self, service: &str) -> Option<u64> {
         let state = self.rollouts.borrow();
         state.tracker().table().row(service).map(|row| row.order.number)
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -30,6 +30,7 @@
 }
 
 impl VmNode {
+    /// Answers a renewal: with a grant if this VM is certain to lead, otherwise with where the leader may be.
     pub(super) fn answer_renewal(&self, from: VmId, note: RenewalNote) {
         let now_ms = self.now_ms();
         self.note_list_held(from, note.list, now_ms);
@@ -170,6 +171,7 @@
         self.rollouts.borrow_mut().tracker_mut().prove(sent_ms);
     }
 
+    /// Adds notes on holders to this VM's own memory of where prompt parts are cached.
     fn learn_holders(&self, notes: &[HolderNote], now_ms: u64) {
         let mut prefixes = self.prefixes.borrow_mut();
         for note in notes {
@@ -177,6 +179,7 @@
         }
     }
 
+    /// Applies a grant: confirms or replaces this VM's tables, and requests a newer document or list.
     pub(super) fn apply_grant(&self, from: VmId, mut grant: GrantNote) {
         let now_ms = self.now_ms();
         self.learn_holders(&grant.holders, now_ms);
--- a/lib/src/transport/vm_keeper.rs
+++ b/lib/src/transport/vm_keeper.rs
@@ -220,7 +220,7 @@
             return outcome;
         }
         let step = self.durable.note_written(now_ms);
-        self.take_step(step, &mut outcome, now_ms);
+        self.apply_step(step, &mut outcome, now_ms);
         outcome
     }
 
@@ -254,6 +254,7 @@
         (receiver, outcome)
     }
 
+    /// Proposes a command. The receiver gets whether it is committed and took effect.
     fn propose(
         &mut self,
         command: FleetCommand,
@@ -307,6 +308,7 @@
         outcome
     }
 
+    /// Proposes the next change of the group's members, if there is one to make, as the leader.
     fn plan_membership(&mut self, now_ms: u64, outcome: &mut KeeperOutcome) {
         self.roster.expire(now_ms);
         let known = self.roster.keepers();
@@ -331,6 +333,7 @@
         }
     }
 
+    /// Runs one step of the consensus and adds its results to `outcome`.
     fn step(
         &mut self,
         now_ms: u64,
@@ -338,10 +341,11 @@
         act: impl FnOnce(&mut RaftCore, &mut RaftOutput),
     ) {
         let step = self.durable.step(now_ms, act);
-        self.take_step(step, outcome, now_ms);
+        self.apply_step(step, outcome, now_ms);
     }
 
-    fn take_step(&mut self, mut step: DurableOutcome, outcome: &mut KeeperOutcome, now_ms: u64) {
+    /// Applies a step: starts its disk job, collects its messages and applies what it committed.
+    fn apply_step(&mut self, mut step: DurableOutcome, outcome: &mut KeeperOutcome, now_ms: u64) {
         if let Some(snapshot) = step.installed.take() {
             match self.record.restore(&snapshot.image) {
                 Ok(changed) => outcome.changed |= changed,
@@ -359,6 +363,7 @@
         self.note_role(now_ms);
     }
 
+    /// Sends a job to the disk thread.
     fn submit(&mut self, job: Option<DiskJob>, now_ms: u64) {
         let Some(job) = job else { return };
         if self.disk.send(job).is_err() {
@@ -367,6 +372,7 @@
         }
     }
 
+    /// Applies a committed entry to the record, and answers the proposals up to it.
     fn apply(&mut self, entry: &LogEntry) -> RecordChange {
         let mut change = RecordChange::Other;
         if let EntryPayload::Command(command) = &entry.payload {
@@ -389,6 +395,7 @@
         change
     }
 
+    /// Notes when this keeper begins or ceases to lead. Proposals of a former leader count as not accepted.
     fn note_role(&mut self, now_ms: u64) {
         let leads = self.durable.core.role() == RaftRole::Leader;
         if leads && self.led_since_ms.is_none() {
@@ -404,6 +411,7 @@
         }
     }
 
+    /// Replaces the log by a snapshot, if the log is large and no disk job is running.
     fn compact(&mut self, now_ms: u64) {
         let large =
             self.log_bytes > COMPACT_BYTES || self.durable.core.entries().len() > COMPACT_ENTRIES;
--- a/lib/src/transport/vm_links.rs
+++ b/lib/src/transport/vm_links.rs
@@ -119,6 +119,7 @@
         }
     }
 
+    /// Queues a frame on the link to a VM, which is opened if there is none.
     fn send_frame(&self, to: VmId, kind: &'static str, frame: Bytes) {
         let bytes = frame.len() as u64;
         let mut links = self.links.borrow_mut();
@@ -138,6 +139,7 @@
         }
     }
 
+    /// Starts the task of a new link.
     fn open_link(&self, to: VmId) -> PeerLink {
         let (frames, receiver) = channel(MAX_QUEUED_FRAMES);
         let unsent = UnsentFrames::default();
@@ -162,6 +164,7 @@
         }
     }
 
+    /// Reads frames until the link ends or a frame can't be decoded.
     async fn read_link(self, mut stream: TcpStream, handle: Rc<dyn Fn(VmId, VmMessage)>) {
         loop {
             let mut head = [0; FRAME_HEAD_BYTES];
@@ -219,6 +222,7 @@
     }
 }
 
+/// Writes the frames of one link until it is idle for too long, and connects anew after a failure.
 async fn run_link(address: SocketAddr, mut frames: Receiver<Bytes>, unsent: UnsentFrames) {
     let mut stream: Option<TcpStream> = None;
     loop {
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -1,6 +1,7 @@
 //! Reads the platform's list of upstreams, on the leader or, without one, on a few other VMs.
 //!
-//! Only one VM reads at a time, since calls of the platform are limited; `list_reader` decides which one.
+//! Only one VM reads at a time, since calls to the platform are costly and limited;
+//! `list_reader` decides which one.
 //! How the list reaches the other VMs is in `vm_list_news`.
 
 use std::collections::BTreeSet;
@@ -147,6 +148,7 @@
         }
     }
 
+    /// The pause until a leader reads again after a reading that began at `began_ms`, in milliseconds.
     fn leader_pause_ms(&self, began_ms: u64) -> u64 {
         let drain_ms = self.settings.borrow().bounds.drain_ms;
         let reading_ms = self.now_ms().saturating_sub(began_ms);
@@ -177,6 +179,7 @@
         }
     }
 
+    /// This VM's position in the order of readers.
     fn reader_rank(&self) -> usize {
         let order = self.readers();
         order.iter().position(|id| *id == self.id).unwrap_or(order.len())
@@ -241,14 +244,17 @@
         silence.view.sweep(known);
     }
 
+    /// Sets the list to be read again after this pause.
     fn set_list_due(&self, pause_ms: u64) {
         self.view.borrow_mut().list_due_ms = self.now_ms() + pause_ms;
     }
 
+    /// The key of the connections to the platform's list; no upstream has it.
     fn list_key(&self) -> UpstreamKey {
         UpstreamKey(0)
     }
 
+    /// Applies a reading. The leader assigns ring slots, proposes them, and sends the change to the other VMs.
     fn apply_reading(&self, mut rows: Vec<UpstreamEntry>, alone: bool, began_ms: u64) {
         let now_ms = self.now_ms();
         let led = match &*self.keeper.borrow() {
@@ -325,6 +331,7 @@
         upstreams.update_from_read(rows, None, self.id, began_ms);
     }
 
+    /// Reads all pages. `refusals` is how many calls in a row the platform refused without a leader.
     async fn read_list(&self, alone: bool, refusals: u32) -> Result<ListReading, ListError> {
         let mut reading = ListReading::default();
         let mut next: Option<String> = None;
@@ -373,6 +380,7 @@
         }
     }
 
+    /// Makes one call and returns the body of its answer.
     async fn call_list(&self, call: &str) -> Result<Bytes, ListError> {
         let other = |text: String| ListError::Other(text);
         let address = self.settings.borrow().list.address;
--- a/lib/src/transport/vm_list_news.rs
+++ b/lib/src/transport/vm_list_news.rs
@@ -106,6 +106,8 @@
         }
     }
 
+    /// Answers a request that arrived at `received_ms` if this VM has a newer list, or a newer confirmation of its
+    /// list or configuration. Returns whether it did.
     fn answer_if_newer(&self, to: VmId, request: UpdateRequest, received_ms: u64) -> bool {
         let note = {
             let (upstreams, contact) = (self.upstreams.borrow(), self.contact.borrow());
--- a/lib/src/transport/vm_node.rs
+++ b/lib/src/transport/vm_node.rs
@@ -162,7 +162,7 @@
     pub counters: RefCell<VmCounters>,
     /// The path at which metrics are served.
     pub metrics_path: RefCell<String>,
-    /// Which prompt parts are cached at which engines.
+    /// Which prompt parts are cached at which engines, by this VM's sends and by others' reports.
     pub prefixes: RefCell<PrefixMemory>,
     /// Notes on engines that hold parts outside the usual order.
     pub holders: RefCell<HolderState>,
@@ -518,6 +518,7 @@
         receiver.await.unwrap_or(false)
     }
 
+    /// Starts the disk thread and the keeper, on a VM that has a data folder.
     fn start_keeper(self: &Rc<Self>) -> std::io::Result<()> {
         let settings = self.settings.borrow();
         let Some(folder) = settings.data_folder.clone() else { return Ok(()) };
@@ -536,6 +537,7 @@
         Ok(())
     }
 
+    /// Creates the keeper once the disk is open, then passes the disk's reports to it until the disk thread ends.
     async fn drive_disk(
         self: Rc<Self>,
         identity: KeeperIdentity,
@@ -585,6 +587,7 @@
         Ok(())
     }
 
+    /// Runs the keeper's timers and the periodic work of a leader in a loop, on a VM with a keeper.
     async fn tick_keeper(self: Rc<Self>) {
         if self.settings.borrow().data_folder.is_none() {
             return;
--- a/lib/src/transport/vm_orders.rs
+++ b/lib/src/transport/vm_orders.rs
@@ -57,6 +57,7 @@
         verdict.end
     }
 
+    /// Sends an order to a leader on another VM and waits for its verdict.
     async fn order_at(&self, leader: VmId, order: FleetOrder) -> Option<OrderVerdict> {
         let (sender, receiver) = oneshot::channel();
         let number = self.draw() ^ self.now_ms();
@@ -105,6 +106,7 @@
         }
     }
 
+    /// A verdict with the orders that this VM's keeper has committed.
     fn verdict_of(&self, end: OrderEnd) -> OrderVerdict {
         let keeper = self.keeper.borrow();
         match keeper.as_ref() {
--- a/lib/src/transport/vm_pulse.rs
+++ b/lib/src/transport/vm_pulse.rs
@@ -65,6 +65,7 @@
         WatchedBody { body, activity: self.clone() }
     }
 
+    /// Notes a failed operation of the stream, and returns its result unchanged.
     fn note<T>(&self, done: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if matches!(done, Poll::Ready(Err(_))) {
             self.0.broken.set(true);
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -103,6 +103,7 @@
 }
 
 impl VmNode {
+    /// Whether the configuration in force has this service.
     fn has_service(&self, service: &str) -> bool {
         let routes = self.routes.borrow();
         routes
@@ -110,6 +111,7 @@
             .is_some_and(|routes| routes.table.services.iter().any(|s| s.name == service))
     }
 
+    /// The order for the leader. It names the last roll-out that this VM has, so that an outdated one is not accepted.
     fn rollout_request(&self, call: &RolloutCall) -> RolloutRequest {
         let state = self.rollouts.borrow();
         RolloutRequest {
@@ -315,6 +317,7 @@
         }
     }
 
+    /// Logs a step and proposes it.
     fn propose_step(&self, proposal: ProposedStep) {
         let ProposedStep { step, why } = proposal;
         if !why.is_empty() {
@@ -328,6 +331,7 @@
         self.step_keeper(|keeper, now_ms| keeper.order(command, now_ms).1);
     }
 
+    /// The state of a roll-out's target that the decision on its next step needs.
     fn target_status(&self, keeper: &KeeperDriver, row: &RolloutRow) -> TargetStatus {
         let (service, target) = (row.order.service.as_str(), row.target());
         let upstreams = self.upstreams.borrow();
@@ -358,6 +362,7 @@
         status
     }
 
+    /// How long a request takes at this service, on average, in milliseconds.
     fn mean_hold_ms(&self, service: &str) -> f64 {
         match self.engine_slots(service) {
             Some(_) => self.with_service_capacity(service, |capacity| capacity.hold_ms()),
--- a/lib/src/transport/vm_silence.rs
+++ b/lib/src/transport/vm_silence.rs
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Starts a probe of an upstream, unless one has begun a short while ago.
     fn probe_upstream(self: &Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
         if self.silence.borrow_mut().view.begin_probe(upstream, self.now_ms()) {
             let node = self.clone();
@@ -161,6 +162,7 @@
         }
     }
 
+    /// Probes an upstream and records the result in the leader's table.
     async fn probe_as_leader(self: Rc<Self>, upstream: UpstreamKey, address: SocketAddr) {
         let fault = self.connect_only(upstream, address).await;
         let now_ms = self.now_ms();
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -49,6 +49,7 @@
 }
 
 impl VmNode {
+    /// Whether a zone is in the settings or has an upstream.
     fn has_zone(&self, zone: &str) -> bool {
         self.settings.borrow().zones.iter().any(|known| known == zone)
             || self.upstreams.borrow().entries.values().any(|entry| entry.zone == zone)
@@ -96,6 +97,7 @@
         !state.cold.may_send(entry.key(), cold_per_s, &fleet, self.now_ms())
     }
 
+    /// Whether an upstream is cold or may be, and has a limit on requests while it is.
     fn is_cold(&self, entry: &UpstreamEntry, cold_per_s: f64) -> bool {
         if cold_per_s <= 0.0 {
             return false;
