--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -167,7 +167,7 @@
         let status = {
             let upstreams = self.upstreams.borrow();
             ListStatus {
-                first_contact_ms: first_contact_ms,
+                first_contact_ms,
                 confirmed_ms: upstreams.confirmed_ms,
                 stale_ms: self.list_cost().stale_ms(self.settings.borrow().bounds.drain_ms),
                 has_list: upstreams.is_loaded(),
@@ -289,10 +289,10 @@
         if ring_slots != before {
             self.step_keeper(|keeper, now_ms| keeper.record_ring_slots(ring_slots.rows(), now_ms));
         }
-        let step =
+        let delta =
             self.upstreams.borrow_mut().update_from_read(rows, Some(term), self.id, began_ms);
-        if let Some(step) = step {
-            self.send_list(step);
+        if let Some(delta) = delta {
+            self.send_list(delta);
         }
     }
 
