--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -30,6 +30,7 @@
 }
 
 impl VmNode {
+    /// Answers a renewal: with a grant if this VM is certain to lead, otherwise with where the leader may be.
     pub(super) fn answer_renewal(&self, from: VmId, note: RenewalNote) {
         let now_ms = self.now_ms();
         self.note_list_held(from, note.list, now_ms);
@@ -53,7 +54,7 @@
         now_ms: u64,
     ) -> GrantNote {
         let (term, record) = (keeper.term(), &keeper.record);
-        let (holders, holders_heard) =
+        let (holders, holders_received) =
             self.exchange_holders(term, &note.holders, note.holders_received, now_ms);
         let failing = self.take_health_reports(term, &note.health_reports, now_ms);
         self.record_suspicions(term, from, &note.unreachable);
@@ -76,7 +77,7 @@
                 now_ms,
             ),
             holders,
-            holders_received: holders_heard,
+            holders_received,
             failing,
             zones: record.zones.update_since(note.zone_orders),
             unresponsive: self.unresponsive_update(note.unresponsive),
@@ -170,6 +171,7 @@
         self.rollouts.borrow_mut().tracker_mut().prove(sent_ms);
     }
 
+    /// Adds notes on holders to this VM's own memory of where prompt parts are cached.
     fn learn_holders(&self, notes: &[HolderNote], now_ms: u64) {
         let mut prefixes = self.prefixes.borrow_mut();
         for note in notes {
@@ -177,6 +179,7 @@
         }
     }
 
+    /// Applies a grant: confirms or replaces this VM's tables, and requests a newer document or list.
     pub(super) fn apply_grant(&self, from: VmId, mut grant: GrantNote) {
         let now_ms = self.now_ms();
         self.learn_holders(&grant.holders, now_ms);
