--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedCrash {
     /// The request.
-    pub mark: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Whether the request was watched on this VM when it was sent.
@@ -37,7 +37,8 @@
     /// The VM's number for this report; the first is 1.
     pub number: u64,
     /// The request.
-    pub mark: RequestFingerprint,
+    #[serde(rename = "mark")]
+    pub fingerprint: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
     /// Whether the request was watched on this VM when it was sent.
@@ -76,8 +77,8 @@
     /// Queues a crash of an upstream.
     pub fn note_crash(&mut self, observed: ObservedCrash, now_ms: u64) {
         self.last_number += 1;
-        let ObservedCrash { mark, upstream, watched, ran_ms } = observed;
-        let note = CrashNote { number: self.last_number, mark, upstream, watched, ran_ms };
+        let ObservedCrash { fingerprint, upstream, watched, ran_ms } = observed;
+        let note = CrashNote { number: self.last_number, fingerprint, upstream, watched, ran_ms };
         self.notes.push_back((now_ms, note));
         if self.notes.len() > MAX_KEPT {
             self.notes.pop_front();
@@ -86,8 +87,8 @@
 
     /// Queues the completion of a watched request. It is reported once and not repeated after a loss:
     /// the next completion of the request is queued again.
-    pub fn note_completed(&mut self, mark: RequestFingerprint) {
-        self.well.insert(mark);
+    pub fn note_completed(&mut self, fingerprint: RequestFingerprint) {
+        self.well.insert(fingerprint);
     }
 
     /// Returns the report for the next renewal.
--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -25,7 +25,7 @@
 /// beside a harmful one and was sent again would be quarantined; each further crash costs everything
 /// that runs on one more upstream.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// The number of crashed upstreams from which a request is watched: every VM receives its mark, and
+/// The number of crashed upstreams from which a request is watched: every VM receives its fingerprint, and
 /// reports when it completes.
 const WATCH_CRASHES: usize = 2;
 /// Added to the time that VMs need to report, in milliseconds, to form the wait before a request is
@@ -76,8 +76,8 @@
 pub struct CrashTable {
     term: u64,
     counts: BTreeMap<RequestFingerprint, CrashCount>,
-    /// Since when this leader has had a recorded row in its state, by the request, whether it is held,
-    /// and how many times it was held.
+    /// Since when this leader has had a recorded row in its state, by the request, whether it is quarantined,
+    /// and how many times it was.
     rows_since_ms: BTreeMap<(RequestFingerprint, bool, u32), u64>,
     /// The last command proposed for each request, and when. A different command for the same request
     /// is proposed without delay.
@@ -109,9 +109,9 @@
         for note in &report.ended {
             self.note_crash(note, recorded, now_ms);
         }
-        for mark in &report.well {
-            let watched = recorded.row(*mark).is_some_and(|row| !row.quarantined);
-            if let (true, Some(count)) = (watched, self.count(*mark, recorded, now_ms)) {
+        for fingerprint in &report.well {
+            let watched = recorded.row(*fingerprint).is_some_and(|row| !row.quarantined);
+            if let (true, Some(count)) = (watched, self.count(*fingerprint, recorded, now_ms)) {
                 count.well = true;
             }
         }
@@ -126,7 +126,7 @@
 
     /// Counts a crash, from zero if the request has completed since its last one.
     fn note_crash(&mut self, note: &CrashNote, recorded: &QuarantineTable, now_ms: u64) {
-        let Some(count) = self.count(note.mark, recorded, now_ms) else { return };
+        let Some(count) = self.count(note.fingerprint, recorded, now_ms) else { return };
         if count.well {
             *count = CrashCount::default();
         }
@@ -146,20 +146,20 @@
     /// requests are counted, a new count replaces the one whose last crash is the oldest.
     fn count(
         &mut self,
-        mark: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         recorded: &QuarantineTable,
         now_ms: u64,
     ) -> Option<&mut CrashCount> {
-        if !self.counts.contains_key(&mark) && self.counts.len() >= MAX_COUNTED {
+        if !self.counts.contains_key(&fingerprint) && self.counts.len() >= MAX_COUNTED {
             self.counts.retain(|_, count| count.last_ms + COUNT_KEEP_MS > now_ms);
             let oldest = self.counts.iter().min_by_key(|(_, count)| count.last_ms);
-            let oldest = oldest.map(|(mark, _)| *mark);
+            let oldest = oldest.map(|(fingerprint, _)| *fingerprint);
             if self.counts.len() >= MAX_COUNTED {
                 self.counts.remove(&oldest?);
             }
         }
-        Some(self.counts.entry(mark).or_insert_with(|| CrashCount {
-            ended: recorded.row(mark).map(|row| row.ended.clone()).unwrap_or_default(),
+        Some(self.counts.entry(fingerprint).or_insert_with(|| CrashCount {
+            ended: recorded.row(fingerprint).map(|row| row.ended.clone()).unwrap_or_default(),
             last_ms: now_ms,
             ..CrashCount::default()
         }))
@@ -180,21 +180,28 @@
         let mut wanted: Vec<QuarantineCommand> = self
             .counts
             .iter()
-            .filter_map(|(mark, count)| {
-                count.command(*mark, recorded.row(*mark), at_fault.contains(mark))
+            .filter_map(|(fingerprint, count)| {
+                count.command(
+                    *fingerprint,
+                    recorded.row(*fingerprint),
+                    at_fault.contains(fingerprint),
+                )
             })
             .collect();
         self.drop_over_capacity(&mut wanted, recorded);
-        self.counts.retain(|mark, count| !count.well || recorded.row(*mark).is_some());
+        self.counts
+            .retain(|fingerprint, count| !count.well || recorded.row(*fingerprint).is_some());
         wanted.extend(self.expired(recorded, now_ms));
         self.proposed.retain(|_, (_, at_ms)| *at_ms + PROPOSE_AGAIN_MS > now_ms);
         let is_under_way = |command: &QuarantineCommand| {
-            self.proposed.get(&command_mark(command)).is_some_and(|(last, _)| last == command)
+            self.proposed
+                .get(&command_fingerprint(command))
+                .is_some_and(|(last, _)| last == command)
         };
         wanted.retain(|command| !is_under_way(command));
         wanted.truncate(MAX_PROPOSED);
         for command in &wanted {
-            self.proposed.insert(command_mark(command), (command.clone(), now_ms));
+            self.proposed.insert(command_fingerprint(command), (command.clone(), now_ms));
         }
         wanted
     }
@@ -206,29 +213,30 @@
         recorded: &QuarantineTable,
         settled_ms: u64,
     ) -> BTreeSet<RequestFingerprint> {
-        let held = recorded.rows().iter().filter(|row| row.quarantined);
+        let quarantined = recorded.rows().iter().filter(|row| row.quarantined);
         let counted =
             |row: &QuarantineRow| self.counts.get(&row.fingerprint).map(|count| &count.ended);
-        let mut attributed: BTreeSet<UpstreamKey> = held
+        let mut attributed: BTreeSet<UpstreamKey> = quarantined
             .flat_map(|row| row.ended.iter().chain(counted(row).into_iter().flatten()).copied())
             .collect();
-        let suspect =
-            |(mark, count): &(&RequestFingerprint, &CrashCount)| match recorded.row(**mark) {
-                Some(row) if row.quarantined => false,
-                // A request that was quarantined before is held without a further wait, since its
-                // completions had enough time to be reported.
-                Some(row) if row.times > 0 => count.proven_ms.is_some(),
-                _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
-            };
+        let suspect = |(fingerprint, count): &(&RequestFingerprint, &CrashCount)| match recorded
+            .row(**fingerprint)
+        {
+            Some(row) if row.quarantined => false,
+            // A request that was quarantined before is quarantined again without a further
+            // wait, since its completions had enough time to be reported.
+            Some(row) if row.times > 0 => count.proven_ms.is_some(),
+            _ => count.proven_ms.is_some_and(|proven_ms| proven_ms <= settled_ms),
+        };
         let mut suspects: Vec<_> = self.counts.iter().filter(suspect).collect();
         suspects.sort_by_key(|(_, count)| count.ran_ms / count.reports.max(1));
         let mut at_fault = BTreeSet::new();
-        for (mark, count) in suspects {
+        for (fingerprint, count) in suspects {
             let unattributed =
                 count.ended.iter().filter(|upstream| !attributed.contains(upstream)).count();
             if unattributed >= QUARANTINE_CRASHES && !count.well {
                 attributed.extend(&count.ended);
-                at_fault.insert(*mark);
+                at_fault.insert(*fingerprint);
             }
         }
         at_fault
@@ -237,8 +245,10 @@
     /// Drops commands that would quarantine too many requests, or that would evict a row which would
     /// then be proposed again.
     fn drop_over_capacity(&self, wanted: &mut Vec<QuarantineCommand>, recorded: &QuarantineTable) {
-        let under_way = self.proposed.iter().filter(|(mark, (command, _))| {
-            is_hold(command) && !recorded.is_quarantined(**mark) && !wanted.contains(command)
+        let under_way = self.proposed.iter().filter(|(fingerprint, (command, _))| {
+            is_quarantine(command)
+                && !recorded.is_quarantined(**fingerprint)
+                && !wanted.contains(command)
         });
         let mut holds =
             MAX_QUARANTINED.saturating_sub(recorded.quarantined_count() + under_way.count());
@@ -285,7 +295,7 @@
     /// Returns the command that should record this count, if any.
     fn command(
         &self,
-        mark: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         recorded: Option<&QuarantineRow>,
         at_fault: bool,
     ) -> Option<QuarantineCommand> {
@@ -293,17 +303,12 @@
             return None;
         }
         if self.well {
-            return recorded.map(|_| QuarantineCommand::Clear(mark));
+            return recorded.map(|_| QuarantineCommand::Clear(fingerprint));
         }
         let times = recorded.map_or(0, |row| row.times);
-        let row = |held, times| {
+        let row = |quarantined, times| {
             let ended = self.ended.iter().take(QUARANTINE_CRASHES).copied().collect();
-            QuarantineCommand::Set(QuarantineRow {
-                fingerprint: mark,
-                ended,
-                quarantined: held,
-                times,
-            })
+            QuarantineCommand::Set(QuarantineRow { fingerprint, ended, quarantined, times })
         };
         if at_fault {
             return Some(row(true, times + 1));
@@ -323,14 +328,14 @@
 }
 
 /// Returns whether a command puts a request into quarantine.
-fn is_hold(command: &QuarantineCommand) -> bool {
+fn is_quarantine(command: &QuarantineCommand) -> bool {
     matches!(command, QuarantineCommand::Set(row) if row.quarantined)
 }
 
-/// Returns the mark of the request that a command is about.
-fn command_mark(command: &QuarantineCommand) -> RequestFingerprint {
+/// Returns the fingerprint of the request that a command is about.
+fn command_fingerprint(command: &QuarantineCommand) -> RequestFingerprint {
     match command {
         QuarantineCommand::Set(row) => row.fingerprint,
-        QuarantineCommand::Clear(mark) => *mark,
+        QuarantineCommand::Clear(fingerprint) => *fingerprint,
     }
 }
--- a/lib/src/coordination/quarantine_desk.rs
+++ b/lib/src/coordination/quarantine_desk.rs
@@ -19,23 +19,23 @@
 }
 
 impl QuarantineState {
-    /// Returns whether any request is held or watched. If not, requests need no mark.
+    /// Returns whether any request is quarantined or watched. If not, requests need no fingerprint.
     pub fn has_any(&self) -> bool {
         !self.published.rows().is_empty()
     }
 
     /// Returns whether a request is quarantined, that is, sent to no upstream.
-    pub fn is_held(&self, mark: RequestFingerprint) -> bool {
-        self.published.is_quarantined(mark)
+    pub fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
+        self.published.is_quarantined(fingerprint)
     }
 
     /// Returns whether VMs should report the completion of a request.
-    pub fn is_watched(&self, mark: RequestFingerprint) -> bool {
-        self.published.row(mark).is_some_and(|row| !row.quarantined)
+    pub fn is_watched(&self, fingerprint: RequestFingerprint) -> bool {
+        self.published.row(fingerprint).is_some_and(|row| !row.quarantined)
     }
 
     /// Returns the number of quarantined requests.
-    pub fn held(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.published.quarantined_count()
     }
 
@@ -61,14 +61,14 @@
     /// reported; the result is as for [`Self::note_crash`].
     pub fn note_completed(
         &mut self,
-        mark: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         pause_ms: u64,
         now_ms: u64,
     ) -> Option<u64> {
-        if !self.is_watched(mark) {
+        if !self.is_watched(fingerprint) {
             return None;
         }
-        self.outbox.note_completed(mark);
+        self.outbox.note_completed(fingerprint);
         self.plan_renewal(pause_ms, now_ms)
     }
 
@@ -97,9 +97,9 @@
         if !self.published.take_later(table) {
             return Vec::new();
         }
-        let held =
+        let quarantined =
             self.published.rows().iter().filter(|row| row.quarantined).map(|row| row.fingerprint);
-        held.filter(|mark| !before.is_quarantined(*mark)).collect()
+        quarantined.filter(|fingerprint| !before.is_quarantined(*fingerprint)).collect()
     }
 
     /// Counts what a VM reports, as the leader of `term`.
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -29,17 +29,19 @@
 struct BrokenSend {
     seen: ObservedCrash,
     address: SocketAddr,
-    life: String,
+    name: String,
     attempt: String,
 }
 
 impl CallerTask {
     /// The hash of the request's content, by which it is quarantined; `workspace` is the one whose key the
     /// caller sent.
-    pub(super) fn mark(&self, workspace: Option<&str>) -> RequestFingerprint {
+    pub(super) fn fingerprint(&self, workspace: Option<&str>) -> RequestFingerprint {
         let path = self.head.uri.path_and_query().map_or("/", |path| path.as_str());
         let (method, host) = (self.head.method.as_str(), self.caller.host.as_str());
-        *self.mark.get_or_init(|| RequestFingerprint::of(method, host, path, workspace, &self.body))
+        *self
+            .fingerprint
+            .get_or_init(|| RequestFingerprint::of(method, host, path, workspace, &self.body))
     }
 
     /// Whether the request is quarantined: upstreams ended so often while running it that it is no longer
@@ -47,27 +49,27 @@
     /// and at any VM.
     pub(super) fn is_quarantined(&self, workspace: Option<&str>) -> bool {
         let quarantine = self.node.quarantine.borrow();
-        quarantine.has_any() && quarantine.is_held(self.mark(workspace))
+        quarantine.has_any() && quarantine.is_quarantined(self.fingerprint(workspace))
     }
 
     /// Whether VMs are asked to report how this request ends.
     pub(super) fn is_watched(&self, workspace: Option<&str>) -> bool {
         let quarantine = self.node.quarantine.borrow();
-        quarantine.has_any() && quarantine.is_watched(self.mark(workspace))
+        quarantine.has_any() && quarantine.is_watched(self.fingerprint(workspace))
     }
 
     /// Notes that the request was answered in full. That is certain only if the body was `framed`: a body that
     /// is delimited by the end of its connection may have been truncated by the end of the upstream.
     pub(super) fn note_ran(&self, target: &SendTarget, framed: bool) {
         if framed && self.node.quarantine.borrow().has_any() {
-            self.node.report_completed(self.mark(target.send.workspace.as_deref()));
+            self.node.report_completed(self.fingerprint(target.send.workspace.as_deref()));
         }
     }
 
     /// Starts a check in the background whether the upstream has ended, after the connection of a send broke.
     pub(super) fn check_after_break(&self, target: &SendTarget) {
         let seen = ObservedCrash {
-            mark: self.mark(target.send.workspace.as_deref()),
+            fingerprint: self.fingerprint(target.send.workspace.as_deref()),
             upstream: target.upstream,
             watched: target.watched,
             ran_ms: self.node.now_ms().saturating_sub(target.sent_ms),
@@ -75,7 +77,7 @@
         let broken = BrokenSend {
             seen,
             address: target.address,
-            life: target.send.name.clone(),
+            name: target.send.name.clone(),
             attempt: self.caller.attempt.clone(),
         };
         spawn_local(self.node.clone().confirm_crash(broken));
@@ -85,7 +87,7 @@
 impl VmNode {
     /// Reports a crash to the leader if the upstream of the broken send has ended.
     async fn confirm_crash(self: Rc<Self>, broken: BrokenSend) {
-        let BrokenSend { seen, address, life, attempt } = broken;
+        let BrokenSend { seen, address, name, attempt } = broken;
         if !self.has_ended(seen.upstream, address).await {
             return;
         }
@@ -93,7 +95,7 @@
         self.counters.borrow_mut().crashes += 1;
         self.report_crash(seen);
         info!(
-            target: "upstream", life, attempt, request = %seen.mark, ran_ms = seen.ran_ms,
+            target: "upstream", life = name, attempt, request = %seen.fingerprint, ran_ms = seen.ran_ms,
             "upstream ended while running the request",
         );
     }
--- a/lib/src/transport/vm_forward.rs
+++ b/lib/src/transport/vm_forward.rs
@@ -87,7 +87,7 @@
         draw,
         record,
         connection,
-        mark: OnceCell::new(),
+        fingerprint: OnceCell::new(),
         _serving: serving,
     };
     let answer = match task.must_complete() {
--- a/lib/src/transport/vm_metrics.rs
+++ b/lib/src/transport/vm_metrics.rs
@@ -143,7 +143,7 @@
             "wingshed_left_total" => figures.abandoned,
             "wingshed_signs_total" => figures.failure_signs,
             "wingshed_ended_under_total" => figures.crashes,
-            "wingshed_requests_held" => self.quarantine.borrow().held() as u64,
+            "wingshed_requests_held" => self.quarantine.borrow().quarantined_count() as u64,
             "wingshed_rests_asked_total" => figures.backoffs,
             "wingshed_upstreams_at_rest" => self.pool.notices().borrow().backing_off(now_ms) as u64,
             "wingshed_upstreams_leaving" => self.pool.notices().borrow().leaving() as u64,
--- a/lib/src/transport/vm_quarantine.rs
+++ b/lib/src/transport/vm_quarantine.rs
@@ -20,16 +20,16 @@
     /// leader can receive renewals.
     pub(super) fn report_crash(self: &Rc<Self>, seen: ObservedCrash) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
-        let mut desk = self.quarantine.borrow_mut();
-        self.renew_after(desk.note_crash(seen, pause_ms, now_ms));
+        let mut state = self.quarantine.borrow_mut();
+        self.renew_after(state.note_crash(seen, pause_ms, now_ms));
     }
 
     /// Reports to the leader that a request ran to its end without ending its upstream, if the request is
     /// watched.
-    pub(super) fn report_completed(self: &Rc<Self>, mark: RequestFingerprint) {
+    pub(super) fn report_completed(self: &Rc<Self>, fingerprint: RequestFingerprint) {
         let (pause_ms, now_ms) = (self.renewal_pause_ms(), self.now_ms());
-        let mut desk = self.quarantine.borrow_mut();
-        self.renew_after(desk.note_completed(mark, pause_ms, now_ms));
+        let mut state = self.quarantine.borrow_mut();
+        self.renew_after(state.note_completed(fingerprint, pause_ms, now_ms));
     }
 
     /// The shortest interval between renewals that the leader can receive from all VMs, in milliseconds.
@@ -60,14 +60,14 @@
 
     /// Adds this VM's own report, as the leader of `term`, and applies the recorded quarantine to this VM.
     pub(super) fn receive_own_crashes(&self, term: u64, recorded: &QuarantineTable, now_ms: u64) {
-        let news = {
-            let mut desk = self.quarantine.borrow_mut();
-            let own = desk.take_report(now_ms);
-            desk.count_report(term, &own, recorded, now_ms);
-            desk.confirm(term, own.last());
-            recorded.update_since(desk.changes())
+        let update = {
+            let mut state = self.quarantine.borrow_mut();
+            let own = state.take_report(now_ms);
+            state.count_report(term, &own, recorded, now_ms);
+            state.confirm(term, own.last());
+            recorded.update_since(state.changes())
         };
-        news.into_iter().for_each(|table| self.apply_quarantine(table));
+        update.into_iter().for_each(|table| self.apply_quarantine(table));
     }
 
     /// Proposes changes of the quarantine to the replicated log, as the leader.
@@ -92,8 +92,8 @@
                     target: "quarantine", request = %row.fingerprint, held = row.quarantined, times = row.times,
                     ended = row.ended.len(), "decides",
                 ),
-                QuarantineCommand::Clear(mark) => {
-                    info!(target: "quarantine", request = %mark, "quarantine cleared");
+                QuarantineCommand::Clear(fingerprint) => {
+                    info!(target: "quarantine", request = %fingerprint, "quarantine cleared");
                 }
             }
             let command = FleetCommand::Quarantine(command);
@@ -104,8 +104,8 @@
 
     /// Applies the table of quarantined requests that a leader sent.
     pub(super) fn apply_quarantine(&self, table: QuarantineTable) {
-        for mark in self.quarantine.borrow_mut().take(table) {
-            info!(target: "quarantine", request = %mark, "request quarantined");
+        for fingerprint in self.quarantine.borrow_mut().take(table) {
+            info!(target: "quarantine", request = %fingerprint, "request quarantined");
         }
     }
 
--- a/lib/src/transport/vm_task.rs
+++ b/lib/src/transport/vm_task.rs
@@ -29,8 +29,8 @@
     pub(super) draw: u64,
     pub(super) record: Rc<RequestRecord>,
     pub(super) connection: ConnectionRecord,
-    /// The hash of the request's content, computed on first use; see [`CallerTask::mark`].
-    pub(super) mark: OnceCell<RequestFingerprint>,
+    /// The hash of the request's content, computed on first use; see [`CallerTask::fingerprint`].
+    pub(super) fingerprint: OnceCell<RequestFingerprint>,
     pub(super) _serving: ServingGuard,
 }
 
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -47,25 +47,25 @@
     }
 
     /// Reports crashes under sends of VMs that have received the recorded table.
-    fn ended(&mut self, mark: RequestFingerprint, upstreams: &[u64], now_ms: u64) {
-        let watched = self.recorded.row(mark).is_some_and(|row| !row.quarantined);
-        self.receive(&ended(mark, upstreams, watched), now_ms);
+    fn ended(&mut self, fingerprint: RequestFingerprint, upstreams: &[u64], now_ms: u64) {
+        let watched = self.recorded.row(fingerprint).is_some_and(|row| !row.quarantined);
+        self.receive(&ended(fingerprint, upstreams, watched), now_ms);
     }
 
     /// Reports three crashes in sequence without a completion, which quarantine the request.
-    fn crash_and_hold(&mut self, mark: RequestFingerprint, now_ms: u64) {
-        self.ended(mark, &[1, 2], now_ms);
-        self.ended(mark, &[3], now_ms);
+    fn crash_and_hold(&mut self, fingerprint: RequestFingerprint, now_ms: u64) {
+        self.ended(fingerprint, &[1, 2], now_ms);
+        self.ended(fingerprint, &[3], now_ms);
         self.evaluate(now_ms + settle_ms(VMS));
-        assert!(self.recorded.is_quarantined(mark));
+        assert!(self.recorded.is_quarantined(fingerprint));
         self.evaluate(now_ms + settle_ms(VMS));
     }
 }
 
-fn ended(mark: RequestFingerprint, upstreams: &[u64], watched: bool) -> CrashReport {
+fn ended(fingerprint: RequestFingerprint, upstreams: &[u64], watched: bool) -> CrashReport {
     let note = |(at, upstream): (usize, &u64)| CrashNote {
         number: at as u64 + 1,
-        mark,
+        fingerprint,
         upstream: UpstreamKey(*upstream),
         watched,
         ran_ms: 100,
@@ -73,12 +73,12 @@
     CrashReport { ended: upstreams.iter().enumerate().map(note).collect(), well: Vec::new() }
 }
 
-fn seen(mark: RequestFingerprint, upstream: u64) -> ObservedCrash {
-    ObservedCrash { mark, upstream: UpstreamKey(upstream), watched: false, ran_ms: 100 }
+fn seen(fingerprint: RequestFingerprint, upstream: u64) -> ObservedCrash {
+    ObservedCrash { fingerprint, upstream: UpstreamKey(upstream), watched: false, ran_ms: 100 }
 }
 
-fn well(mark: RequestFingerprint) -> CrashReport {
-    CrashReport { ended: Vec::new(), well: vec![mark] }
+fn well(fingerprint: RequestFingerprint) -> CrashReport {
+    CrashReport { ended: Vec::new(), well: vec![fingerprint] }
 }
 
 #[test]
@@ -138,9 +138,13 @@
 fn where_very_many_requests_seem_at_fault_the_upstreams_are() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
 
-    for mark in 0..4 * MAX_QUARANTINED as u64 {
-        leader.ended(RequestFingerprint(mark), &[3 * mark, 3 * mark + 1], START_MS);
-        leader.ended(RequestFingerprint(mark), &[3 * mark + 2], START_MS + 10);
+    for fingerprint in 0..4 * MAX_QUARANTINED as u64 {
+        leader.ended(
+            RequestFingerprint(fingerprint),
+            &[3 * fingerprint, 3 * fingerprint + 1],
+            START_MS,
+        );
+        leader.ended(RequestFingerprint(fingerprint), &[3 * fingerprint + 2], START_MS + 10);
     }
     for step in 0..400 {
         leader.evaluate(START_MS + step * 25);
@@ -284,8 +288,8 @@
 fn many_requests_that_are_watched_neither_push_each_other_out_nor_fill_the_log() {
     let mut leader = Leader::of_term(1, QuarantineTable::default());
     let many = 4 * MAX_ROWS as u64;
-    for mark in 0..many {
-        leader.ended(RequestFingerprint(mark), &[1, 2], START_MS);
+    for fingerprint in 0..many {
+        leader.ended(RequestFingerprint(fingerprint), &[1, 2], START_MS);
     }
     for step in 0..400 {
         leader.evaluate(START_MS + step * 25);
@@ -322,9 +326,9 @@
     let of = |method, path, workspace, body: &str| {
         RequestFingerprint::of(method, "a.example", path, workspace, body.as_bytes())
     };
-    let mark = of("POST", "/x/1", Some("w"), "body");
+    let fingerprint = of("POST", "/x/1", Some("w"), "body");
 
-    assert_eq!(of("POST", "/x/1", Some("w"), "body"), mark);
+    assert_eq!(of("POST", "/x/1", Some("w"), "body"), fingerprint);
     for (what, other) in [
         ("method", of("PUT", "/x/1", Some("w"), "body")),
         ("path", of("POST", "/x/2", Some("w"), "body")),
@@ -333,7 +337,7 @@
         ("body", of("POST", "/x/1", Some("w"), "bodies")),
         ("path and workspace joined differently", of("POST", "/x/1w", Some(""), "body")),
     ] {
-        assert_ne!(other, mark, "{what}");
+        assert_ne!(other, fingerprint, "{what}");
     }
 }
 
@@ -351,10 +355,10 @@
             }
             let at_ms = START_MS + at as u64 * 500;
             let mut report = CrashReport::default();
-            for (mark, ran_ms) in [(stream, 900), (POISON, 80)] {
-                let watched = leader.recorded.row(mark).is_some_and(|row| !row.quarantined);
+            for (fingerprint, ran_ms) in [(stream, 900), (POISON, 80)] {
+                let watched = leader.recorded.row(fingerprint).is_some_and(|row| !row.quarantined);
                 let upstream = UpstreamKey(upstream);
-                report.ended.push(CrashNote { number: 1, mark, upstream, watched, ran_ms });
+                report.ended.push(CrashNote { number: 1, fingerprint, upstream, watched, ran_ms });
             }
             if !stream_first {
                 report.ended.reverse();
