--- a/lib/src/coordination/holder_news.rs
+++ b/lib/src/coordination/holder_news.rs
@@ -43,7 +43,8 @@
     /// The leader's term.
     pub term: u64,
     /// The number of notes of that term that were received.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub received: u64,
 }
 
 /// The notes that a VM has yet to report.
@@ -118,11 +119,11 @@
 
     /// The next notes for a VM that has received those up to `position`, and its position after them.
     pub fn notes_after(&self, position: HolderPosition) -> (Vec<HolderNote>, HolderPosition) {
-        let received = if position.term == self.term { position.heard } else { 0 };
-        let from = received.saturating_sub(self.dropped).min(self.notes.len() as u64) as usize;
+        let before = if position.term == self.term { position.received } else { 0 };
+        let from = before.saturating_sub(self.dropped).min(self.notes.len() as u64) as usize;
         let sent: Vec<HolderNote> =
             self.notes.iter().skip(from).take(NOTES_PER_MESSAGE).copied().collect();
-        let heard = self.dropped + (from + sent.len()) as u64;
-        (sent, HolderPosition { term: self.term, heard })
+        let received = self.dropped + (from + sent.len()) as u64;
+        (sent, HolderPosition { term: self.term, received })
     }
 }
--- a/lib/src/coordination/leaving.rs
+++ b/lib/src/coordination/leaving.rs
@@ -28,12 +28,12 @@
 
 impl LeavingTable {
     /// Notes a leaving incarnation. Returns true if it is new and should be sent to the other routers.
-    pub fn note_leaving(&mut self, mark: LeavingIncarnation) -> bool {
-        let known = self.leaving.get(&mark.upstream).copied();
-        if known.is_some_and(|known| known >= mark.incarnation) {
+    pub fn note_leaving(&mut self, leaving: LeavingIncarnation) -> bool {
+        let known = self.leaving.get(&leaving.upstream).copied();
+        if known.is_some_and(|known| known >= leaving.incarnation) {
             return false;
         }
-        self.leaving.insert(mark.upstream, mark.incarnation);
+        self.leaving.insert(leaving.upstream, leaving.incarnation);
         true
     }
 
--- a/lib/src/coordination/log_story.rs
+++ b/lib/src/coordination/log_story.rs
@@ -119,7 +119,7 @@
     let Some(first_s) = times().min_by(f64::total_cmp) else { return Vec::new() };
     let last_s = times().max_by(f64::total_cmp).unwrap_or(first_s);
     let vms: BTreeSet<&str> = own_lines.iter().map(|line| line.vm.as_str()).collect();
-    let lives: Vec<&Value> = own_lines.iter().filter_map(|line| line.fields.get("life")).collect();
+    let names: Vec<&Value> = own_lines.iter().filter_map(|line| line.fields.get("life")).collect();
 
     let mut story = Vec::new();
     let mut add = |reason, found: Vec<&LogLine>| {
@@ -143,7 +143,7 @@
     let beside = lines.iter().filter(near).filter(same_vm);
     add(StoryReason::SameVm, nearest(beside.collect(), first_s));
     let same_upstream =
-        |line: &&LogLine| line.fields.get("life").is_some_and(|life| lives.contains(&life));
+        |line: &&LogLine| line.fields.get("life").is_some_and(|name| names.contains(&name));
     let beside = lines.iter().filter(near).filter(same_upstream);
     add(StoryReason::SameUpstream, nearest(beside.collect(), first_s));
     add(StoryReason::Request, own_lines);
--- a/lib/src/coordination/upstream_candidate.rs
+++ b/lib/src/coordination/upstream_candidate.rs
@@ -25,7 +25,7 @@
     /// cold. It counts in the mean load by which a deployment limits the load of the others.
     pub withheld: bool,
     /// How long the upstream has asked this VM to send it nothing, in milliseconds; 0 if it hasn't.
-    /// Such an upstream counts in the mean load like a withheld one.
+    /// An upstream that backs off counts in the mean load like a withheld one.
     pub backoff_ms: u64,
     /// Its slot on the ring from which the order of engines is computed.
     pub ring_slot: Option<u64>,
--- a/lib/src/coordination/upstream_seats.rs
+++ b/lib/src/coordination/upstream_seats.rs
@@ -106,21 +106,21 @@
 
     /// Records the row's upstream as the holder of its ring slot.
     fn hold(&mut self, row: &UpstreamEntry) {
-        if let Some(seat) = row.ring_slot {
+        if let Some(ring_slot) = row.ring_slot {
             let (service, address) = (row.service.clone(), row.address);
             self.slots
-                .insert(seat, RingSlotRow { ring_slot: seat, service, address, holder: row.key() });
+                .insert(ring_slot, RingSlotRow { ring_slot, service, address, holder: row.key() });
         }
     }
 
     /// A new ring slot, computed from the address, so that a VM without a record of earlier ring
     /// slots gives the same ones to all upstreams whose ring slot is free.
     fn new_ring_slot(&self, row: &UpstreamEntry) -> u64 {
-        let mut seat = xxh3_64(row.address.to_string().as_bytes());
-        while self.slots.contains_key(&seat) {
-            seat = seat.wrapping_add(1);
+        let mut ring_slot = xxh3_64(row.address.to_string().as_bytes());
+        while self.slots.contains_key(&ring_slot) {
+            ring_slot = ring_slot.wrapping_add(1);
         }
-        seat
+        ring_slot
     }
 }
 
@@ -146,8 +146,8 @@
     /// The ring slot of the same service at the same address, which belongs to a restarted
     /// upstream.
     fn take_place(&mut self, row: &UpstreamEntry) -> Option<u64> {
-        let seat = self.by_place.remove(&(row.service.clone(), row.address))?;
-        self.by_service.get_mut(&row.service)?.remove(&seat).then_some(seat)
+        let ring_slot = self.by_place.remove(&(row.service.clone(), row.address))?;
+        self.by_service.get_mut(&row.service)?.remove(&ring_slot).then_some(ring_slot)
     }
 
     /// Any vacant ring slot of the same service.
--- a/lib/src/coordination/vm_roster.rs
+++ b/lib/src/coordination/vm_roster.rs
@@ -98,13 +98,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterUpdate {
     /// The revision after this update; term 0 means that there is no update.
-    pub mark: RosterRevision,
+    #[serde(rename = "mark")]
+    pub revision: RosterRevision,
     /// Whether `rows` is the whole roster instead of the changed rows.
     pub whole: bool,
     /// The rows to insert or replace.
     pub rows: Vec<RosterRow>,
     /// The VMs to remove.
-    pub gone: Vec<u32>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<u32>,
 }
 
 /// How long VMs that left the roster are remembered, in milliseconds. There is no limit on their number:
@@ -222,18 +224,18 @@
 
     /// Returns the update that the leader of `term` should send to a VM with revision `have`.
     pub fn update_since(&self, term: u64, have: RosterRevision) -> RosterUpdate {
-        let mark = RosterRevision { term, change: self.change };
-        if have == mark {
-            return RosterUpdate { mark, ..RosterUpdate::default() };
+        let revision = RosterRevision { term, change: self.change };
+        if have == revision {
+            return RosterUpdate { revision, ..RosterUpdate::default() };
         }
         if have.term != term || have.change < self.forgotten {
-            return RosterUpdate { mark, whole: true, rows: self.rows(), gone: Vec::new() };
+            return RosterUpdate { revision, whole: true, rows: self.rows(), removed: Vec::new() };
         }
         let changed = self.vms.values().filter(|vm| vm.changed > have.change);
         let rows: Vec<RosterRow> = changed.map(|vm| vm.row).collect();
         let left = self.gone.iter().filter(|vm| vm.change > have.change).map(|vm| vm.id);
-        let gone = left.filter(|id| !self.vms.contains_key(id)).collect();
-        RosterUpdate { mark, whole: false, rows, gone }
+        let removed = left.filter(|id| !self.vms.contains_key(id)).collect();
+        RosterUpdate { revision, whole: false, rows, removed }
     }
 
     /// Returns the requests in flight by upstream, summed over all VMs.
@@ -262,19 +264,19 @@
 impl RosterCopy {
     /// Applies an update if it is newer and either whole or of the same term.
     pub fn take(&mut self, update: RosterUpdate) {
-        let (own, mark) = (self.revision, update.mark);
-        let newer = (mark.term, mark.change) > (own.term, own.change);
-        if !newer || !(update.whole || mark.term == own.term) {
+        let (own, revision) = (self.revision, update.revision);
+        let newer = (revision.term, revision.change) > (own.term, own.change);
+        if !newer || !(update.whole || revision.term == own.term) {
             return;
         }
         if update.whole {
             self.rows = update.rows;
         } else {
             let listed: Vec<u32> = update.rows.iter().map(|row| row.id).collect();
-            self.rows.retain(|row| !update.gone.contains(&row.id) && !listed.contains(&row.id));
+            self.rows.retain(|row| !update.removed.contains(&row.id) && !listed.contains(&row.id));
             self.rows.extend(update.rows);
             self.rows.sort_unstable_by_key(|row| row.id);
         }
-        self.revision = update.mark;
+        self.revision = update.revision;
     }
 }
--- a/lib/src/coordination/zone_watch.rs
+++ b/lib/src/coordination/zone_watch.rs
@@ -2,7 +2,7 @@
 //!
 //! Orders are sent with the leader's grants, and the last received ones stay in effect without a grant:
 //! a VM without contact to a leader does not report itself ready, and if it receives requests
-//! nevertheless, it sends none to a zone that was emptied by its last orders. See `docs/design/zones.md`.
+//! nevertheless, it sends none to a zone that was evacuated by its last orders. See `docs/design/zones.md`.
 
 use std::collections::BTreeMap;
 
@@ -22,23 +22,23 @@
 pub struct ZoneChange {
     /// The zone.
     pub zone: String,
-    /// Whether the zone is emptied now.
-    pub emptied: bool,
+    /// Whether the zone is evacuated now.
+    pub evacuated: bool,
 }
 
 impl ZoneWatch {
     /// Applies received orders unless they are older than the known ones. Returns the zones that they
-    /// empty or take back into use.
+    /// evacuate or take back into use.
     pub fn take(&mut self, orders: ZoneOrders, now_ms: u64) -> Vec<ZoneChange> {
         let Some(before) = self.orders.take_later(orders) else { return Vec::new() };
-        let other = |zone: &str, emptied| before.is_evacuated(zone) != emptied;
+        let other = |zone: &str, evacuated| before.is_evacuated(zone) != evacuated;
         let rows = self.orders.rows().iter();
         let changes: Vec<ZoneChange> = rows
             .filter(|row| other(&row.zone, row.evacuated))
-            .map(|row| ZoneChange { zone: row.zone.clone(), emptied: row.evacuated })
+            .map(|row| ZoneChange { zone: row.zone.clone(), evacuated: row.evacuated })
             .collect();
         for change in &changes {
-            match change.emptied {
+            match change.evacuated {
                 true => drop(self.returned_ms.remove(&change.zone)),
                 false => drop(self.returned_ms.insert(change.zone.clone(), now_ms)),
             }
@@ -46,13 +46,13 @@
         changes
     }
 
-    /// Returns whether any zone is emptied.
-    pub fn any_emptied(&self) -> bool {
+    /// Returns whether any zone is evacuated.
+    pub fn any_evacuated(&self) -> bool {
         self.orders.rows().iter().any(|row| row.evacuated)
     }
 
-    /// Returns whether a zone is emptied, so that its upstreams get no requests.
-    pub fn is_emptied(&self, zone: &str) -> bool {
+    /// Returns whether a zone is evacuated, so that its upstreams get no requests.
+    pub fn is_evacuated(&self, zone: &str) -> bool {
         self.orders.is_evacuated(zone)
     }
 
--- a/lib/src/protocol/keeper_wire.rs
+++ b/lib/src/protocol/keeper_wire.rs
@@ -11,9 +11,9 @@
 use crate::state::keeper_machine::ChangeRecord;
 use crate::state::roster::{RouterRoster, RouterSession};
 
-/// The most leaving marks in one datagram, so that it stays within the size limit. The marks beyond
-/// it are sent once earlier ones have expired.
-pub const MARKS_PER_DATAGRAM: usize = 12;
+/// The maximum number of leaving incarnations in one datagram, which keeps it within the size limit.
+/// The others are sent once earlier ones have expired.
+pub const LEAVING_PER_DATAGRAM: usize = 12;
 /// The HTTP path of Raft messages.
 pub const RAFT_PATH: &str = "/keeper/raft";
 /// The HTTP path of calls.
@@ -117,7 +117,8 @@
         /// Its load.
         rows: Vec<LoadRow>,
         /// Incarnations known to the sender to be leaving.
-        marks: Vec<LeavingIncarnation>,
+        #[serde(rename = "marks")]
+        leaving: Vec<LeavingIncarnation>,
     },
 }
 
@@ -150,7 +151,8 @@
     /// Its load.
     pub rows: Vec<LoadRow>,
     /// Incarnations that the router recently learned to be leaving.
-    pub marks: Vec<LeavingIncarnation>,
+    #[serde(rename = "marks")]
+    pub leaving: Vec<LeavingIncarnation>,
 }
 
 /// The answer to a renewal; see [`Datagram::Grant`].
@@ -169,7 +171,8 @@
     /// The load of all other routers.
     pub rows: Vec<LoadRow>,
     /// Incarnations that were recently published as leaving.
-    pub marks: Vec<LeavingIncarnation>,
+    #[serde(rename = "marks")]
+    pub leaving: Vec<LeavingIncarnation>,
 }
 
 /// Encodes a message.
--- a/lib/src/transport/keeper_loop.rs
+++ b/lib/src/transport/keeper_loop.rs
@@ -28,7 +28,7 @@
 use crate::coordination::session_watch::SessionWatch;
 use crate::protocol::keeper_wire::{
     decode, encode, Datagram, KeeperCall, KeeperIdentity, KeeperReply, LeaseGrant, LeaseRenewal,
-    MARKS_PER_DATAGRAM,
+    LEAVING_PER_DATAGRAM,
 };
 use crate::protocol::operator::{KeeperStatus, MemberStatus, RouterStatus, WireRow};
 use crate::state::claim_table::{ClaimReport, ClaimRequest};
@@ -483,7 +483,7 @@
         self.loads.expire(now_ms);
         let fleets: Vec<FleetKey> = renewal.rows.iter().map(|row| row.fleet).collect();
         self.leaving_marks.retain(|(_, noted_ms)| now_ms < noted_ms + LEAVING_KEEP_MS);
-        for leaving in renewal.marks {
+        for leaving in renewal.leaving {
             if !self.leaving_marks.iter().any(|(known, _)| *known == leaving) {
                 self.leaving_marks.push((leaving, now_ms));
             }
@@ -495,11 +495,11 @@
             epoch: self.machine.roster.epoch,
             settled_epoch: self.sessions.settled_epoch(&self.machine.roster, now_ms),
             rows: self.loads.others(router, &fleets),
-            marks: self
+            leaving: self
                 .leaving_marks
                 .iter()
                 .map(|(leaving, _)| *leaving)
-                .take(MARKS_PER_DATAGRAM)
+                .take(LEAVING_PER_DATAGRAM)
                 .collect(),
         };
         self.outputs.port.send(from, &Datagram::Grant(grant));
--- a/lib/src/transport/router_control.rs
+++ b/lib/src/transport/router_control.rs
@@ -14,7 +14,7 @@
 use crate::coordination::router_lease::{renewal_targets, RENEW_MS};
 use crate::protocol::engine;
 use crate::protocol::keeper_wire::{
-    ChatNote, Datagram, KeeperCall, KeeperReply, LeaseGrant, LeaseRenewal, MARKS_PER_DATAGRAM,
+    ChatNote, Datagram, KeeperCall, KeeperReply, LeaseGrant, LeaseRenewal, LEAVING_PER_DATAGRAM,
 };
 use crate::protocol::vm_list::{list_call, read_list, VmStatus};
 use crate::state::configuration::{read_configuration, Configuration};
@@ -115,8 +115,8 @@
                 home_state.memory.note(note.chat, note.engine, note.incarnation, note.tokens);
             }
         }
-        ControlEvent::Leaving(marks) => {
-            marks.into_iter().for_each(|leaving| shared.note_leaving(leaving))
+        ControlEvent::Leaving(leaving) => {
+            leaving.into_iter().for_each(|leaving| shared.note_leaving(leaving))
         }
     }
 }
@@ -145,7 +145,7 @@
 fn send_renewal(shared: &Arc<RouterShared>, times: &mut ControlSchedule, now_ms: u64) {
     let (version, epoch) = applied_versions(shared);
     let view = shared.view();
-    let marks = {
+    let leaving = {
         let mut home_state = lock(&shared.home_state);
         home_state.recent_leaving.retain(|(_, noted_ms)| now_ms < noted_ms + LEAVING_KEEP_MS);
         home_state.notices.sweep(|upstream| view.upstreams.contains_key(&upstream), now_ms);
@@ -153,7 +153,7 @@
             .recent_leaving
             .iter()
             .map(|(leaving, _)| *leaving)
-            .take(MARKS_PER_DATAGRAM)
+            .take(LEAVING_PER_DATAGRAM)
             .collect()
     };
     let renewal = LeaseRenewal {
@@ -163,7 +163,7 @@
         version,
         epoch,
         rows: rows_in_turn(shared.load_rows(), times.turn),
-        marks,
+        leaving,
     };
     times.turn += 1;
     let reported_ms = lock(&shared.home_state).remote_load.reported_ms();
@@ -199,7 +199,7 @@
         home_state.remote_load.note(&grant.rows, grant.sent_ms);
         home_state.homes.settle(grant.settled_epoch);
     }
-    for leaving in grant.marks {
+    for leaving in grant.leaving {
         shared.note_leaving(leaving);
     }
 }
@@ -329,10 +329,10 @@
     }
     times.sums_ms = now_ms + SUMS_INTERVAL_MS;
     let view = shared.view();
-    let marks: Vec<LeavingIncarnation> =
-        lock(&shared.home_state).leaving.all().into_iter().take(MARKS_PER_DATAGRAM).collect();
+    let leaving: Vec<LeavingIncarnation> =
+        lock(&shared.home_state).leaving.all().into_iter().take(LEAVING_PER_DATAGRAM).collect();
     let rows = rows_in_turn(shared.load_rows(), times.turn);
-    let sums = Datagram::Sums { router: shared.id(), rows, marks };
+    let sums = Datagram::Sums { router: shared.id(), rows, leaving };
     for (id, session) in &view.roster.routers {
         if *id != shared.id() {
             shared.port.send(session.address, &sums);
--- a/lib/src/transport/router_node.rs
+++ b/lib/src/transport/router_node.rs
@@ -70,8 +70,8 @@
                     return;
                 }
                 Datagram::Chats(notes) => ControlEvent::Chats(notes),
-                Datagram::Sums { router, rows, marks } => {
-                    let _ = events.send(ControlEvent::Leaving(marks));
+                Datagram::Sums { router, rows, leaving } => {
+                    let _ = events.send(ControlEvent::Leaving(leaving));
                     ControlEvent::Sums(router, rows)
                 }
                 _ => return,
--- a/lib/src/transport/vm_list.rs
+++ b/lib/src/transport/vm_list.rs
@@ -269,7 +269,7 @@
         let mut ring_slots = before.clone();
         // While a zone is evacuated, engines without a ring slot don't wait for its slots to become vacant:
         // the others would have to do their share of the work meanwhile.
-        let waiting = match self.zones.borrow().watch.any_emptied() {
+        let waiting = match self.zones.borrow().watch.any_evacuated() {
             true => BTreeSet::new(),
             false => {
                 waiting_services(&self.upstreams.borrow(), &loads, |name| self.engine_slots(name))
--- a/lib/src/transport/vm_rollouts.rs
+++ b/lib/src/transport/vm_rollouts.rs
@@ -279,7 +279,7 @@
         let may_get_trial = |entry: &UpstreamEntry| {
             let key = entry.key();
             let reached = !outliers.is_gone(key) && !self.is_unresponsive(key);
-            entry.takes_work() && reached && !zones.watch.is_emptied(&entry.zone)
+            entry.takes_work() && reached && !zones.watch.is_evacuated(&entry.zone)
         };
         state.tracker().rule(service, lane, seen, may_get_trial, self.now_ms())
     }
@@ -341,7 +341,7 @@
         };
         for (key, entry) in upstreams.accepting(service) {
             let available = !entry.cold
-                && !zones.watch.is_emptied(&entry.zone)
+                && !zones.watch.is_evacuated(&entry.zone)
                 && !silence.view.is_unresponsive(key, now_ms);
             match entry.version == target {
                 true => status.available += usize::from(available),
--- a/lib/src/transport/vm_zones.rs
+++ b/lib/src/transport/vm_zones.rs
@@ -68,7 +68,7 @@
     pub(super) fn apply_zone_orders(&self, orders: ZoneOrders) {
         let changes = self.zones.borrow_mut().watch.take(orders, self.now_ms());
         for change in changes {
-            match change.emptied {
+            match change.evacuated {
                 true => info!(target: "zones", zone = change.zone, "gets nothing more"),
                 false => info!(target: "zones", zone = change.zone, "is taken back"),
             }
@@ -80,7 +80,7 @@
     /// in requests a second at a cold upstream of the service; 0 for none.
     pub(super) fn is_withheld(&self, entry: &UpstreamEntry, cold_per_s: f64) -> bool {
         let state = self.zones.borrow();
-        if state.watch.is_emptied(&entry.zone) {
+        if state.watch.is_evacuated(&entry.zone) {
             return true;
         }
         if !self.is_cold(entry, cold_per_s) {
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -18,7 +18,7 @@
 };
 use wingshed_lib::coordination::session_watch::{SessionWatch, LAPSE_MS};
 use wingshed_lib::coordination::workspace_limit::{LimitRefusal, LimitTable};
-use wingshed_lib::protocol::keeper_wire::{encode, Datagram, LeaseGrant, MARKS_PER_DATAGRAM};
+use wingshed_lib::protocol::keeper_wire::{encode, Datagram, LeaseGrant, LEAVING_PER_DATAGRAM};
 use wingshed_lib::protocol::seal::{SealChecker, SealMaker, SealRefusal, SEAL_AGE_MS};
 use wingshed_lib::state::chat_memory::{ChatMemory, HolderCertainty};
 use wingshed_lib::state::claim_table::*;
@@ -302,19 +302,20 @@
 #[test]
 fn leaving_is_sticky_for_a_life_and_ends_with_a_new_one() {
     let upstream = UpstreamKey(1);
-    let mark = |incarnation| LeavingIncarnation { upstream, incarnation: Incarnation(incarnation) };
+    let leaving =
+        |incarnation| LeavingIncarnation { upstream, incarnation: Incarnation(incarnation) };
     let mut table = LeavingTable::default();
     table.note_incarnation(upstream, Incarnation(3));
 
-    assert!(table.note_leaving(mark(3)), "a new notice");
-    assert!(!table.note_leaving(mark(3)), "reported twice");
-    assert!(!table.note_leaving(mark(2)), "an old list");
+    assert!(table.note_leaving(leaving(3)), "a new notice");
+    assert!(!table.note_leaving(leaving(3)), "reported twice");
+    assert!(!table.note_leaving(leaving(2)), "an old list");
     table.note_incarnation(upstream, Incarnation(2));
     assert!(table.is_leaving(upstream), "a late report of an earlier incarnation reopens nothing");
     table.note_incarnation(upstream, Incarnation(4));
     assert!(!table.is_leaving(upstream));
     assert!(
-        !table.note_leaving(mark(3)),
+        !table.note_leaving(leaving(3)),
         "a late notice of the earlier incarnation closes nothing"
     );
     assert!(!table.is_leaving(upstream));
@@ -477,7 +478,7 @@
         largest: u64::MAX,
         lightest: lightest.clone(),
     };
-    let mark =
+    let leaving =
         LeavingIncarnation { upstream: UpstreamKey(u64::MAX), incarnation: Incarnation(u64::MAX) };
     let mut seen = std::collections::BTreeSet::new();
 
@@ -491,7 +492,7 @@
             epoch: u64::MAX,
             settled_epoch: u64::MAX,
             rows,
-            marks: vec![mark; MARKS_PER_DATAGRAM],
+            leaving: vec![leaving; LEAVING_PER_DATAGRAM],
         };
         let bytes = encode(&Datagram::Grant(grant)).len();
         assert!(bytes <= MAX_DATAGRAM_BYTES, "{bytes} bytes");
--- a/lib/tests/test_fleet_news.rs
+++ b/lib/tests/test_fleet_news.rs
@@ -181,10 +181,10 @@
     copy.take(second.clone());
     copy.take(first);
 
-    assert_eq!((second.rows, second.gone, second.whole), (vec![row(3, true)], vec![2], false));
+    assert_eq!((second.rows, second.removed, second.whole), (vec![row(3, true)], vec![2], false));
     assert_eq!(copy.rows, [row(1, true), row(3, true)], "a late update reverts nothing");
     let none = roster.update_since(5, copy.revision);
-    assert!(none.rows.is_empty() && none.gone.is_empty(), "{none:?}");
+    assert!(none.rows.is_empty() && none.removed.is_empty(), "{none:?}");
     assert!(roster.update_since(6, copy.revision).whole, "another term has other revisions");
 }
 
--- a/lib/tests/test_fleet_size.rs
+++ b/lib/tests/test_fleet_size.rs
@@ -216,7 +216,7 @@
     roster.expire(ROW_KEEP_MS);
     let update = roster.update_since(1, copy.revision);
 
-    let sent = (update.rows.len(), update.gone.len());
+    let sent = (update.rows.len(), update.removed.len());
     copy.take(update);
     assert_eq!(copy.rows, roster.rows());
     sent
@@ -231,7 +231,7 @@
 #[test]
 fn a_vm_that_missed_a_loss_is_told_all() {
     let mut roster = roster_of(10, 0);
-    let missed = roster.update_since(1, RosterRevision::default()).mark;
+    let missed = roster.update_since(1, RosterRevision::default()).revision;
     roster.note(vm(1), None, Vec::new(), ROW_KEEP_MS);
     roster.expire(ROW_KEEP_MS);
     roster.note(vm(1), None, Vec::new(), 10 * ROW_KEEP_MS);
--- a/lib/tests/test_holder_news.rs
+++ b/lib/tests/test_holder_news.rs
@@ -90,13 +90,13 @@
 fn a_new_leader_begins_anew_and_its_marks_are_not_taken_for_the_old_ones() {
     let mut log = HolderLog::default();
     log.take(3, &[note(1, 7), note(2, 7)]);
-    let (_, heard) = log.notes_after(HolderPosition::default());
+    let (_, received) = log.notes_after(HolderPosition::default());
 
     let fresh = log.take(4, &[note(5, 9)]);
 
     assert_eq!(fresh, [note(5, 9)]);
-    let (reported, position) = log.notes_after(heard);
-    assert_eq!((reported, position), (vec![note(5, 9)], HolderPosition { term: 4, heard: 1 }));
+    let (reported, position) = log.notes_after(received);
+    assert_eq!((reported, position), (vec![note(5, 9)], HolderPosition { term: 4, received: 1 }));
     assert_eq!(log.notes_after(position).0, []);
 }
 
@@ -107,15 +107,15 @@
     ) {
         let mut log = HolderLog::default();
         let mut last = std::collections::HashMap::new();
-        let mut heard = std::collections::HashMap::new();
+        let mut received = std::collections::HashMap::new();
         let mut position = HolderPosition::default();
         for (part, engine, receives) in steps {
             log.take(1, &[note(part, engine)]);
             last.insert(part, UpstreamKey(engine));
             if receives {
                 let (reported, next) = log.notes_after(position);
-                prop_assert!(reported.len() <= NOTES_PER_MESSAGE && next.heard >= position.heard);
-                heard.extend(reported.iter().map(|note| (note.part, note.engine)));
+                prop_assert!(reported.len() <= NOTES_PER_MESSAGE && next.received >= position.received);
+                received.extend(reported.iter().map(|note| (note.part, note.engine)));
                 position = next;
             }
         }
@@ -124,12 +124,12 @@
             if reported.is_empty() {
                 break;
             }
-            heard.extend(reported.iter().map(|note| (note.part, note.engine)));
+            received.extend(reported.iter().map(|note| (note.part, note.engine)));
             position = next;
         }
-        let (all, _) = log.notes_after(HolderPosition { term: 1, heard: position.heard });
+        let (all, _) = log.notes_after(HolderPosition { term: 1, received: position.received });
         prop_assert!(all.is_empty(), "no note is sent twice");
-        let wrong = heard.iter().filter(|(part, engine)| last[part] != **engine).count();
+        let wrong = received.iter().filter(|(part, engine)| last[part] != **engine).count();
         prop_assert_eq!(wrong, 0);
     }
 }
--- a/lib/tests/test_zones.rs
+++ b/lib/tests/test_zones.rs
@@ -71,13 +71,13 @@
     let emptied = orders(&[order("a", 1, true)]);
     let back = orders(&[order("a", 1, true), order("a", 2, false)]);
 
-    let change = |emptied| vec![ZoneChange { zone: "a".to_string(), emptied }];
+    let change = |evacuated| vec![ZoneChange { zone: "a".to_string(), evacuated }];
     assert_eq!(watch.take(emptied.clone(), 100), change(true));
     assert_eq!(watch.take(emptied.clone(), 200), Vec::new());
-    assert!(watch.is_emptied("a") && !watch.is_emptied("b"));
+    assert!(watch.is_evacuated("a") && !watch.is_evacuated("b"));
     assert_eq!(watch.take(back, 300), change(false));
     assert_eq!(watch.take(emptied, 400), Vec::new(), "a late update");
-    assert!(!watch.is_emptied("a"));
+    assert!(!watch.is_evacuated("a"));
 }
 
 #[test]
