--- a/lib/src/coordination/attempt_plan.rs
+++ b/lib/src/coordination/attempt_plan.rs
@@ -1,6 +1,6 @@
 //! Decides what to do with a request after each attempt to send it.
 //!
-//! One rule applies to all cases: the caller is told that a request did not run only if that is
+//! One rule applies to all cases: the answer states that a request did not run only if that is
 //! true of every attempt, and a request that may have run is sent again only if it may be repeated.
 
 use crate::state::route_table::RequestKind;
--- a/lib/src/coordination/crash_outbox.rs
+++ b/lib/src/coordination/crash_outbox.rs
@@ -53,7 +53,8 @@
     /// Crashes of upstreams.
     pub ended: Vec<CrashNote>,
     /// Watched requests that completed.
-    pub well: Vec<RequestFingerprint>,
+    #[serde(rename = "well")]
+    pub completed: Vec<RequestFingerprint>,
 }
 
 impl CrashReport {
@@ -70,7 +71,7 @@
     last_number: u64,
     confirmed: u64,
     term: u64,
-    well: BTreeSet<RequestFingerprint>,
+    completed: BTreeSet<RequestFingerprint>,
 }
 
 impl CrashOutbox {
@@ -88,7 +89,7 @@
     /// Queues the completion of a watched request. It is reported once and not repeated after a loss:
     /// the next completion of the request is queued again.
     pub fn note_completed(&mut self, fingerprint: RequestFingerprint) {
-        self.well.insert(fingerprint);
+        self.completed.insert(fingerprint);
     }
 
     /// Returns the report for the next renewal.
@@ -98,7 +99,7 @@
         let unconfirmed = unconfirmed.filter(|note| note.number > self.confirmed);
         CrashReport {
             ended: unconfirmed.take(CRASHES_PER_RENEWAL).collect(),
-            well: std::mem::take(&mut self.well).into_iter().collect(),
+            completed: std::mem::take(&mut self.completed).into_iter().collect(),
         }
     }
 
--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -68,7 +68,7 @@
     /// When enough upstreams had crashed, one of them under a watched send.
     proven_ms: Option<u64>,
     /// Whether the request completed since its last crash.
-    well: bool,
+    completed: bool,
 }
 
 /// The leader's crash counts and its proposals to record them.
@@ -109,10 +109,10 @@
         for note in &report.ended {
             self.note_crash(note, recorded, now_ms);
         }
-        for fingerprint in &report.well {
+        for fingerprint in &report.completed {
             let watched = recorded.row(*fingerprint).is_some_and(|row| !row.quarantined);
             if let (true, Some(count)) = (watched, self.count(*fingerprint, recorded, now_ms)) {
-                count.well = true;
+                count.completed = true;
             }
         }
     }
@@ -127,7 +127,7 @@
     /// Counts a crash, from zero if the request has completed since its last one.
     fn note_crash(&mut self, note: &CrashNote, recorded: &QuarantineTable, now_ms: u64) {
         let Some(count) = self.count(note.fingerprint, recorded, now_ms) else { return };
-        if count.well {
+        if count.completed {
             *count = CrashCount::default();
         }
         count.confirmed |= note.watched;
@@ -190,7 +190,7 @@
             .collect();
         self.drop_over_capacity(&mut wanted, recorded);
         self.counts
-            .retain(|fingerprint, count| !count.well || recorded.row(*fingerprint).is_some());
+            .retain(|fingerprint, count| !count.completed || recorded.row(*fingerprint).is_some());
         wanted.extend(self.expired(recorded, now_ms));
         self.proposed.retain(|_, (_, at_ms)| *at_ms + PROPOSE_AGAIN_MS > now_ms);
         let is_under_way = |command: &QuarantineCommand| {
@@ -234,7 +234,7 @@
         for (fingerprint, count) in suspects {
             let unattributed =
                 count.ended.iter().filter(|upstream| !attributed.contains(upstream)).count();
-            if unattributed >= QUARANTINE_CRASHES && !count.well {
+            if unattributed >= QUARANTINE_CRASHES && !count.completed {
                 attributed.extend(&count.ended);
                 at_fault.insert(*fingerprint);
             }
@@ -302,7 +302,7 @@
         if recorded.is_some_and(|row| row.quarantined) {
             return None;
         }
-        if self.well {
+        if self.completed {
             return recorded.map(|_| QuarantineCommand::Clear(fingerprint));
         }
         let times = recorded.map_or(0, |row| row.times);
--- a/lib/src/coordination/engine_room.rs
+++ b/lib/src/coordination/engine_room.rs
@@ -59,7 +59,7 @@
 /// new requests. Half instead of a tenth costs 0.02 of worth in a burst of five times the usual
 /// traffic.
 const PROMISED_FRACTION: f64 = 0.1;
-/// The shortest and the longest time after which a refused caller is told to retry, in
+/// The shortest and the longest time that a refusal names as the wait before a retry, in
 /// milliseconds.
 pub const RETRY_AFTER_RANGE_MS: (u64, u64) = (200, 30000);
 /// An engine counts as busy from this fraction of its slots on. Only the answers of busy engines
--- a/lib/src/coordination/fleet_health.rs
+++ b/lib/src/coordination/fleet_health.rs
@@ -50,7 +50,8 @@
     /// The upstream.
     pub upstream: UpstreamKey,
     /// The number of sends whose answer was successful and complete.
-    pub well: u16,
+    #[serde(rename = "well")]
+    pub succeeded: u16,
     /// The number of sends that broke, got a failure for an answer, or got no answer.
     pub failed: u16,
 }
@@ -64,8 +65,8 @@
 impl HealthOutbox {
     /// Records that a send ended.
     pub fn note(&mut self, upstream: UpstreamKey, went_well: bool) {
-        let (well, failed) = self.counts.entry(upstream).or_default();
-        let count = if went_well { well } else { failed };
+        let (succeeded, failed) = self.counts.entry(upstream).or_default();
+        let count = if went_well { succeeded } else { failed };
         *count = count.saturating_add(1);
     }
 
@@ -73,8 +74,8 @@
     pub fn take(&mut self) -> Vec<HealthReport> {
         let mut notes = Vec::new();
         while notes.len() < REPORTS_PER_RENEWAL {
-            let Some((upstream, (well, failed))) = self.counts.pop_first() else { break };
-            notes.push(HealthReport { upstream, well, failed });
+            let Some((upstream, (succeeded, failed))) = self.counts.pop_first() else { break };
+            notes.push(HealthReport { upstream, succeeded, failed });
         }
         notes
     }
@@ -82,7 +83,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct HealthRow {
-    well: f64,
+    succeeded: f64,
     failed: f64,
     at_ms: u64,
     flagged_until_ms: u64,
@@ -92,7 +93,8 @@
 impl HealthRow {
     fn age(&mut self, now_ms: u64) {
         let weight = 0.5f64.powf(now_ms.saturating_sub(self.at_ms) as f64 / HALF_LIFE_MS);
-        (self.well, self.failed, self.at_ms) = (self.well * weight, self.failed * weight, now_ms);
+        (self.succeeded, self.failed, self.at_ms) =
+            (self.succeeded * weight, self.failed * weight, now_ms);
     }
 }
 
@@ -124,13 +126,13 @@
                 continue;
             }
             row.age(now_ms);
-            row.well += f64::from(note.well);
+            row.succeeded += f64::from(note.succeeded);
             row.failed += f64::from(note.failed);
-            if row.well >= MIN_FAILURES && row.well > row.failed {
+            if row.succeeded >= MIN_FAILURES && row.succeeded > row.failed {
                 row.flags = 0;
             }
             let least = if row.flags > 0 { MIN_REPEAT_FAILURES } else { MIN_FAILURES };
-            let fails = row.failed >= least && row.well <= MAX_SUCCESS_RATIO * row.failed;
+            let fails = row.failed >= least && row.succeeded <= MAX_SUCCESS_RATIO * row.failed;
             if fails && self.flag(note.upstream, fleet(note.upstream), now_ms) {
                 fresh.push(note.upstream);
             }
@@ -157,7 +159,7 @@
         let row = self.rows.entry(upstream).or_default();
         row.flagged_until_ms = now_ms + (FIRST_FLAG_MS << row.flags.min(MAX_DOUBLINGS));
         row.flags += 1;
-        (row.well, row.failed) = (0.0, 0.0);
+        (row.succeeded, row.failed) = (0.0, 0.0);
         true
     }
 
--- a/lib/src/coordination/load_spread.rs
+++ b/lib/src/coordination/load_spread.rs
@@ -66,8 +66,8 @@
     /// The sum over all routers except `except`, one row for each of `fleets`.
     pub fn others(&self, except: RouterId, fleets: &[FleetKey]) -> Vec<LoadRow> {
         let mut sums: HashMap<FleetKey, LoadRow> = HashMap::new();
-        let asked = self.rows.iter().filter(|((_, fleet), _)| fleets.contains(fleet));
-        for ((router, fleet), (row, _)) in asked {
+        let requested = self.rows.iter().filter(|((_, fleet), _)| fleets.contains(fleet));
+        for ((router, fleet), (row, _)) in requested {
             let sum = sums.entry(*fleet).or_insert_with(|| LoadRow::empty(*fleet));
             if *router != except {
                 sum.work += row.work;
--- a/lib/src/coordination/replay.rs
+++ b/lib/src/coordination/replay.rs
@@ -262,8 +262,8 @@
             return None;
         }
         if fresh {
-            let asked = live[self.rng.gen_range(0..live.len())];
-            let view = &self.routers[asked as usize];
+            let contacted = live[self.rng.gen_range(0..live.len())];
+            let view = &self.routers[contacted as usize];
             let question = AddressRequest {
                 chat: None,
                 zone: "",
@@ -271,7 +271,7 @@
                 hints: view.others.hints(FLEET),
             };
             let light = light_home(&view.view, &question).map(|home| home.0);
-            return Some(light.filter(|h| self.routers[*h as usize].live).unwrap_or(asked));
+            return Some(light.filter(|h| self.routers[*h as usize].live).unwrap_or(contacted));
         }
         let last_router = self.last_router.get(&chat).copied();
         if let Some(last_router) =
@@ -279,10 +279,10 @@
         {
             return Some(last_router);
         }
-        let asked = live[self.rng.gen_range(0..live.len())];
-        let home = self.routers[asked as usize].view.chat_home(chat).map(|home| home.0);
+        let contacted = live[self.rng.gen_range(0..live.len())];
+        let home = self.routers[contacted as usize].view.chat_home(chat).map(|home| home.0);
         let reached = home.filter(|home| self.routers[*home as usize].live);
-        Some(reached.unwrap_or(asked))
+        Some(reached.unwrap_or(contacted))
     }
 
     /// Returns the information on which a router places a request with this work.
--- a/lib/src/coordination/rollout_odds.rs
+++ b/lib/src/coordination/rollout_odds.rs
@@ -21,8 +21,9 @@
 /// 200 sound targets to be rolled back, and few targets with slightly more failures are missed
 /// (`wingshed bench rollouts`; `docs/design/rollouts.md` compares it with 2).
 pub const MAX_SLICE_LOG: f64 = 3.0;
-/// The same maximum for the check before traffic is moved. That check has a much lower threshold,
-/// so with a higher limit a single moment in which an upstream breaks its requests would decide.
+/// The maximum that a slice adds in the check before traffic is moved, which replaces
+/// [`MAX_SLICE_LOG`] there. That check has a much lower threshold, so with a higher limit
+/// a single moment in which an upstream breaks its requests would decide.
 pub const MAX_LIKELY_LOG: f64 = 1.0;
 /// The prior probability that an unsound target is unsound from the start.
 const START_PRIOR: f64 = 0.4;
--- a/lib/src/coordination/rollout_verdict.rs
+++ b/lib/src/coordination/rollout_verdict.rs
@@ -200,7 +200,7 @@
 struct SliceLength {
     /// The time that this leader observed.
     lengths: f64,
-    /// The same plus the time that VMs counted before this leader took over.
+    /// `lengths` plus the time that VMs counted before this leader took over.
     with_unseen: f64,
 }
 
--- a/lib/src/coordination/router_drain.rs
+++ b/lib/src/coordination/router_drain.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DrainWatch {
     started_ms: u64,
-    most_ms: u64,
+    max_ms: u64,
     idle_since_ms: Option<u64>,
 }
 
@@ -28,9 +28,9 @@
 }
 
 impl DrainWatch {
-    /// Creates the state of a drain that began at `now_ms` and ends after `most_ms` at the latest.
-    pub fn new(now_ms: u64, most_ms: u64) -> DrainWatch {
-        DrainWatch { started_ms: now_ms, most_ms, idle_since_ms: None }
+    /// Creates the state of a drain that began at `now_ms` and ends after `max_ms` at the latest.
+    pub fn new(now_ms: u64, max_ms: u64) -> DrainWatch {
+        DrainWatch { started_ms: now_ms, max_ms, idle_since_ms: None }
     }
 
     /// Decides the next step. `leave_ended` is whether the attempt to notify the keepers is over,
@@ -43,7 +43,7 @@
             false => None,
         };
         let lingered = self.idle_since_ms.is_some_and(|since| now_ms >= since + LINGER_MS);
-        match lingered || elapsed_ms >= self.most_ms {
+        match lingered || elapsed_ms >= self.max_ms {
             true => DrainStep::Stop,
             false => DrainStep::Serve,
         }
--- a/lib/src/transport/vm_grant.rs
+++ b/lib/src/transport/vm_grant.rs
@@ -125,8 +125,8 @@
         notes: &[HealthReport],
         now_ms: u64,
     ) -> Vec<UpstreamKey> {
-        for note in notes.iter().filter(|note| note.well > 0) {
-            self.silence.borrow_mut().table.note_successes(note.upstream, note.well, now_ms);
+        for note in notes.iter().filter(|note| note.succeeded > 0) {
+            self.silence.borrow_mut().table.note_successes(note.upstream, note.succeeded, now_ms);
         }
         if !flags_failing(self.view.borrow().vms) {
             return Vec::new();
--- a/lib/tests/test_fleet_health.rs
+++ b/lib/tests/test_fleet_health.rs
@@ -13,8 +13,8 @@
     (1..=12).map(UpstreamKey)
 }
 
-fn note(upstream: UpstreamKey, well: u16, failed: u16) -> HealthReport {
-    HealthReport { upstream, well, failed }
+fn note(upstream: UpstreamKey, succeeded: u16, failed: u16) -> HealthReport {
+    HealthReport { upstream, succeeded, failed }
 }
 
 /// A table that received these outcomes of sends to one upstream, one from each VM, 10 ms apart.
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -233,7 +233,7 @@
     let named = |started_ms| {
         let mut table = HealthTable::default();
         let upstream = entry("i", Some(started_ms)).key();
-        table.take(1, &[HealthReport { upstream, well: 0, failed: 50 }], fleet, 1000);
+        table.take(1, &[HealthReport { upstream, succeeded: 0, failed: 50 }], fleet, 1000);
         table.flagged(1001).contains(&entry("i", Some(2)).key())
     };
 
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -70,7 +70,7 @@
         watched,
         ran_ms: 100,
     };
-    CrashReport { ended: upstreams.iter().enumerate().map(note).collect(), well: Vec::new() }
+    CrashReport { ended: upstreams.iter().enumerate().map(note).collect(), completed: Vec::new() }
 }
 
 fn seen(fingerprint: RequestFingerprint, upstream: u64) -> ObservedCrash {
@@ -78,7 +78,7 @@
 }
 
 fn well(fingerprint: RequestFingerprint) -> CrashReport {
-    CrashReport { ended: Vec::new(), well: vec![fingerprint] }
+    CrashReport { ended: Vec::new(), completed: vec![fingerprint] }
 }
 
 #[test]
