--- a/lib/src/coordination/outlier.rs
+++ b/lib/src/coordination/outlier.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct UpstreamHealth {
-    gone: bool,
+    ended: bool,
     failures: u32,
     /// The number of answers that it broke off since one ended well.
     cuts: u32,
@@ -32,7 +32,7 @@
 impl OutlierTable {
     /// Records that a request succeeded.
     pub fn note_success(&mut self, upstream: UpstreamKey) {
-        if !self.is_gone(upstream) {
+        if !self.has_ended(upstream) {
             self.health.remove(&upstream);
         }
     }
@@ -102,13 +102,13 @@
     }
 
     /// Records that this incarnation of the upstream has ended; after a restart it has another key.
-    pub fn note_gone(&mut self, upstream: UpstreamKey) {
-        self.health.entry(upstream).or_default().gone = true;
+    pub fn note_ended(&mut self, upstream: UpstreamKey) {
+        self.health.entry(upstream).or_default().ended = true;
     }
 
     /// Whether this incarnation of the upstream has ended.
-    pub fn is_gone(&self, upstream: UpstreamKey) -> bool {
-        self.health.get(&upstream).is_some_and(|health| health.gone)
+    pub fn has_ended(&self, upstream: UpstreamKey) -> bool {
+        self.health.get(&upstream).is_some_and(|health| health.ended)
     }
 
     /// The upstreams with a record; all others are healthy.
@@ -124,7 +124,7 @@
     /// Whether the upstream is ejected now.
     pub fn is_ejected(&self, upstream: UpstreamKey, now_ms: u64) -> bool {
         self.health.get(&upstream).is_some_and(|health| {
-            health.gone
+            health.ended
                 || health.ejections > 0
                     && (now_ms < health.ejected_until_ms || health.trial_running)
         })
--- a/lib/src/transport/vm_choice.rs
+++ b/lib/src/transport/vm_choice.rs
@@ -248,7 +248,7 @@
         for key in failing.chain(silence.view.unresponsive(now_ms)).chain(aside) {
             candidates.change(key, |candidate| candidate.ejected = true);
         }
-        candidates.remove_all(outliers.known().filter(|key| outliers.is_gone(*key)));
+        candidates.remove_all(outliers.known().filter(|key| outliers.has_ended(*key)));
     }
 }
 
--- a/lib/src/transport/vm_crash.rs
+++ b/lib/src/transport/vm_crash.rs
@@ -91,7 +91,7 @@
         if !self.has_ended(seen.upstream, address).await {
             return;
         }
-        self.outliers.borrow_mut().note_gone(seen.upstream);
+        self.outliers.borrow_mut().note_ended(seen.upstream);
         self.counters.borrow_mut().crashes += 1;
         self.report_crash(seen);
         info!(
@@ -102,7 +102,7 @@
 
     /// Whether the upstream's address refuses connections, now or at one of the later checks.
     async fn has_ended(&self, upstream: UpstreamKey, address: SocketAddr) -> bool {
-        if self.outliers.borrow().is_gone(upstream) {
+        if self.outliers.borrow().has_ended(upstream) {
             return true;
         }
         if let Some(fault) = self.connect_only(upstream, address).await {
--- a/lib/src/transport/vm_reply.rs
+++ b/lib/src/transport/vm_reply.rs
@@ -157,7 +157,7 @@
     ) -> SendResult {
         target.trial.end_inconclusive();
         match facts.other_incarnation {
-            true => self.note_gone(target.upstream, "another life listens there"),
+            true => self.note_ended(target.upstream, "another life listens there"),
             false => self.log_refusal(target, facts, head, lease.is_reused()),
         }
         // Only the head matters to the request. The body is read in the background so that the connection can
--- a/lib/src/transport/vm_signs.rs
+++ b/lib/src/transport/vm_signs.rs
@@ -59,7 +59,7 @@
         self.node.counters.borrow_mut().failure_signs += 1;
         let mut outliers = self.node.outliers.borrow_mut();
         match fault {
-            HealthFault::Ended => outliers.note_gone(upstream),
+            HealthFault::Ended => outliers.note_ended(upstream),
             HealthFault::Unreachable => {
                 outliers.note_dead(upstream, fleet, MAX_EJECTED_SHARE, now_ms)
             }
@@ -76,7 +76,7 @@
     }
 
     /// Records that this incarnation's process has ended; `what` is the log message.
-    pub(super) fn note_gone(&self, upstream: UpstreamKey, what: &'static str) {
+    pub(super) fn note_ended(&self, upstream: UpstreamKey, what: &'static str) {
         self.note_health_fault(upstream, HealthFault::Ended, what);
     }
 }
--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -211,7 +211,7 @@
 fn an_incarnation_that_ended_sets_nobody_aside_that_is_born_again() {
     let mut outliers = OutlierTable::default();
 
-    outliers.note_gone(entry("i", Some(1)).key());
+    outliers.note_ended(entry("i", Some(1)).key());
 
     assert!(!outliers.is_ejected(entry("i", Some(2)).key(), 1000));
 }
