--- a/lib/src/coordination/crash_table.rs
+++ b/lib/src/coordination/crash_table.rs
@@ -264,7 +264,7 @@
     }
 
     /// Returns commands that release or remove rows whose time is over by this leader's clock. A new
-    /// leader measures from its first sight of a row, so a change of leaders may extend a quarantine
+    /// leader measures from when it first receives a row, so a change of leaders may extend a quarantine
     /// but never shortens it.
     fn expired(&mut self, recorded: &QuarantineTable, now_ms: u64) -> Vec<QuarantineCommand> {
         let state = |row: &QuarantineRow| (row.fingerprint, row.quarantined, row.times);
--- a/lib/src/state/settings.rs
+++ b/lib/src/state/settings.rs
@@ -123,6 +123,7 @@
     Some(reader.address(key, list))
 }
 
+/// Reads a router's limits; one that is missing gets its default.
 fn read_limits(value: Option<&Value>, list: &mut FindingList) -> RouterLimits {
     let empty = Value::Object(Default::default());
     let mut reader = ObjectReader::new("$.limits", value.unwrap_or(&empty), list);
