--- a/lib/src/state/vm_figures.rs
+++ b/lib/src/state/vm_figures.rs
@@ -118,7 +118,7 @@
         self.body_ends[framing as usize][end as usize] += 1;
     }
 
-    /// The number of bodies with this framing that ended in this way.
+    /// The number of bodies with this framing that ended at this place.
     pub fn body_ends(&self, framing: BodyFraming, end: BodyEnd) -> u64 {
         self.body_ends[framing as usize][end as usize]
     }
