--- a/lib/tests/test_identity.rs
+++ b/lib/tests/test_identity.rs
@@ -211,7 +211,7 @@
 fn an_incarnation_that_ended_sets_nobody_aside_that_is_born_again() {
     let mut outliers = OutlierTable::default();
 
-    outliers.note_gone(entry("i", Some(1)).key());
+    outliers.note_ended(entry("i", Some(1)).key());
 
     assert!(!outliers.is_ejected(entry("i", Some(2)).key(), 1000));
 }
@@ -233,7 +233,7 @@
     let named = |started_ms| {
         let mut table = HealthTable::default();
         let upstream = entry("i", Some(started_ms)).key();
-        table.take(1, &[HealthReport { upstream, well: 0, failed: 50 }], fleet, 1000);
+        table.take(1, &[HealthReport { upstream, succeeded: 0, failed: 50 }], fleet, 1000);
         table.flagged(1001).contains(&entry("i", Some(2)).key())
     };
 
